--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -24,10 +24,8 @@
 HOLD_S = 0.8
 LOAD = 0.65
 TELL_S = 0.022
-ENGINE = EngineFigures(
-    SLOTS, 10**6, 0.008, 1e-4, 1e-8, 5e4, 1e-10, 5.0, 1, 0.3, (ModelFigures("m", 2, 1, 1, 12, 1),)
-)
-SERVICE = ServiceFigures("engines", "/", 500, ENGINE)
+ENGINE = EngineFigures(SLOTS, 5.0, (ModelFigures("m", 2, 1, 12, 1),))
+SERVICE = ServiceFigures("engines", 500, ENGINE)
 
 
 def heads(count: int) -> list[Target]:
--- a/ferrydock/configuration/_model.py
+++ b/ferrydock/configuration/_model.py
@@ -50,8 +50,8 @@
 
     Attributes
     ----------
-    first_answer_s, gap_s : float
-        Objectives: time to the first byte of an answer, longest pause between two events.
+    first_answer_s : float
+        Objective for the time to the first byte of an answer.
     attempts : int
         Most targets that one request may be sent to.
     priority : int
@@ -69,7 +69,6 @@
     attempts: int
     priority: int
     first_answer_s: float
-    gap_s: float
     public: bool
 
 
@@ -81,8 +80,6 @@
     ----------
     share : float
         Part of the service's work that the model starts with.
-    pace : float
-        Factor on all times of the engine.
     load_s, warm_s : float
         Time to load the weights from their store, and from the worker's host.
     """
@@ -90,7 +87,6 @@
     name: str
     size: int
     share: float
-    pace: float
     load_s: float
     warm_s: float
 
@@ -103,32 +99,12 @@
     ----------
     slots : int
         Requests that a replica works on at a time.
-    kv_tokens : int
-        Tokens that fit a replica's memory.
-    step_s, step_per_request_s, step_per_token_s : float
-        Time of one token step, and what each writing request and each token of context adds.
-    read_tokens_per_s : float
-        Prompt tokens read in a second.
-    read_pair_s : float
-        Time for each pair of a prompt token and one before it.
     loads_per_s : float
         Most loads from the weight store that may begin in a second.
-    keeps : int
-        Models that a host keeps.
-    form_s : float
-        Time from the order to open until a replica serves.
     """
 
     slots: int
-    kv_tokens: int
-    step_s: float
-    step_per_request_s: float
-    step_per_token_s: float
-    read_tokens_per_s: float
-    read_pair_s: float
     loads_per_s: float
-    keeps: int
-    form_s: float
     models: tuple[ModelFigures, ...]
 
     def model(self, name: str) -> ModelFigures | None:
@@ -141,7 +117,6 @@
     """A service behind routes; `engine` is None for a plain one."""
 
     name: str
-    health_path: str
     most_connections: int
     engine: EngineFigures | None
 
--- a/ferrydock/dispatch/tests/test_dispatcher.py
+++ b/ferrydock/dispatch/tests/test_dispatcher.py
@@ -12,8 +12,8 @@
 from ...targets import GroupState, Membership, Target, TargetDirectory
 from .. import DispatchClient, Dispatcher, HallLedger, PlaceRequest, dispatch_methods
 
-ENGINES = ServiceFigures("engines", "/", 300, two_models())
-PLAIN = ServiceFigures("plain", "/", 100, None)
+ENGINES = ServiceFigures("engines", 300, two_models())
+PLAIN = ServiceFigures("plain", 100, None)
 SLOTS = ENGINES.engine.slots
 
 
--- a/ferrydock/emulator/_processes.py
+++ b/ferrydock/emulator/_processes.py
@@ -64,7 +64,6 @@
         self.settings_path = folder / f"{name}.json"
         self.settings_path.write_text(json.dumps(settings))
         self.process: asyncio.subprocess.Process | None = None
-        self.starts = 0
         self.own_ends: list[int] = []
         self.is_hurt = False
 
@@ -75,7 +74,6 @@
 
     async def start(self) -> None:
         """Start the process."""
-        self.starts += 1
         with open(self.log_path, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
--- a/ferrydock/entry/_settings.py
+++ b/ferrydock/entry/_settings.py
@@ -31,15 +31,11 @@
         Longest age of the configuration's confirmation for a request with a key.
     stop_within_s : float
         Time from the order to stop until the process is killed.
-    retry_ratio, retry_slack, retry_window_s : float
-        Sendings beyond the first of all daemons to a service, within each window: the ratio of
-        its requests plus the slack.
-    stall_s : float
-        After which a replica without one of its members says so by itself.
+    retry_ratio, retry_slack : float
+        Retries that all daemons together may send to a service within each window of the
+        platform's: the ratio times its requests, plus the slack.
     load_window_s, load_overshoot : float
         Window and factor in which the loads that begin are counted.
-    memory_bytes : int
-        Above which the process is killed.
     is_first_start : bool
         Whether the whole site starts for the first time, all daemons at once.
     """
@@ -56,11 +52,8 @@
     stop_within_s: float
     retry_ratio: float
     retry_slack: float
-    retry_window_s: float
-    stall_s: float
     load_window_s: float
     load_overshoot: float
-    memory_bytes: int
     is_first_start: bool
 
 
@@ -92,6 +85,8 @@
 
 
 _ADDRESS = (_is_address, "IP:PORT with a port of 1 to 65535")
+# `retry_window_s`, `stall_s` and `memory_bytes` are checked, so that a bad value is named at the
+# start, but no decision of the daemon reads them.
 _CONSTRAINTS: Mapping[str, tuple[Callable, str]] = {
     "name": (_is_name, "a text of 1 to 200 signs"),
     "hall": (_is_name, "a text of 1 to 200 signs"),
@@ -127,11 +122,10 @@
         Names by which whoever wrote the settings knows the fields.
     """
     faults = []
-    for field in fields(EntrySettings):
-        check, allowed = _CONSTRAINTS[field.name]
-        value = given.get(field.name)
+    for name, (check, allowed) in _CONSTRAINTS.items():
+        value = given.get(name)
         if not check(value):
-            place = shown.get(field.name, field.name)
+            place = shown.get(name, name)
             faults.append(Fault(place, f"{value!r} is not allowed; allowed: {allowed}"))
     if faults:
         return Invalid(tuple(faults))
--- a/ferrydock/forwarding/_dialect.py
+++ b/ferrydock/forwarding/_dialect.py
@@ -21,8 +21,6 @@
         How long the caller will wait.
     key : str
         Empty if none was given.
-    prompt_tokens, answer_tokens : int
-        Size of the prompt and the most tokens of the answer; 0 if not told.
     last_event_id : int or None
         The event after which a stream goes on.
     """
@@ -31,8 +29,6 @@
     left_s: float | None
     key: str
     model: str
-    prompt_tokens: int
-    answer_tokens: int
     last_event_id: int | None
 
 
@@ -43,7 +39,6 @@
     target_id: str
     left_s: float
     tenant: str
-    urgency: int | None
     last_event_id: int | None
 
 
@@ -59,14 +54,11 @@
         The request that the answer belongs to; empty if not told.
     signed : bool
         Whether the answer is a target's own.
-    blamed : str
-        Id of the target that is at fault for a refusal; empty if not told.
     """
 
     not_executed: bool
     request_id: str
     signed: bool
-    blamed: str
 
 
 class RequestDialect(Protocol):
--- a/ferrydock/forwarding/_forwarder.py
+++ b/ferrydock/forwarding/_forwarder.py
@@ -178,7 +178,6 @@
             target_id=place.target.target_id,
             left_s=self._left_s(exchange),
             tenant=exchange.tenant,
-            urgency=None,
             last_event_id=exchange.events.last_id if exchange.events else None,
         )
         headers = self.dialect.outgoing(request.headers.items(), exchange.inbound, outbound)
--- a/ferrydock/forwarding/_load.py
+++ b/ferrydock/forwarding/_load.py
@@ -1,6 +1,6 @@
 """What this daemon knows of each target's load and conduct from its own requests."""
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 __all__ = ["LoadBook", "TargetLoad"]
 
@@ -17,8 +17,6 @@
     ----------
     running : int
         Requests sent and not ended.
-    elsewhere : float
-        Requests that other daemons told of.
     progress_s : float
         Local time of the last sign of work: an event, an answer, or a request sent to a target
         that had none.
@@ -27,18 +25,10 @@
     """
 
     running: int = 0
-    elsewhere: float = 0.0
     progress_s: float = 0.0
     failures: int = 0
     ejections: int = 0
     ejected_until_s: float = 0.0
-    broken: bool = False
-    streams: set = field(default_factory=set)
-
-    @property
-    def total(self) -> float:
-        """Requests at the target, as far as known."""
-        return self.running + self.elsewhere
 
 
 class LoadBook:
--- a/ferrydock/forwarding/_placing.py
+++ b/ferrydock/forwarding/_placing.py
@@ -170,9 +170,9 @@
         for place in found:
             slots = most_requests(exchange.service, place.target)
             load = self.loads.of(place.target.target_id)
-            if load.total >= slots or load.running >= connections:
+            if load.running >= slots or load.running >= connections:
                 continue
-            score = load.total / slots + 0.05 * self.rng.random()
+            score = load.running / slots + 0.05 * self.rng.random()
             if place.target.hall != self.hall:
                 score += OTHER_HALL_PENALTY
             if score < best_score:
--- a/ferrydock/forwarding/tests/rig.py
+++ b/ferrydock/forwarding/tests/rig.py
@@ -36,7 +36,6 @@
         "attempts": 2,
         "priority": 1,
         "first_answer_s": 0.5,
-        "gap_s": 0.3,
         "public": True,
     }
     return Route(**{**fields, **changes})
@@ -133,7 +132,7 @@
         self.clock = SystemClock()
         self.book = ConfigurationBook()
         self.configuration = Configuration(
-            1, tuple(routes), {"plain": ServiceFigures("plain", "/", 10, None)}, tuple(tenants)
+            1, tuple(routes), {"plain": ServiceFigures("plain", 10, None)}, tuple(tenants)
         )
         self.confirmed = confirmed
         self.directory = TargetDirectory()
--- a/ferrydock/gateway/_route_dialect.py
+++ b/ferrydock/gateway/_route_dialect.py
@@ -37,8 +37,6 @@
                 left_s=float(timeout) / 1000 if timeout else None,
                 key=digest_key(token) if token else "",
                 model="",
-                prompt_tokens=0,
-                answer_tokens=0,
                 last_event_id=int(after) if after else None,
             )
         except ValueError:
@@ -61,5 +59,4 @@
             not_executed="X-Not-Run" in headers or status == MISDIRECTED,
             request_id=headers.get("X-Request-Id", ""),
             signed=True,
-            blamed="",
         )
--- a/ferrydock/gateway/_routes.py
+++ b/ferrydock/gateway/_routes.py
@@ -39,13 +39,12 @@
             attempts=row.attempts,
             priority=HIGHEST_PRIORITY - row.priority,
             first_answer_s=row.first_answer_objective_ms / 1000,
-            gap_s=row.gap_objective_ms / 1000,
             public=row.public,
         )
         for row in view.routes.values()
     )
     services = {
-        target.name: ServiceFigures(target.name, "/", SLOTS_OF_A_SERVICE, None)
+        target.name: ServiceFigures(target.name, SLOTS_OF_A_SERVICE, None)
         for target in view.targets.values()
         if target.kind == "plain_service"
     }
--- a/ferrydock/groups/_orders.py
+++ b/ferrydock/groups/_orders.py
@@ -77,13 +77,12 @@
     decided, is older than that.
     """
 
-    __slots__ = ("_known", "clock", "control", "directory", "given")
+    __slots__ = ("_known", "clock", "control", "directory")
 
     def __init__(self, control: TargetControl, directory: TargetDirectory, clock: Clock):
         self.control = control
         self.directory = directory
         self.clock = clock
-        self.given = 0
         self._known: dict[str, KnownOrders] = {}
 
     async def _expected(self, target: Target, order: Order) -> int | OrderRefused | Unavailable:
@@ -133,7 +132,6 @@
     async def _give_once(
         self, target: Target, order: Order, expected: int
     ) -> OrderDone | OrderRefused | Unavailable | Unknown:
-        self.given += 1
         answer = await self.control.order(target, order, expected)
         self._log(target, order, expected, answer)
         return answer
--- a/ferrydock/groups/tests/hall.py
+++ b/ferrydock/groups/tests/hall.py
@@ -24,7 +24,7 @@
         self.store = MemoryStore(self.clock)
         self.fleet = Fleet(two_models(), self.rng)
         self.book = ConfigurationBook()
-        services = {"engines": ServiceFigures("engines", "/", 100, two_models())}
+        services = {"engines": ServiceFigures("engines", 100, two_models())}
         self.book.offer(Configuration(1, (), services, ()), 0.0)
         for domain in range(domains):
             for number in range(workers):
--- a/ferrydock/groups/tests/test_controller.py
+++ b/ferrydock/groups/tests/test_controller.py
@@ -180,7 +180,7 @@
         desk = hall.controller.desk
         await asyncio.sleep(10.0)
         forming = 16 + 6 + 4  # joins, opens, stagings
-        assert desk.given <= forming + 2
+        assert desk.control.given <= forming + 2
 
     play(scenario)
 
--- a/ferrydock/platform/_configuration.py
+++ b/ferrydock/platform/_configuration.py
@@ -27,6 +27,19 @@
 _STREAMING = "streaming"
 _SAFE = "safe"
 _USUAL_PRIORITY = 5
+# Numbers that no decision reads. They are still checked, so that a configuration with a bad one is
+# refused as a whole and the version in force stays.
+_UNUSED_ROUTE_NUMBERS = ("gap-target-ms",)
+_UNUSED_ENGINE_NUMBERS = (
+    "step_ms",
+    "per_seq_ms",
+    "context_per_k",
+    "read_per_s",
+    "pairs_per_m",
+    "retains",
+    "form-ms",
+)
+_UNUSED_MODEL_NUMBERS = ("pace",)
 
 
 class PlatformConfigurationSource:
@@ -85,7 +98,14 @@
     )
 
 
+def _check_unused(fields: Mapping, names: tuple[str, ...]) -> None:
+    """Raise ValueError or TypeError if one of the named fields is there and is no number."""
+    for name in names:
+        float(fields.get(name) or 0)
+
+
 def _route(fields: Mapping) -> Route:
+    _check_unused(fields, _UNUSED_ROUTE_NUMBERS)
     split = fields.get("backends")
     if split:
         back_ends = tuple(BackEnd(part["service"], float(part["weight"])) for part in split)
@@ -101,7 +121,6 @@
         attempts=int(fields.get("max-attempts", 1)),
         priority=int(fields.get("priority", _USUAL_PRIORITY)),
         first_answer_s=fields.get("latency-goal-ms", fields["timeout-ms"]) / 1000,
-        gap_s=fields.get("gap-target-ms", 0) / 1000,
         public=bool(fields.get("public", False)),
     )
 
@@ -116,34 +135,27 @@
     engine = fields.get("engine")
     return ServiceFigures(
         name=fields["name"],
-        health_path=fields.get("health-path", "/"),
         most_connections=int(fields.get("max-conns") or 100),
         engine=_engine(engine) if engine else None,
     )
 
 
 def _engine(fields: Mapping) -> EngineFigures:
+    int(fields["kv-capacity"])
+    _check_unused(fields, _UNUSED_ENGINE_NUMBERS)
     return EngineFigures(
         slots=int(fields["slots"]),
-        kv_tokens=int(fields["kv-capacity"]),
-        step_s=fields.get("step_ms", 0) / 1000,
-        step_per_request_s=fields.get("per_seq_ms", 0) / 1000,
-        step_per_token_s=fields.get("context_per_k", 0) / 1e6,
-        read_tokens_per_s=float(fields.get("read_per_s") or 1e6),
-        read_pair_s=fields.get("pairs_per_m", 0) / 1e9,
         loads_per_s=float(fields.get("loads-per-s") or 1e6),
-        keeps=int(fields.get("retains", 1)),
-        form_s=fields.get("form-ms", 0) / 1000,
         models=tuple(_model(model) for model in fields.get("models") or ()),
     )
 
 
 def _model(fields: Mapping) -> ModelFigures:
+    _check_unused(fields, _UNUSED_MODEL_NUMBERS)
     return ModelFigures(
         name=fields["name"],
         size=int(fields.get("size", 1)),
         share=float(fields.get("share", 1.0)),
-        pace=float(fields.get("pace", 1.0)),
         load_s=float(fields.get("load-s", 0)),
         warm_s=float(fields.get("warmup-s", 0)),
     )
--- a/ferrydock/platform/_control.py
+++ b/ferrydock/platform/_control.py
@@ -82,12 +82,7 @@
             return Unavailable(type(error).__name__)
         membership = parse_membership(fields.get("group"))
         return TargetReport(
-            target_id=response.headers.get("X-Instance-Id"),
             orders=int(fields.get("sequence", 0)),
-            busy=bool(fields.get("utilization", False)),
-            running=int(fields.get("running", 0)),
-            waiting=int(fields.get("waiting", 0)),
-            pace=float(fields.get("pace", 1.0)),
             replica=membership.replica if membership else None,
             epoch=membership.epoch if membership else 0,
             state=membership.state.value if membership else None,
--- a/ferrydock/platform/_dialect.py
+++ b/ferrydock/platform/_dialect.py
@@ -22,7 +22,8 @@
     def read(self, headers: Mapping[str, str]) -> Inbound | None:
         try:
             deadline = headers.get("X-Deadline-Ms")
-            tokens = headers.get("X-Token-Count", "0,0").split(",")
+            for count in headers.get("X-Token-Count", "0,0").split(",")[:2]:
+                int(count)  # no decision reads the counts; a bad one makes the request unreadable
             after = headers.get("Last-Event-Id")
             key = headers.get("Authorization", "")
             return Inbound(
@@ -30,8 +31,6 @@
                 left_s=float(deadline) / 1000 if deadline else None,
                 key=key[len(_BEARER) :].strip() if key.startswith(_BEARER) else "",
                 model=headers.get("X-Model", ""),
-                prompt_tokens=int(tokens[0]),
-                answer_tokens=int(tokens[1]) if len(tokens) > 1 else 0,
                 last_event_id=int(after) if after else None,
             )
         except ValueError:
@@ -45,8 +44,6 @@
         kept["X-Expect-Instance"] = outbound.target_id
         if outbound.tenant:
             kept["X-Tenant"] = outbound.tenant
-        if outbound.urgency is not None:
-            kept["X-Request-Priority"] = str(outbound.urgency)
         if outbound.last_event_id is not None:
             kept["Last-Event-Id"] = str(outbound.last_event_id)
         return kept
@@ -56,5 +53,4 @@
             not_executed="X-Not-Executed" in headers or status == 421,
             request_id=headers.get("X-Attempt-Id", ""),
             signed="X-Server-Stamp" in headers,
-            blamed=headers.get("At-Server", ""),
         )
--- a/ferrydock/standins/fleet/_ports.py
+++ b/ferrydock/standins/fleet/_ports.py
@@ -72,12 +72,7 @@
             return Unavailable("silent")
         place = worker.membership
         return TargetReport(
-            target_id=worker.worker_id,
             orders=worker.orders,
-            busy=False,
-            running=worker.running,
-            waiting=0,
-            pace=1.0,
             replica=place.replica if place else None,
             epoch=place.epoch if place else 0,
             state=place.state.value if place else None,
--- a/ferrydock/standins/fleet/_site.py
+++ b/ferrydock/standins/fleet/_site.py
@@ -1,9 +1,7 @@
 """A whole stand-in site on loopback: store, workers, an operator, settings for daemons."""
 
 import asyncio
-import json
 import random
-from pathlib import Path
 
 import orjson
 
@@ -11,7 +9,7 @@
 from ...configuration import EngineFigures, ModelFigures
 from ...store import MemoryStore
 from ._store_http import StoreFace
-from ._worker_http import RunRecord, WorkerFace, entry_group, entry_models
+from ._worker_http import KV_TOKENS, RunRecord, WorkerFace, entry_group, entry_models
 from ._workers import Fleet, Worker
 
 __all__ = ["FleetSite", "small_engine"]
@@ -25,18 +23,10 @@
     """Return an engine whose replicas form within a moment."""
     return EngineFigures(
         slots=8,
-        kv_tokens=100000,
-        step_s=0.004,
-        step_per_request_s=0.0001,
-        step_per_token_s=1e-8,
-        read_tokens_per_s=50000.0,
-        read_pair_s=1e-10,
         loads_per_s=100.0,
-        keeps=1,
-        form_s=0.05,
         models=(
-            ModelFigures("large", 4, 0.5, 1.0, 0.6, 0.2),
-            ModelFigures("small", 2, 0.5, 0.6, 0.4, 0.1),
+            ModelFigures("large", 4, 0.5, 0.6, 0.2),
+            ModelFigures("small", 2, 0.5, 0.4, 0.1),
         ),
     )
 
@@ -224,10 +214,6 @@
             "platform": {"address": (store or self.stores[0]).address},
         }
 
-    def write_settings(self, path: Path, name: str, hall: str, ports: list[int]) -> None:
-        """Write a daemon's settings file."""
-        path.write_text(json.dumps(self.settings(name, hall, ports)))
-
     async def close(self) -> None:
         """Stop everything."""
         await asyncio.gather(*(face.close() for face in (*self.faces.values(), *self.stores)))
@@ -260,21 +246,21 @@
 def _engine_fields(engine: EngineFigures) -> dict:
     return {
         "slots": engine.slots,
-        "kv-capacity": engine.kv_tokens,
-        "step_ms": engine.step_s * 1000,
-        "per_seq_ms": engine.step_per_request_s * 1000,
-        "context_per_k": engine.step_per_token_s * 1e6,
-        "read_per_s": engine.read_tokens_per_s,
-        "pairs_per_m": engine.read_pair_s * 1e9,
+        "kv-capacity": KV_TOKENS,
+        "step_ms": 4.0,
+        "per_seq_ms": 0.1,
+        "context_per_k": 0.01,
+        "read_per_s": 50000.0,
+        "pairs_per_m": 0.1,
         "loads-per-s": engine.loads_per_s,
-        "retains": engine.keeps,
-        "form-ms": engine.form_s * 1000,
+        "retains": 1,
+        "form-ms": 50.0,
         "models": [
             {
                 "name": model.name,
                 "size": model.size,
                 "share": model.share,
-                "pace": model.pace,
+                "pace": 1.0,
                 "load-s": model.load_s,
                 "warmup-s": model.warm_s,
             }
--- a/ferrydock/standins/fleet/_worker_http.py
+++ b/ferrydock/standins/fleet/_worker_http.py
@@ -17,7 +17,9 @@
 )
 from ._workers import Fleet, Worker
 
-__all__ = ["RunRecord", "WorkerFace"]
+__all__ = ["KV_TOKENS", "RunRecord", "WorkerFace"]
+
+KV_TOKENS = 100000
 
 _REFUSAL_STATUS = {"state": 409, "epoch": 412, "invalid": 400}
 _ONE_MOMENT_S = 0.02
@@ -188,7 +190,7 @@
             "waiting": 0,
             "running": worker.running,
             "kv-used": 0,
-            "kv-total": worker.engine.kv_tokens,
+            "kv-total": KV_TOKENS,
             "group": entry_group(worker),
             "staged": worker.staged,
             "domain": worker.domain,
--- a/ferrydock/standins/fleet/_workers.py
+++ b/ferrydock/standins/fleet/_workers.py
@@ -23,6 +23,7 @@
 __all__ = ["Fleet", "FleetFaults", "Violation", "Worker"]
 
 REJOIN_S = 0.2
+MODELS_KEPT_BY_HOST = 1
 SERVING = (GroupState.OPEN, GroupState.CLOSING)
 
 
@@ -58,8 +59,8 @@
 
     Attributes
     ----------
-    alive, cut_from_store : bool
-        Whether it answers at all; whether its entry can be written.
+    alive : bool
+        Whether it answers at all.
     was_ready : set
         ``(name, epoch, members)`` under which it was ready once.
     loads : int
@@ -73,7 +74,6 @@
     service: str
     engine: EngineFigures
     alive: bool = True
-    cut_from_store: bool = False
     draining: bool = False
     orders: int = 0
     top_epoch: int = 0
@@ -84,7 +84,6 @@
     members: tuple[str, ...] = ()
     model: str = ""
     was_ready: set = field(default_factory=set)
-    stopped_s: float | None = None
     running: int = 0
     loads: int = 0
 
@@ -255,7 +254,7 @@
     def _load(self, worker: Worker, model: ModelFigures) -> None:
         worker.loads += 1
         worker.staging_until_s = self.now_s() + model.load_s
-        worker.staged = [model.name, *worker.staged][: self.engine.keeps]
+        worker.staged = [model.name, *worker.staged][:MODELS_KEPT_BY_HOST]
 
     def _become_ready(self, worker: Worker, key: tuple[str, int]) -> None:
         if worker.alive and worker.group_key == key:
@@ -274,7 +273,6 @@
         if place.state is not GroupState.READY:
             return OrderRefused("state")
         self._set_state(worker, GroupState.OPEN)
-        worker.stopped_s = None
         return OrderDone(already=False)
 
     def _close(self, worker: Worker, order: CloseOrder) -> OrderDone | OrderRefused:
--- a/ferrydock/targets/_ports.py
+++ b/ferrydock/targets/_ports.py
@@ -128,12 +128,7 @@
 class TargetReport:
     """What a target tells of itself when asked."""
 
-    target_id: str | None
     orders: int
-    busy: bool
-    running: int
-    waiting: int
-    pace: float
     replica: str | None = None
     epoch: int = 0
     state: str | None = None
