--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -14,7 +14,7 @@
 
 from ferrydock.clock import ManualClock
 from ferrydock.configuration import EngineFigures, ModelFigures, ServiceFigures
-from ferrydock.dispatch import Dispatcher, HallLedger, PlaceRequest
+from ferrydock.scheduling import Dispatcher, HallLedger, PlaceRequest
 from ferrydock.targets import GroupState, Membership, Target, TargetDirectory
 
 from ._report import print_check, print_row
--- a/ferrydock/configuration/__init__.py
+++ b/ferrydock/configuration/__init__.py
@@ -1,6 +1,6 @@
 """Configurations that come whole: routes, services, tenants, limits; what is in force."""
 
-from ._book import ConfigurationBook
+from ._current import ConfigurationBook
 from ._lookup import ConfigurationLookup
 from ._model import (
     BackEnd,
--- a/ferrydock/forwarding/__init__.py
+++ b/ferrydock/forwarding/__init__.py
@@ -1,15 +1,15 @@
 """Forwarding of requests along routes, byte for byte, with retries and resumed streams."""
 
 from ._dialect import AnswerSigns, Inbound, Outbound, RequestDialect
+from ._endpoint_selector import Placing
 from ._events import NumberedEvents
 from ._exchange import Attempt, AttemptEnd, Exchange
 from ._forwarder import Forwarder
 from ._gateway import RouteGateway
-from ._hall_placing import HallPlacing
+from ._hall_endpoint_selector import HallPlacing
 from ._headers import end_to_end
-from ._load import LoadBook, TargetLoad
-from ._placing import Placing
 from ._stalls import StallWatch
+from ._target_loads import LoadBook, TargetLoad
 from ._upstream import Upstream
 
 __all__ = [
--- a/ferrydock/forwarding/_placing.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 
 from ..clock import Clock
-from ..dispatch import Place, most_requests, places
+from ..scheduling import Place, most_requests, places
 from ..targets import TargetDirectory
 from ._exchange import Exchange
-from ._load import LoadBook
+from ._target_loads import LoadBook
 
 __all__ = ["Placing"]
 
--- a/ferrydock/forwarding/_forwarder.py
+++ b/ferrydock/forwarding/_forwarder.py
@@ -8,16 +8,16 @@
 from multidict import CIMultiDict
 
 from ..clock import Clock
-from ..dispatch import Place
 from ..logs import log_event
 from ..reports import RouteMetrics
 from ..requests import RetryBudget
-from ._answers import refusal
+from ..scheduling import Place
 from ._dialect import AnswerSigns, Outbound, RequestDialect
+from ._endpoint_selector import Placing
 from ._exchange import Attempt, AttemptEnd, Exchange
 from ._headers import end_to_end
-from ._load import LoadBook
-from ._placing import Placing
+from ._refusal import refusal
+from ._target_loads import LoadBook
 from ._upstream import Upstream
 
 __all__ = ["Forwarder"]
--- a/ferrydock/forwarding/_gateway.py
+++ b/ferrydock/forwarding/_gateway.py
@@ -10,12 +10,12 @@
 from ..clock import Clock
 from ..configuration import BackEnd, ConfigurationBook, ConfigurationLookup, Route
 from ..logs import log_event
-from ._answers import refusal
 from ._dialect import Inbound, RequestDialect
 from ._events import NumberedEvents
 from ._exchange import Exchange
 from ._forwarder import CallerGone, Forwarder
 from ._listener import HEADERS_TOO_LARGE, CallerConnection, Listener
+from ._refusal import refusal
 
 __all__ = ["RouteGateway"]
 
--- a/ferrydock/forwarding/_hall_placing.py
+++ b/ferrydock/forwarding/_hall_endpoint_selector.py
@@ -1,8 +1,8 @@
 """Choice of a target by the hall's dispatcher, and by this daemon alone where that is away."""
 
-from ..dispatch import DispatchClient, Place, PlaceRequest
+from ..scheduling import DispatchClient, Place, PlaceRequest
+from ._endpoint_selector import Placing
 from ._exchange import Exchange
-from ._placing import Placing
 
 __all__ = ["HallPlacing"]
 
--- a/ferrydock/forwarding/_listener.py
+++ b/ferrydock/forwarding/_listener.py
@@ -7,7 +7,7 @@
 from aiohttp.web_protocol import RequestHandler
 
 from ..logs import log_event
-from ._answers import refusal
+from ._refusal import refusal
 
 __all__ = ["HEADERS_TOO_LARGE", "Listener"]
 
--- a/ferrydock/forwarding/_stalls.py
+++ b/ferrydock/forwarding/_stalls.py
@@ -8,9 +8,9 @@
 from ..logs import log_event
 from ..outcomes import Unavailable
 from ..targets import ReplicaView, TargetControl
+from ._endpoint_selector import Placing
 from ._forwarder import Forwarder
-from ._load import LoadBook
-from ._placing import Placing
+from ._target_loads import LoadBook
 
 __all__ = ["StallWatch"]
 
--- a/ferrydock/platform/_boot.py
+++ b/ferrydock/platform/_boot.py
@@ -2,8 +2,8 @@
 
 import orjson
 
-from ..entry import Deployment, EntrySettings, check_settings, register_deployment
 from ..outcomes import Fault, Invalid
+from ..route_daemon import Deployment, EntrySettings, check_settings, register_deployment
 from ._configuration import PlatformConfigurationSource
 from ._control import PlatformTargetControl
 from ._dialect import PlatformDialect
--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -8,8 +8,8 @@
 
 from ...clock import SystemClock
 from ...emulator import free_ports
-from ...entry import EntryNode
 from ...outcomes import Invalid
+from ...route_daemon import EntryNode
 from ...standins.fleet import FleetSite
 from .. import open_platform
 
@@ -408,7 +408,9 @@
 def test_a_first_start_hears_a_peer_and_a_later_one_reads_the_store_at_once(
     tmp_path, monkeypatch, is_first_start
 ):
-    monkeypatch.setattr("ferrydock.entry._following.HEAR_PEER_S", FORMED_S)  # longer than needed
+    monkeypatch.setattr(
+        "ferrydock.route_daemon._store_follower.HEAR_PEER_S", FORMED_S
+    )  # longer than needed
 
     async def scenario():
         async with Site(tmp_path) as site:
--- a/ferrydock/relay/__init__.py
+++ b/ferrydock/relay/__init__.py
@@ -1,10 +1,10 @@
 """One daemon of a hall reads the store; the others follow it, with the age of what it knows."""
 
-from ._broken import BrokenReplicas
+from ._broken_replicas import BrokenReplicas
 from ._client import RelayClient
+from ._daemon_counter import HallRoster
 from ._messages import NewsAnswer, NewsRequest, decode_answer, decode_request, encode
 from ._peers import PeerCalls
-from ._roster import HallRoster
 from ._server import RelayServer
 
 __all__ = [
--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -7,10 +7,10 @@
 from ..configuration import Configuration, ConfigurationBook, ConfigurationUnreadable
 from ..logs import log_event
 from ..targets import TargetChanges, TargetDirectory
-from ._broken import BrokenReplicas
+from ._broken_replicas import BrokenReplicas
+from ._daemon_counter import HallRoster
 from ._messages import NewsAnswer, NewsRequest, decode_answer, encode
 from ._peers import PeerCalls
-from ._roster import HallRoster
 from ._server import NEWS
 
 __all__ = ["RelayClient"]
--- a/ferrydock/relay/_server.py
+++ b/ferrydock/relay/_server.py
@@ -11,10 +11,10 @@
 from ..clock import Clock
 from ..configuration import ConfigurationBook
 from ..targets import TargetDirectory
-from ._broken import BrokenReplicas
+from ._broken_replicas import BrokenReplicas
+from ._daemon_counter import HallRoster
 from ._messages import NewsAnswer, decode_request, encode
 from ._peers import OPTIONS, SERVICE
-from ._roster import HallRoster
 
 __all__ = ["NEWS", "RelayServer"]
 
--- a/ferrydock/groups/__init__.py
+++ b/ferrydock/replicas/__init__.py
@@ -2,8 +2,8 @@
 
 from ._controller import GroupController
 from ._forming import PlannedReplica, dissolve, form
-from ._loads import LoadBudget
-from ._orders import OrderDesk
+from ._load_budget import LoadBudget
+from ._order_sender import OrderDesk
 from ._plan import (
     Formation,
     choose_members,
--- a/ferrydock/groups/_controller.py
+++ b/ferrydock/replicas/_controller.py
@@ -14,16 +14,16 @@
 from ..targets import OrderDone, StageOrder, Target, TargetDirectory
 from ._forming import PlannedReplica, dissolve, form
 from ._hall_state import HallState
-from ._orders import OrderDesk
+from ._health import ReplicaTender, Tended, Verdict
+from ._observed import SeenReplica, seen_replicas
+from ._order_sender import OrderDesk
 from ._plan import Formation
 from ._planning import HallPlanner
 from ._record import PlacementRecord
-from ._seen import SeenReplica, seen_replicas
-from ._tending import ReplicaTender, Tended, Verdict
 
 __all__ = ["GroupController"]
 
-_LOG = logging.getLogger("ferrydock.groups")
+_LOG = logging.getLogger("ferrydock.replicas")
 STAGE_WITHIN_S = 2.0
 
 
--- a/ferrydock/groups/_forming.py
+++ b/ferrydock/replicas/_forming.py
@@ -18,12 +18,12 @@
     Target,
     TargetDirectory,
 )
-from ._orders import OrderDesk
+from ._order_sender import OrderDesk
 from ._plan import Formation
 
 __all__ = ["FormEnd", "PlannedReplica", "dissolve", "form"]
 
-_LOG = logging.getLogger("ferrydock.groups")
+_LOG = logging.getLogger("ferrydock.replicas")
 ANSWER_WITHIN_S = 3.0
 READY_SLACK_S = 2.0
 READY_FACTOR = 3
--- a/ferrydock/groups/_hall_state.py
+++ b/ferrydock/replicas/_hall_state.py
@@ -8,12 +8,12 @@
 from ..logs import log_event
 from ..targets import Target
 from ._forming import PlannedReplica
-from ._seen import SeenReplica
+from ._observed import SeenReplica
 from ._staging import StagingBook
 
 __all__ = ["HallState"]
 
-_LOG = logging.getLogger("ferrydock.groups")
+_LOG = logging.getLogger("ferrydock.replicas")
 SUSPECT_S = 6.0
 FAILED_PAUSE_S = 3.0
 
--- a/ferrydock/groups/_tending.py
+++ b/ferrydock/replicas/_health.py
@@ -12,12 +12,12 @@
 from ..outcomes import Unavailable
 from ..targets import GroupState, TargetDirectory
 from ._hall_state import HallState
-from ._orders import OrderDesk
-from ._seen import SeenReplica
+from ._observed import SeenReplica
+from ._order_sender import OrderDesk
 
 __all__ = ["ReplicaTender", "Tended", "Verdict"]
 
-_LOG = logging.getLogger("ferrydock.groups")
+_LOG = logging.getLogger("ferrydock.replicas")
 STRAY_S = 3.0
 ASK_AGAIN_S = 1.0
 ANSWER_COUNTS_S = 1.5
--- a/ferrydock/groups/_orders.py
+++ b/ferrydock/replicas/_order_sender.py
@@ -22,7 +22,7 @@
 
 __all__ = ["OrderDesk"]
 
-_LOG = logging.getLogger("ferrydock.groups")
+_LOG = logging.getLogger("ferrydock.replicas")
 PAUSE_S = 0.1
 REPORT_TIMEOUT_S = 0.5
 REPORT_LAG_S = 0.2
--- a/ferrydock/groups/_plan.py
+++ b/ferrydock/replicas/_plan.py
@@ -54,7 +54,7 @@
 
     Examples
     --------
-    >>> from ferrydock.groups.tests.figures import two_models
+    >>> from ferrydock.replicas.tests.specs import two_models
     >>> domain_shares(2, two_models())
     [{'large': 1.0, 'small': 0.0}, {'large': 0.0, 'small': 1.0}]
     >>> domain_shares(1, two_models())
@@ -95,7 +95,7 @@
 
     Examples
     --------
-    >>> from ferrydock.groups.tests.figures import two_models
+    >>> from ferrydock.replicas.tests.specs import two_models
     >>> halves = {"large": 0.5, "small": 0.5}
     >>> sizes = (10, 9, 8, 7, 6, 5, 4, 3, 1)
     >>> [tuple(target_counts(size, two_models(), halves).values()) for size in sizes]
--- a/ferrydock/groups/_planning.py
+++ b/ferrydock/replicas/_planning.py
@@ -6,9 +6,9 @@
 from ..configuration import EngineFigures, ModelFigures
 from ..targets import Target, TargetDirectory
 from ._hall_state import HallState
-from ._loads import LoadBudget
+from ._load_budget import LoadBudget
+from ._observed import SeenReplica
 from ._plan import Formation, domain_shares, next_formation, target_counts
-from ._seen import SeenReplica
 from ._staging import staging
 
 __all__ = ["HallPlanner"]
--- a/ferrydock/groups/_record.py
+++ b/ferrydock/replicas/_record.py
@@ -12,7 +12,7 @@
 
 __all__ = ["PlacementRecord", "placement_key"]
 
-_LOG = logging.getLogger("ferrydock.groups")
+_LOG = logging.getLogger("ferrydock.replicas")
 
 
 def placement_key(hall: str) -> str:
--- a/ferrydock/groups/tests/hall.py
+++ b/ferrydock/replicas/tests/hall.py
@@ -9,7 +9,7 @@
 from ...store import MemoryStore
 from ...targets import TargetDirectory
 from .. import GroupController, OrderDesk
-from .figures import two_models
+from .specs import two_models
 
 ROUND_S = 0.1
 LEASE_S = 2.0
--- a/ferrydock/groups/tests/test_controller.py
+++ b/ferrydock/replicas/tests/test_controller.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ...standins.fleet import run_virtually
-from .._orders import KnownOrders
+from .._order_sender import KnownOrders
 from .hall import Hall
 
 WHOLE = {"large": 2, "small": 4}
--- a/ferrydock/entry/__init__.py
+++ b/ferrydock/route_daemon/__init__.py
@@ -1,7 +1,7 @@
 """The daemon that serves routes: its settings, the deployment around it, its composition."""
 
-from ._node import EntryNode
-from ._registry import Deployment, deployment_kinds, open_deployment, register_deployment
+from ._daemon import EntryNode
+from ._deployment import Deployment, deployment_kinds, open_deployment, register_deployment
 from ._settings import EntrySettings, check_settings
 
 __all__ = [
--- a/ferrydock/route_daemon.py
+++ b/ferrydock/route_daemon/__main__.py
@@ -11,13 +11,13 @@
 import uvloop
 from absl import flags
 
-from . import __version__, logs
-from . import platform as _platform  # noqa: F401  fills the registry of deployments
-from .clock import SystemClock
-from .entry import Deployment, EntryNode, deployment_kinds, open_deployment
-from .environment import apply_environment
-from .logs import log_event
-from .outcomes import Invalid
+from .. import __version__, logs
+from .. import platform as _platform  # noqa: F401  fills the registry of deployments
+from ..clock import SystemClock
+from ..environment import apply_environment
+from ..logs import log_event
+from ..outcomes import Invalid
+from . import Deployment, EntryNode, deployment_kinds, open_deployment
 
 __all__ = ["RouteService", "main"]
 
--- a/ferrydock/entry/_node.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -7,30 +7,30 @@
 
 from ..clock import Clock
 from ..configuration import ConfigurationBook, ServiceFigures
-from ..dispatch import (
-    DispatchClient,
-    Dispatcher,
-    ElsewhereWatch,
-    HallLedger,
-    dispatch_methods,
-)
 from ..forwarding import Forwarder, HallPlacing, LoadBook, RouteGateway, StallWatch, Upstream
-from ..groups import GroupController, OrderDesk
 from ..hall import ControllerLease
 from ..logs import BoundedHandler, log_event
 from ..outcomes import Invalid
 from ..relay import BrokenReplicas, HallRoster, RelayClient, RelayServer
+from ..replicas import GroupController, OrderDesk
 from ..reports import RouteMetrics
 from ..requests import RetryBudget
+from ..scheduling import (
+    DispatchClient,
+    Dispatcher,
+    ElsewhereWatch,
+    HallLedger,
+    dispatch_methods,
+)
 from ..targets import TargetDirectory
-from ._following import StoreFollower
-from ._ready import SideListener
-from ._registry import Deployment
-from ._seats import OtherHallSeat, OwnHallSeat
+from ._deployment import Deployment
+from ._leadership import OtherHallSeat, OwnHallSeat
+from ._status_listener import SideListener
+from ._store_follower import StoreFollower
 
 __all__ = ["EntryNode"]
 
-_LOG = logging.getLogger("ferrydock.entry")
+_LOG = logging.getLogger("ferrydock.route_daemon")
 READY_GONE_S = 3.2
 STOP_MARGIN_S = 0.8
 FRESHNESS_MARGIN_S = 0.4
--- a/ferrydock/entry/_seats.py
+++ b/ferrydock/route_daemon/_leadership.py
@@ -6,16 +6,16 @@
 from collections.abc import Callable
 
 from ..clock import Clock
-from ..groups import GroupController
 from ..hall import ControllerLease, HeldLease, controller_address, controller_key
 from ..logs import log_event
 from ..outcomes import Conflict, Unavailable
 from ..relay import RelayClient
+from ..replicas import GroupController
 from ..store import LeaseGranted, LeaseLost, RangeDone, Store
 
 __all__ = ["ControllerSeat", "OtherHallSeat", "OwnHallSeat"]
 
-_LOG = logging.getLogger("ferrydock.entry")
+_LOG = logging.getLogger("ferrydock.route_daemon")
 LEASE_S = 1.8
 KEEP_EACH_S = 0.5
 ROUND_S = 0.1
--- a/ferrydock/entry/_following.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -15,12 +15,12 @@
 from ..logs import log_event
 from ..outcomes import Unavailable
 from ..targets import TargetDirectory
-from ._registry import Deployment
-from ._seats import OwnHallSeat
+from ._deployment import Deployment
+from ._leadership import OwnHallSeat
 
 __all__ = ["StoreBackoff", "StoreFollower"]
 
-_LOG = logging.getLogger("ferrydock.entry")
+_LOG = logging.getLogger("ferrydock.route_daemon")
 CONFIRM_S = 1.0
 CONFIRM_FOR_OTHERS_S = 0.5
 RELAYED_LOOK_S = 0.1
--- a/ferrydock/dispatch/_client.py
+++ b/ferrydock/scheduling/_client.py
@@ -9,13 +9,13 @@
 from ..clock import Clock
 from ..logs import log_event
 from ..relay import PeerCalls
-from ._dispatcher import Dispatcher
 from ._messages import Placed, PlaceRequest, decode_placed, encode
+from ._scheduler import Dispatcher
 from ._server import PLACE
 
 __all__ = ["DispatchClient"]
 
-_LOG = logging.getLogger("ferrydock.dispatch")
+_LOG = logging.getLogger("ferrydock.scheduling")
 ANSWER_WITHIN_S = 0.06
 PASSED_OVER_S = 0.5
 TELL_AFTER_S = 0.02
--- a/ferrydock/dispatch/_elsewhere.py
+++ b/ferrydock/scheduling/_remote_halls.py
@@ -6,7 +6,7 @@
 
 from ..clock import Clock
 from ..relay import PeerCalls
-from ._ledger import HallLedger
+from ._in_flight import HallLedger
 from ._server import RUNNING
 
 __all__ = ["ElsewhereWatch"]
--- a/ferrydock/dispatch/_dispatcher.py
+++ b/ferrydock/scheduling/_scheduler.py
@@ -10,9 +10,9 @@
 from ..clock import Clock
 from ..configuration import ServiceFigures
 from ..targets import Target, TargetDirectory
-from ._ledger import HallLedger
+from ._endpoints import most_requests, places
+from ._in_flight import HallLedger
 from ._messages import Placed, PlaceRequest
-from ._places import most_requests, places
 
 __all__ = ["Dispatcher"]
 
--- a/ferrydock/dispatch/_server.py
+++ b/ferrydock/scheduling/_server.py
@@ -4,8 +4,8 @@
 
 import orjson
 
-from ._dispatcher import Dispatcher
 from ._messages import decode_request, encode
+from ._scheduler import Dispatcher
 
 __all__ = ["PLACE", "RUNNING", "dispatch_methods"]
 
--- a/ferrydock/dispatch/tests/test_dispatcher.py
+++ b/ferrydock/scheduling/tests/test_scheduler.py
@@ -7,8 +7,8 @@
 
 from ...clock import ManualClock, SystemClock
 from ...configuration import ServiceFigures
-from ...groups.tests.figures import two_models
 from ...relay import RelayServer
+from ...replicas.tests.specs import two_models
 from ...targets import GroupState, Membership, Target, TargetDirectory
 from .. import DispatchClient, Dispatcher, HallLedger, PlaceRequest, dispatch_methods
 
