--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -1,7 +1,7 @@
-"""Placing a hall's requests: one dispatcher, against daemons that know only their own requests.
+"""Placing a hall's requests: one scheduler, against daemons that know only their own requests.
 
 Figures: the part of the requests that meet a replica whose slots are all taken, at 65 % load, with
-answers that reach the dispatcher's daemons a few milliseconds late; and what a placement costs.
+answers that reach the scheduler's daemons a few milliseconds late; and what a placement costs.
 """
 
 import argparse
@@ -13,9 +13,9 @@
 import time
 
 from ferrydock.clock import ManualClock
-from ferrydock.configuration import EngineFigures, ModelFigures, ServiceFigures
-from ferrydock.scheduling import Dispatcher, HallLedger, PlaceRequest
-from ferrydock.targets import GroupState, Membership, Target, TargetDirectory
+from ferrydock.configuration import EngineSpec, ModelSpec, ServiceSpec
+from ferrydock.scheduling import HallScheduler, InFlightCounts, SlotRequest
+from ferrydock.targets import Membership, ReplicaState, Target, TargetDirectory
 
 from ._report import print_check, print_row
 
@@ -24,8 +24,8 @@
 HOLD_S = 0.8
 LOAD = 0.65
 TELL_S = 0.022
-ENGINE = EngineFigures(SLOTS, 5.0, (ModelFigures("m", 2, 1, 12, 1),))
-SERVICE = ServiceFigures("engines", 500, ENGINE)
+ENGINE = EngineSpec(SLOTS, 5.0, (ModelSpec("m", 2, 1, 12, 1),))
+SERVICE = ServiceSpec("engines", 500, ENGINE)
 
 
 def heads(count: int) -> list[Target]:
@@ -38,7 +38,7 @@
             "hall",
             SLOTS,
             models=("m",),
-            membership=Membership(f"g{number}", 1, 0, GroupState.OPEN),
+            membership=Membership(f"g{number}", 1, 0, ReplicaState.OPEN),
         )
         for number in range(count)
     ]
@@ -64,8 +64,8 @@
         self.totals = dict.fromkeys((t.target_id for t in self.targets), 0)
         directory = TargetDirectory()
         directory.replace(self.targets)
-        self.dispatcher = Dispatcher(
-            directory, HallLedger(), "hall", lambda name: SERVICE, (), self.clock, self.rng
+        self.scheduler = HallScheduler(
+            directory, InFlightCounts(), "hall", lambda name: SERVICE, (), self.clock, self.rng
         )
         self.seen = {name: [] for name in self.daemons}
         self.rate_per_s = LOAD * SLOTS * replicas / HOLD_S
@@ -97,8 +97,8 @@
             at_s, _, kind, daemon, target_id = heapq.heappop(self._events)
             self.clock.advance(at_s - self.clock.now_s())
             if kind == "tell":
-                told = PlaceRequest(daemon, dict(self.running[daemon]), tuple(self.seen[daemon]))
-                self.dispatcher.heard(told)
+                told = SlotRequest(daemon, dict(self.running[daemon]), tuple(self.seen[daemon]))
+                self.scheduler.heard(told)
                 continue
             self.totals[target_id] -= 1
             self.running[daemon][target_id] -= 1
@@ -108,10 +108,10 @@
 
     async def _central(self, daemon: str) -> str:
         seen = self.seen[daemon] = self.seen[daemon][-20:]
-        request = PlaceRequest(
+        request = SlotRequest(
             daemon, dict(self.running[daemon]), tuple(seen), "engines", "m", (), (0, 0), 5.0
         )
-        placed = await self.dispatcher.place(request)
+        placed = await self.scheduler.place(request)
         if placed.target_id:
             seen.append(placed.grant)
             return placed.target_id
@@ -138,14 +138,14 @@
     requests = 4000 if quick else 40000
     parts = {}
     for daemons, replicas in ((3, 4), (20, 13), (76, 34)):
-        for name in ("alone", "dispatcher"):
-            part = asyncio.run(Hall(daemons, replicas, 7).play(requests, name == "dispatcher"))
+        for name in ("alone", "scheduler"):
+            part = asyncio.run(Hall(daemons, replicas, 7).play(requests, name == "scheduler"))
             parts[daemons, name] = part
             print_row(NAME, daemons=daemons, replicas=replicas, way=name, met_full=round(part, 4))
         rate = placements_per_s(daemons, replicas, requests // 4)
         print_row(NAME, daemons=daemons, replicas=replicas, placements_per_core_s=round(rate))
     for daemons in (3, 20, 76):
-        print_check(NAME, f"met_full_{daemons}", parts[daemons, "dispatcher"], "<=0.02")
+        print_check(NAME, f"met_full_{daemons}", parts[daemons, "scheduler"], "<=0.02")
     return 0
 
 
--- a/ferrydock/configuration/__init__.py
+++ b/ferrydock/configuration/__init__.py
@@ -1,33 +1,33 @@
-"""Configurations that come whole: routes, services, tenants, limits; what is in force."""
+"""Configurations that come whole: routes, services, teams, limits; what is in force."""
 
-from ._current import ConfigurationBook
+from ._current import CurrentConfiguration
 from ._lookup import ConfigurationLookup
 from ._model import (
-    BackEnd,
     Configuration,
-    EngineFigures,
+    EngineSpec,
     IngressLimits,
-    ModelFigures,
+    ModelSpec,
     Route,
     RouteKind,
-    ServiceFigures,
-    Tenant,
+    ServiceSpec,
+    Team,
+    WeightedService,
 )
 from ._source import ConfigurationSource, ConfigurationUnchanged, ConfigurationUnreadable
 
 __all__ = [
-    "BackEnd",
+    "WeightedService",
     "Configuration",
-    "ConfigurationBook",
+    "CurrentConfiguration",
     "ConfigurationLookup",
     "ConfigurationSource",
     "ConfigurationUnchanged",
     "ConfigurationUnreadable",
-    "EngineFigures",
+    "EngineSpec",
     "IngressLimits",
-    "ModelFigures",
+    "ModelSpec",
     "Route",
     "RouteKind",
-    "ServiceFigures",
-    "Tenant",
+    "ServiceSpec",
+    "Team",
 ]
--- a/ferrydock/configuration/_current.py
+++ b/ferrydock/configuration/_current.py
@@ -6,12 +6,12 @@
 from ._lookup import ConfigurationLookup
 from ._model import Configuration
 
-__all__ = ["ConfigurationBook"]
+__all__ = ["CurrentConfiguration"]
 
 _LOG = logging.getLogger("ferrydock.configuration")
 
 
-class ConfigurationBook:
+class CurrentConfiguration:
     """Holds the newest configuration that this process has seen.
 
     Attributes
@@ -55,7 +55,7 @@
                 version=configuration.version,
                 before=self.version,
                 routes=len(configuration.routes),
-                tenants=len(configuration.tenants),
+                tenants=len(configuration.teams),
             )
             self.lookup = ConfigurationLookup(configuration)
             self.confirmed_s = None
--- a/ferrydock/configuration/_lookup.py
+++ b/ferrydock/configuration/_lookup.py
@@ -1,6 +1,6 @@
 """Finding the route of a request and the holder of a key."""
 
-from ._model import Configuration, Route, Tenant
+from ._model import Configuration, Route, Team
 
 __all__ = ["ConfigurationLookup"]
 
@@ -21,7 +21,7 @@
         self._by_host: dict[str, dict[str, Route]] = {}
         for route in configuration.routes:
             self._by_host.setdefault(route.host, {})[route.path_prefix] = route
-        self._by_key = {key: tenant for tenant in configuration.tenants for key in tenant.keys}
+        self._by_key = {key: team for team in configuration.teams for key in team.keys}
 
     def route(self, host: str, path: str) -> Route | None:
         """Return the route of `host` with the longest prefix of `path`.
@@ -45,10 +45,10 @@
         return None
 
     @property
-    def has_tenants(self) -> bool:
+    def has_teams(self) -> bool:
         """Whether requests need a key at all."""
-        return bool(self.configuration.tenants)
+        return bool(self.configuration.teams)
 
-    def tenant(self, key: str) -> Tenant | None:
+    def team(self, key: str) -> Team | None:
         """Return the holder of `key`."""
         return self._by_key.get(key)
--- a/ferrydock/configuration/_model.py
+++ b/ferrydock/configuration/_model.py
@@ -1,19 +1,19 @@
-"""A whole configuration as the gateway for routes takes it: routes, services, tenants, limits."""
+"""A whole configuration as the gateway for routes takes it: routes, services, teams, limits."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 __all__ = [
-    "BackEnd",
+    "WeightedService",
     "Configuration",
-    "EngineFigures",
+    "EngineSpec",
     "IngressLimits",
-    "ModelFigures",
+    "ModelSpec",
     "Route",
     "RouteKind",
-    "ServiceFigures",
-    "Tenant",
+    "ServiceSpec",
+    "Team",
 ]
 
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BackEnd:
+class WeightedService:
     """One of the services behind a route, with its weight among them."""
 
     service: str
@@ -64,7 +64,7 @@
     host: str
     path_prefix: str
     kind: RouteKind
-    back_ends: tuple[BackEnd, ...]
+    services: tuple[WeightedService, ...]
     time_limit_s: float
     attempts: int
     priority: int
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ModelFigures:
+class ModelSpec:
     """A model of a service: how many workers form a replica, and how long that takes.
 
     Attributes
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineFigures:
+class EngineSpec:
     """What is known of the engines of a service.
 
     Attributes
@@ -105,24 +105,24 @@
 
     slots: int
     loads_per_s: float
-    models: tuple[ModelFigures, ...]
+    models: tuple[ModelSpec, ...]
 
-    def model(self, name: str) -> ModelFigures | None:
+    def model(self, name: str) -> ModelSpec | None:
         """Return the figures of a model, or None if the service has no such model."""
         return next((model for model in self.models if model.name == name), None)
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceFigures:
+class ServiceSpec:
     """A service behind routes; `engine` is None for a plain one."""
 
     name: str
-    most_connections: int
-    engine: EngineFigures | None
+    max_connections: int
+    engine: EngineSpec | None
 
 
 @dataclass(frozen=True, slots=True)
-class Tenant:
+class Team:
     """A holder of keys; `priority` 0 is the most urgent."""
 
     name: str
@@ -152,7 +152,7 @@
 
     version: int
     routes: tuple[Route, ...]
-    services: Mapping[str, ServiceFigures]
-    tenants: tuple[Tenant, ...]
+    services: Mapping[str, ServiceSpec]
+    teams: tuple[Team, ...]
     limits: IngressLimits = field(default_factory=IngressLimits)
     encoded: bytes = field(default=b"", repr=False, compare=False)
--- a/ferrydock/forwarding/__init__.py
+++ b/ferrydock/forwarding/__init__.py
@@ -1,32 +1,32 @@
 """Forwarding of requests along routes, byte for byte, with retries and resumed streams."""
 
-from ._dialect import AnswerSigns, Inbound, Outbound, RequestDialect
-from ._endpoint_selector import Placing
+from ._dialect import AnswerHeaders, Inbound, Outbound, RequestDialect
+from ._endpoint_selector import EndpointSelector
 from ._events import NumberedEvents
 from ._exchange import Attempt, AttemptEnd, Exchange
 from ._forwarder import Forwarder
 from ._gateway import RouteGateway
-from ._hall_endpoint_selector import HallPlacing
+from ._hall_endpoint_selector import HallEndpointSelector
 from ._headers import end_to_end
-from ._stalls import StallWatch
-from ._target_loads import LoadBook, TargetLoad
+from ._stalls import StallDetector
+from ._target_loads import TargetLoad, TargetLoads
 from ._upstream import Upstream
 
 __all__ = [
-    "AnswerSigns",
+    "AnswerHeaders",
     "Attempt",
     "AttemptEnd",
     "Exchange",
     "Forwarder",
-    "HallPlacing",
+    "HallEndpointSelector",
     "Inbound",
-    "LoadBook",
+    "TargetLoads",
     "NumberedEvents",
     "Outbound",
-    "Placing",
+    "EndpointSelector",
     "RequestDialect",
     "RouteGateway",
-    "StallWatch",
+    "StallDetector",
     "TargetLoad",
     "Upstream",
     "end_to_end",
--- a/ferrydock/forwarding/_dialect.py
+++ b/ferrydock/forwarding/_dialect.py
@@ -6,7 +6,7 @@
 
 from multidict import CIMultiDict
 
-__all__ = ["AnswerSigns", "Inbound", "Outbound", "RequestDialect"]
+__all__ = ["AnswerHeaders", "Inbound", "Outbound", "RequestDialect"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,12 +38,12 @@
 
     target_id: str
     left_s: float
-    tenant: str
+    team: str
     last_event_id: int | None
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerSigns:
+class AnswerHeaders:
     """What a target's answer says about the request.
 
     Attributes
@@ -72,5 +72,5 @@
     ) -> CIMultiDict[str]:
         """Return the headers for a target: the caller's, less those of one connection."""
 
-    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerSigns:
+    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
         """Read a target's answer."""
--- a/ferrydock/forwarding/_endpoint_selector.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -7,24 +7,24 @@
 from collections.abc import Callable
 
 from ..clock import Clock
-from ..scheduling import Place, most_requests, places
+from ..scheduling import Endpoint, endpoints, max_requests
 from ..targets import TargetDirectory
 from ._exchange import Exchange
-from ._target_loads import LoadBook
+from ._target_loads import TargetLoads
 
-__all__ = ["Placing"]
+__all__ = ["EndpointSelector"]
 
 OTHER_HALL_PENALTY = 0.25
 
 
-class Placing:
+class EndpointSelector:
     """Chooses targets and queues requests.
 
     Parameters
     ----------
     directory : TargetDirectory
         Targets and replicas.
-    loads : LoadBook
+    loads : TargetLoads
         Their loads; a chosen place is counted there at once.
     hall : str
         Where this daemon stands; its targets are preferred.
@@ -52,7 +52,7 @@
     def __init__(
         self,
         directory: TargetDirectory,
-        loads: LoadBook,
+        loads: TargetLoads,
         hall: str,
         clock: Clock,
         rng: random.Random,
@@ -73,9 +73,9 @@
         """How many requests wait."""
         return len(self._waiting)
 
-    async def place(self, exchange: Exchange, patience_s: float) -> Place | None:
+    async def place(self, exchange: Exchange, patience_s: float) -> Endpoint | None:
         """Return a place, counted as taken, or None if none came free in time."""
-        place = None if self._has_rival(exchange) else self._take(exchange)
+        place = None if self._has_higher_priority_waiter(exchange) else self._take(exchange)
         if place is not None or patience_s <= 0:
             return place
         future = asyncio.get_running_loop().create_future()
@@ -95,7 +95,7 @@
                 self._waiting.remove(entry)
                 heapq.heapify(self._waiting)
 
-    def _has_rival(self, exchange: Exchange) -> bool:
+    def _has_higher_priority_waiter(self, exchange: Exchange) -> bool:
         """Whether somebody who waits for the same goes first."""
         return any(
             other.service.name == exchange.service.name
@@ -104,12 +104,12 @@
             for rank, _, other, _ in self._waiting
         )
 
-    def release(self, place: Place) -> None:
+    def release(self, place: Endpoint) -> None:
         """Give back a place, and let in whoever waits for it."""
         self.loads.ended(place.target.target_id)
-        self.wake()
+        self.assign_free_slots()
 
-    def wake(self) -> None:
+    def assign_free_slots(self) -> None:
         """Let in those who wait and now have room, first the most urgent."""
         if not self._waiting:
             return
@@ -130,29 +130,29 @@
                 future.set_result(place)
         self._waiting = left
 
-    def _take(self, exchange: Exchange) -> Place | None:
+    def _take(self, exchange: Exchange) -> Endpoint | None:
         place = self.choose(exchange)
         if place is not None:
             self.loads.began(place.target.target_id, self.clock.now_s())
         return place
 
-    def open_places(self, exchange: Exchange) -> int:
+    def endpoint_count(self, exchange: Exchange) -> int:
         """Return at how many places a request could be served, full ones included."""
-        return len(self._places(exchange))
+        return len(self._endpoints(exchange))
 
-    def may_place_again(self, exchange: Exchange) -> bool:
+    def may_go_elsewhere(self, exchange: Exchange) -> bool:
         """Return whether a request that was tried can have another target, now or soon.
 
         Replicas are formed all the time; a plain target that is not there does not come in time.
         """
         if exchange.service.engine is not None:
             return True
-        return any(p.target.target_id not in exchange.tried for p in self._places(exchange))
+        return any(p.target.target_id not in exchange.tried for p in self._endpoints(exchange))
 
-    def choose(self, exchange: Exchange) -> Place | None:
+    def choose(self, exchange: Exchange) -> Endpoint | None:
         """Return the best place with room, or None."""
         now_s = self.clock.now_s()
-        found = self._places(exchange)
+        found = self._endpoints(exchange)
         fresh = [p for p in found if p.target.target_id not in exchange.tried]
         sound = [p for p in fresh if not self.loads.is_ejected(p.target.target_id, now_s)]
         for candidates in (sound, [] if sound else fresh):
@@ -161,14 +161,14 @@
                 return best
         return None
 
-    def _places(self, exchange: Exchange) -> list[Place]:
-        return places(exchange.service, exchange.inbound.model, self.directory, self.broken)
+    def _endpoints(self, exchange: Exchange) -> list[Endpoint]:
+        return endpoints(exchange.service, exchange.inbound.model, self.directory, self.broken)
 
-    def _least_loaded(self, exchange: Exchange, found: list[Place]) -> Place | None:
-        connections = max(1, exchange.service.most_connections // self.daemons())
+    def _least_loaded(self, exchange: Exchange, found: list[Endpoint]) -> Endpoint | None:
+        connections = max(1, exchange.service.max_connections // self.daemons())
         best, best_score = None, float("inf")
         for place in found:
-            slots = most_requests(exchange.service, place.target)
+            slots = max_requests(exchange.service, place.target)
             load = self.loads.of(place.target.target_id)
             if load.running >= slots or load.running >= connections:
                 continue
--- a/ferrydock/forwarding/_exchange.py
+++ b/ferrydock/forwarding/_exchange.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from ..configuration import Route, ServiceFigures
+from ..configuration import Route, ServiceSpec
 from ..targets import ReplicaView
 from ._dialect import Inbound
 from ._events import NumberedEvents
@@ -79,9 +79,9 @@
     request: web.BaseRequest
     inbound: Inbound
     route: Route
-    service: ServiceFigures
-    tenant: str
-    tenant_priority: int
+    service: ServiceSpec
+    team: str
+    team_priority: int
     started_s: float
     until_s: float
     body: bytes | None
@@ -98,4 +98,4 @@
     @property
     def rank(self) -> tuple:
         """Order among waiting requests; the smallest goes first."""
-        return (self.tenant_priority, self.route.priority, self.until_s)
+        return (self.team_priority, self.route.priority, self.until_s)
--- a/ferrydock/forwarding/_forwarder.py
+++ b/ferrydock/forwarding/_forwarder.py
@@ -11,13 +11,13 @@
 from ..logs import log_event
 from ..reports import RouteMetrics
 from ..requests import RetryBudget
-from ..scheduling import Place
-from ._dialect import AnswerSigns, Outbound, RequestDialect
-from ._endpoint_selector import Placing
+from ..scheduling import Endpoint
+from ._dialect import AnswerHeaders, Outbound, RequestDialect
+from ._endpoint_selector import EndpointSelector
 from ._exchange import Attempt, AttemptEnd, Exchange
 from ._headers import end_to_end
 from ._refusal import refusal
-from ._target_loads import LoadBook
+from ._target_loads import TargetLoads
 from ._upstream import Upstream
 
 __all__ = ["Forwarder"]
@@ -42,11 +42,11 @@
 
     Parameters
     ----------
-    placing : Placing
+    selector : EndpointSelector
         Chooses targets.
     upstream : Upstream
         Connections to them.
-    loads : LoadBook
+    loads : TargetLoads
         What is known of their load and conduct.
     dialect : RequestDialect
         Names and formats of headers.
@@ -63,22 +63,22 @@
         "dialect",
         "loads",
         "metrics",
-        "placing",
+        "selector",
         "upstream",
     )
 
     def __init__(
         self,
-        placing: Placing,
+        selector: EndpointSelector,
         upstream: Upstream,
-        loads: LoadBook,
+        loads: TargetLoads,
         dialect: RequestDialect,
         budgets,
         clock: Clock,
         metrics: RouteMetrics | None = None,
     ):
         self.metrics = metrics or RouteMetrics()
-        self.placing = placing
+        self.selector = selector
         self.upstream = upstream
         self.loads = loads
         self.dialect = dialect
@@ -93,7 +93,7 @@
         unsure = False
         while True:
             asked_s = self.clock.now_s()
-            place = await self.placing.place(exchange, self._patience_s(exchange))
+            place = await self.selector.place(exchange, self._patience_s(exchange))
             exchange.queued_s += self.clock.now_s() - asked_s
             if place is None:
                 return self._give_up(exchange, "no_room", unsure)
@@ -118,7 +118,7 @@
             return False
         if exchange.attempts >= max(exchange.route.attempts, 1):
             return False
-        if not self.placing.may_place_again(exchange):
+        if not self.selector.may_go_elsewhere(exchange):
             return False
         return self._left_s(exchange) > SHORTEST_ATTEMPT_S
 
@@ -139,7 +139,7 @@
 
     # One attempt --------------------------------------------------------------------------
 
-    async def _attempt(self, exchange: Exchange, place: Place) -> AttemptEnd:
+    async def _attempt(self, exchange: Exchange, place: Endpoint) -> AttemptEnd:
         """Send the request to one target and relay what it answers."""
         target = place.target
         exchange.attempts += 1
@@ -157,11 +157,11 @@
             end = AttemptEnd(False, True, reason)
         finally:
             running.discard(attempt)
-            self.placing.release(place)
+            self.selector.release(place)
         self._judge(place, end)
         return end
 
-    def _judge(self, place: Place, end: AttemptEnd) -> None:
+    def _judge(self, place: Endpoint, end: AttemptEnd) -> None:
         """Let the end of an attempt tell on its target."""
         self.metrics.attempts.labels("whole" if end.whole else end.reason).inc()
         target_id = place.target.target_id
@@ -172,12 +172,12 @@
         elif end.reason in ("refused", "error"):
             self.loads.failed(target_id, self.clock.now_s())
 
-    async def _send(self, exchange: Exchange, place: Place) -> AttemptEnd:
+    async def _send(self, exchange: Exchange, place: Endpoint) -> AttemptEnd:
         request = exchange.request
         outbound = Outbound(
             target_id=place.target.target_id,
             left_s=self._left_s(exchange),
-            tenant=exchange.tenant,
+            team=exchange.team,
             last_event_id=exchange.events.last_id if exchange.events else None,
         )
         headers = self.dialect.outgoing(request.headers.items(), exchange.inbound, outbound)
@@ -204,7 +204,7 @@
                 answer.release()
 
     async def _take_answer(
-        self, exchange: Exchange, place: Place, answer: aiohttp.ClientResponse
+        self, exchange: Exchange, place: Endpoint, answer: aiohttp.ClientResponse
     ) -> AttemptEnd:
         signs = self.dialect.answer(answer.status, answer.headers)
         if signs.request_id and signs.request_id != exchange.inbound.request_id:
@@ -222,7 +222,7 @@
         return await self._relay_plain(exchange, answer)
 
     def _is_bad(
-        self, exchange: Exchange, answer: aiohttp.ClientResponse, signs: AnswerSigns
+        self, exchange: Exchange, answer: aiohttp.ClientResponse, signs: AnswerHeaders
     ) -> bool:
         """Whether an answer is worth another try elsewhere rather than passing it on."""
         if answer.status < 300 and (not signs.signed or "Content-Encoding" in answer.headers):
@@ -230,7 +230,7 @@
         if answer.status < SERVER_ERROR or not exchange.route.kind.is_repeatable:
             return False
         more = exchange.attempts < exchange.route.attempts
-        more = more and self.placing.may_place_again(exchange)
+        more = more and self.selector.may_go_elsewhere(exchange)
         return more and self._left_s(exchange) > exchange.route.first_answer_s / 2
 
     async def _relay_plain(self, exchange: Exchange, answer: aiohttp.ClientResponse) -> AttemptEnd:
@@ -265,7 +265,7 @@
         return AttemptEnd(True, True, "answered", status=answer.status)
 
     async def _relay_stream(
-        self, exchange: Exchange, place: Place, answer: aiohttp.ClientResponse
+        self, exchange: Exchange, place: Endpoint, answer: aiohttp.ClientResponse
     ) -> AttemptEnd:
         """Pass on whole events as they come."""
         events = exchange.events
@@ -330,8 +330,8 @@
             outcome=outcome,
             may_have_run=unsure,
             queued_ms=exchange.queued_s * 1000,
-            open_replicas=self.placing.open_places(exchange),
-            waiting=self.placing.waiting,
+            open_replicas=self.selector.endpoint_count(exchange),
+            waiting=self.selector.waiting,
             attempts=exchange.attempts,
             held_ms=(self.clock.now_s() - exchange.started_s) * 1000,
         )
@@ -342,7 +342,7 @@
         over = self._left_s(exchange) <= SHORTEST_ATTEMPT_S
         if unsure:
             return refusal(504 if over else 502, reason, None)
-        return refusal(503, reason, self.placing.rng.uniform(*RETRY_AFTER_S))
+        return refusal(503, reason, self.selector.rng.uniform(*RETRY_AFTER_S))
 
     def _count(self, exchange: Exchange, outcome: str) -> None:
         kind = exchange.route.kind
@@ -351,7 +351,7 @@
         if kind.is_stream and exchange.first_s is not None:
             self.metrics.longest_gap.observe(exchange.longest_gap_s)
 
-    def _log_attempt(self, exchange: Exchange, end: AttemptEnd, place: Place) -> None:
+    def _log_attempt(self, exchange: Exchange, end: AttemptEnd, place: Endpoint) -> None:
         log_event(
             _LOG,
             logging.INFO,
@@ -367,7 +367,7 @@
             after_event=exchange.events.last_id if exchange.events else None,
         )
 
-    def _log_end(self, exchange: Exchange, end: AttemptEnd, place: Place) -> None:
+    def _log_end(self, exchange: Exchange, end: AttemptEnd, place: Endpoint) -> None:
         self._count(exchange, "done" if end.status < SERVER_ERROR else "target_error")
         log_event(
             _LOG,
--- a/ferrydock/forwarding/_gateway.py
+++ b/ferrydock/forwarding/_gateway.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from ..clock import Clock
-from ..configuration import BackEnd, ConfigurationBook, ConfigurationLookup, Route
+from ..configuration import ConfigurationLookup, CurrentConfiguration, Route, WeightedService
 from ..logs import log_event
 from ._dialect import Inbound, RequestDialect
 from ._events import NumberedEvents
@@ -35,7 +35,7 @@
 
     Parameters
     ----------
-    book : ConfigurationBook
+    current : CurrentConfiguration
         Routes, keys and limits.
     forwarder : Forwarder
         Serves what passes the checks.
@@ -49,7 +49,7 @@
         "_server",
         "_sockets",
         "address",
-        "book",
+        "current",
         "clock",
         "dialect",
         "forwarder",
@@ -61,14 +61,14 @@
 
     def __init__(
         self,
-        book: ConfigurationBook,
+        current: CurrentConfiguration,
         forwarder: Forwarder,
         dialect: RequestDialect,
         freshness_s: Callable[[], float],
         clock: Clock,
         rng: random.Random,
     ):
-        self.book = book
+        self.current = current
         self.forwarder = forwarder
         self.dialect = dialect
         self.freshness_s = freshness_s
@@ -114,8 +114,8 @@
 
     def enforce_timeouts(self) -> None:
         """End callers' connections that take or rest longer than the configuration allows."""
-        if self.book.lookup is not None:
-            limits = self.book.lookup.configuration.limits
+        if self.current.lookup is not None:
+            limits = self.current.lookup.configuration.limits
             self._server.enforce(limits.header_timeout_s, limits.idle_timeout_s)
 
     async def close(self) -> None:
@@ -143,7 +143,7 @@
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         now_s = self.clock.now_s()
-        lookup = self.book.lookup
+        lookup = self.current.lookup
         if lookup is None:
             return refusal(503, "no_configuration", UNCONFIRMED_RETRY_S)
         if _head_bytes(request) > lookup.configuration.limits.header_bytes:
@@ -154,19 +154,17 @@
         route = lookup.route(request.headers.get("Host", ""), request.raw_path)
         if route is None:
             return refusal(404, "no_route", None)
-        tenant_name, tenant_priority = "", 0
-        if lookup.has_tenants and not route.public:
-            if self.book.age_s(now_s) > self.freshness_s():
+        team_name, team_priority = "", 0
+        if lookup.has_teams and not route.public:
+            if self.current.age_s(now_s) > self.freshness_s():
                 self._log_refused(inbound, route, "configuration_unconfirmed")
                 return refusal(503, "configuration_unconfirmed", UNCONFIRMED_RETRY_S)
-            tenant = lookup.tenant(inbound.key)
-            if tenant is None:
+            team = lookup.team(inbound.key)
+            if team is None:
                 self._log_refused(inbound, route, "unknown_key")
                 return refusal(401, "unknown_key", None)
-            tenant_name, tenant_priority = tenant.name, tenant.priority
-        return await self._forward(
-            request, inbound, lookup, route, tenant_name, tenant_priority, now_s
-        )
+            team_name, team_priority = team.name, team.priority
+        return await self._forward(request, inbound, lookup, route, team_name, team_priority, now_s)
 
     async def _forward(
         self,
@@ -174,15 +172,15 @@
         inbound: Inbound,
         lookup: ConfigurationLookup,
         route: Route,
-        tenant: str,
-        tenant_priority: int,
+        team: str,
+        team_priority: int,
         now_s: float,
     ) -> web.StreamResponse:
         limits = lookup.configuration.limits
         length = request.content_length
         if length is not None and length > limits.body_bytes:
             return refusal(413, "body_too_large", None, close=True)
-        service = lookup.configuration.services.get(self._pick(route.back_ends))
+        service = lookup.configuration.services.get(self._pick(route.services))
         if service is None:
             return refusal(503, "no_service", UNCONFIRMED_RETRY_S)
         left_s = min(route.time_limit_s, inbound.left_s or DEFAULT_DEADLINE_S)
@@ -195,8 +193,8 @@
             inbound=inbound,
             route=route,
             service=service,
-            tenant=tenant,
-            tenant_priority=tenant_priority,
+            team=team,
+            team_priority=team_priority,
             started_s=now_s,
             until_s=now_s + left_s,
             body=body,
@@ -205,11 +203,11 @@
         )
         return await self.forwarder.forward(exchange)
 
-    def _pick(self, back_ends: tuple[BackEnd, ...]) -> str:
-        if len(back_ends) == 1:
-            return back_ends[0].service
-        weights = [back_end.weight for back_end in back_ends]
-        return self.rng.choices([b.service for b in back_ends], weights)[0]
+    def _pick(self, services: tuple[WeightedService, ...]) -> str:
+        if len(services) == 1:
+            return services[0].service
+        weights = [back_end.weight for back_end in services]
+        return self.rng.choices([b.service for b in services], weights)[0]
 
     def _log_refused(self, inbound: Inbound, route: Route, reason: str) -> None:
         log_event(
@@ -219,8 +217,8 @@
             request=inbound.request_id,
             route=route.name,
             why=reason,
-            version=self.book.version,
-            confirmed_age_ms=self.book.age_s(self.clock.now_s()) * 1000,
+            version=self.current.version,
+            confirmed_age_ms=self.current.age_s(self.clock.now_s()) * 1000,
         )
 
 
--- a/ferrydock/forwarding/_hall_endpoint_selector.py
+++ b/ferrydock/forwarding/_hall_endpoint_selector.py
@@ -1,28 +1,28 @@
-"""Choice of a target by the hall's dispatcher, and by this daemon alone where that is away."""
+"""Choice of a target by the hall's scheduler, and by this daemon alone where that is away."""
 
-from ..scheduling import DispatchClient, Place, PlaceRequest
-from ._endpoint_selector import Placing
+from ..scheduling import Endpoint, SchedulerClient, SlotRequest
+from ._endpoint_selector import EndpointSelector
 from ._exchange import Exchange
 
-__all__ = ["HallPlacing"]
+__all__ = ["HallEndpointSelector"]
 
 
-class HallPlacing(Placing):
-    """Asks the dispatcher for each place.
+class HallEndpointSelector(EndpointSelector):
+    """Asks the scheduler for each place.
 
     Attributes
     ----------
-    dispatch : DispatchClient or None
-        Reaches the dispatcher; None to decide alone.
+    dispatch : SchedulerClient or None
+        Reaches the scheduler; None to decide alone.
     """
 
     __slots__ = ("dispatch",)
 
-    def __init__(self, *arguments, dispatch: DispatchClient | None = None):
+    def __init__(self, *arguments, dispatch: SchedulerClient | None = None):
         super().__init__(*arguments)
         self.dispatch = dispatch
 
-    async def place(self, exchange: Exchange, patience_s: float) -> Place | None:
+    async def place(self, exchange: Exchange, patience_s: float) -> Endpoint | None:
         if self.dispatch is None:
             return await super().place(exchange, patience_s)
         until_s = self.clock.now_s() + patience_s
@@ -36,24 +36,24 @@
             if placed.target_id:
                 place = self._known(exchange, placed.target_id)
                 if place is None:
-                    break  # the dispatcher's list is newer or older than the one here
+                    break  # the scheduler's list is newer or older than the one here
                 self.loads.began(place.target.target_id, self.clock.now_s())
                 return place
             if may_wait:
                 return None
         return await super().place(exchange, until_s - self.clock.now_s())
 
-    def release(self, place: Place) -> None:
+    def release(self, place: Endpoint) -> None:
         super().release(place)
         if self.dispatch is not None:
             self.dispatch.note_end()
 
-    def _known(self, exchange: Exchange, target_id: str) -> Place | None:
-        return next((p for p in self._places(exchange) if p.target.target_id == target_id), None)
+    def _known(self, exchange: Exchange, target_id: str) -> Endpoint | None:
+        return next((p for p in self._endpoints(exchange) if p.target.target_id == target_id), None)
 
-    def _request(self, exchange: Exchange, hold_s: float) -> PlaceRequest:
+    def _request(self, exchange: Exchange, hold_s: float) -> SlotRequest:
         now_s = self.clock.now_s()
-        return PlaceRequest(
+        return SlotRequest(
             sender="",
             service=exchange.service.name,
             model=exchange.inbound.model if exchange.service.engine else "",
--- a/ferrydock/forwarding/_stalls.py
+++ b/ferrydock/forwarding/_stalls.py
@@ -8,11 +8,11 @@
 from ..logs import log_event
 from ..outcomes import Unavailable
 from ..targets import ReplicaView, TargetControl
-from ._endpoint_selector import Placing
+from ._endpoint_selector import EndpointSelector
 from ._forwarder import Forwarder
-from ._target_loads import LoadBook
+from ._target_loads import TargetLoads
 
-__all__ = ["StallWatch"]
+__all__ = ["StallDetector"]
 
 _LOG = logging.getLogger("ferrydock.forwarding")
 QUIET_S = 0.2
@@ -22,7 +22,7 @@
 REPORT_TIMEOUT_S = 0.12
 
 
-class StallWatch:
+class StallDetector:
     """Asks the members of a replica from which nothing has come for a while.
 
     Parameters
@@ -48,14 +48,14 @@
         "loads",
         "on_broken",
         "on_dead",
-        "placing",
+        "selector",
     )
 
     def __init__(
         self,
         forwarder: Forwarder,
-        placing: Placing,
-        loads: LoadBook,
+        selector: EndpointSelector,
+        loads: TargetLoads,
         control: TargetControl,
         clock: Clock,
         on_dead: Callable[[list[str], str], None],
@@ -63,7 +63,7 @@
     ):
         self.on_broken = on_broken
         self.forwarder = forwarder
-        self.placing = placing
+        self.selector = selector
         self.loads = loads
         self.control = control
         self.clock = clock
@@ -122,7 +122,7 @@
         """Ask the members of a replica that another daemon holds for broken."""
         now_s = self.clock.now_s()
         asked_s = self._asked_s.get(replica.key, -AGAIN_S)
-        if replica.key in self.placing.broken or now_s - asked_s < AGAIN_S:
+        if replica.key in self.selector.broken or now_s - asked_s < AGAIN_S:
             return
         self._asked_s[replica.key] = now_s
         self._spawn(self._ask(replica, is_told=True))
@@ -134,8 +134,8 @@
 
     def break_replica(self, key: tuple[str, int], reason: str) -> None:
         """Send nothing more to a replica, and move its streams elsewhere."""
-        if key not in self.placing.broken:
-            self.placing.broken.add(key)
+        if key not in self.selector.broken:
+            self.selector.broken.add(key)
             self.interrupt(key, reason)
             self.on_broken(key)
 
--- a/ferrydock/forwarding/_target_loads.py
+++ b/ferrydock/forwarding/_target_loads.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["LoadBook", "TargetLoad"]
+__all__ = ["TargetLoads", "TargetLoad"]
 
 FAILURES_TO_EJECT = 3
 EJECTED_S = 2.0
@@ -31,7 +31,7 @@
     ejected_until_s: float = 0.0
 
 
-class LoadBook:
+class TargetLoads:
     """The loads of all targets that were used."""
 
     __slots__ = ("_loads",)
--- a/ferrydock/forwarding/tests/rig.py
+++ b/ferrydock/forwarding/tests/rig.py
@@ -7,18 +7,18 @@
 
 from ...clock import SystemClock
 from ...configuration import (
-    BackEnd,
     Configuration,
-    ConfigurationBook,
+    CurrentConfiguration,
     Route,
     RouteKind,
-    ServiceFigures,
-    Tenant,
+    ServiceSpec,
+    Team,
+    WeightedService,
 )
 from ...platform import PlatformDialect
 from ...requests import RetryBudget
 from ...targets import Target, TargetDirectory
-from .. import Forwarder, LoadBook, Placing, RouteGateway, Upstream
+from .. import EndpointSelector, Forwarder, RouteGateway, TargetLoads, Upstream
 
 _AT_ONCE = struct.pack("ii", 1, 0)
 HEAD = b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\n"
@@ -31,7 +31,7 @@
         "host": "h.example",
         "path_prefix": prefix,
         "kind": kind,
-        "back_ends": (BackEnd("plain", 1.0),),
+        "services": (WeightedService("plain", 1.0),),
         "time_limit_s": 2.0,
         "attempts": 2,
         "priority": 1,
@@ -130,21 +130,21 @@
     def __init__(self, routes, targets, tenants=(), confirmed=True, daemons=1):
         self.targets = targets
         self.clock = SystemClock()
-        self.book = ConfigurationBook()
+        self.current = CurrentConfiguration()
         self.configuration = Configuration(
-            1, tuple(routes), {"plain": ServiceFigures("plain", 10, None)}, tuple(tenants)
+            1, tuple(routes), {"plain": ServiceSpec("plain", 10, None)}, tuple(tenants)
         )
         self.confirmed = confirmed
         self.directory = TargetDirectory()
-        self.loads = LoadBook()
+        self.loads = TargetLoads()
         self.budget = RetryBudget(1.0)
         rng = random.Random(1)
-        self.placing = Placing(
+        self.selector = EndpointSelector(
             self.directory, self.loads, "hall-a", self.clock, rng, lambda: daemons
         )
         self.upstream = Upstream()
         self.forwarder = Forwarder(
-            self.placing,
+            self.selector,
             self.upstream,
             self.loads,
             PlatformDialect(),
@@ -152,11 +152,11 @@
             self.clock,
         )
         self.gateway = RouteGateway(
-            self.book, self.forwarder, PlatformDialect(), lambda: 5.0, self.clock, rng
+            self.current, self.forwarder, PlatformDialect(), lambda: 5.0, self.clock, rng
         )
 
     async def __aenter__(self):
-        self.book.offer(self.configuration, self.clock.now_s() if self.confirmed else None)
+        self.current.offer(self.configuration, self.clock.now_s() if self.confirmed else None)
         for number, target in enumerate(self.targets):
             await target.start()
             entry = Target(f"t{number}", "plain", target.address, "hall-a", 6)
@@ -194,4 +194,4 @@
     return asyncio.run(scenario())
 
 
-TENANTS = (Tenant("acme", frozenset({"k1"}), 5),)
+TENANTS = (Team("acme", frozenset({"k1"}), 5),)
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -87,12 +87,12 @@
         async with Rig(private, [target], TENANTS, confirmed=False) as rig:
             assert (await rig.ask(headers=key)).startswith(b"HTTP/1.1 503")
             assert (await rig.ask(path="/open/x")).startswith(b"HTTP/1.1 200")
-            rig.book.confirm(1, rig.clock.now_s())
+            rig.current.confirm(1, rig.clock.now_s())
             assert (await rig.ask(headers=key)).startswith(b"HTTP/1.1 200")
             assert (await rig.ask(headers=("Authorization: Bearer no",))).startswith(
                 b"HTTP/1.1 401"
             )
-            rig.book.offer(Configuration(2, tuple(private), {}, TENANTS), None)
+            rig.current.offer(Configuration(2, tuple(private), {}, TENANTS), None)
             assert (await rig.ask(headers=key)).startswith(b"HTTP/1.1 503")
 
     play(scenario)
@@ -102,7 +102,7 @@
     async def scenario():
         async with Rig([route()], []) as rig:
             assert (await rig.ask(path="/none/x")).startswith(b"HTTP/1.1 404")
-            rig.book.lookup = None
+            rig.current.lookup = None
             assert (await rig.ask()).startswith(b"HTTP/1.1 503")
 
     play(scenario)
@@ -517,7 +517,7 @@
         async with Rig([patient], [target], daemons=4) as rig:  # the service takes 10
             asked = [asyncio.ensure_future(rig.ask(timeout_s=PATIENT_S)) for _ in range(5)]
             async with asyncio.timeout(PATIENT_S):
-                while rig.placing.waiting < 3 or target.connections < 2:
+                while rig.selector.waiting < 3 or target.connections < 2:
                     await asyncio.sleep(0.01)
             assert rig.loads.of("t0").running == target.connections == 2
             release.set()
--- a/ferrydock/gateway/_route_dialect.py
+++ b/ferrydock/gateway/_route_dialect.py
@@ -5,7 +5,7 @@
 
 from multidict import CIMultiDict
 
-from ..forwarding import AnswerSigns, Inbound, Outbound, end_to_end
+from ..forwarding import AnswerHeaders, Inbound, Outbound, end_to_end
 from ..table import digest_key
 
 __all__ = ["OwnDialect"]
@@ -48,14 +48,14 @@
         kept = CIMultiDict(pair for pair in end_to_end(headers) if pair[0].lower() not in _SET_HERE)
         kept["X-Request-Id"] = inbound.request_id
         kept["X-Request-Timeout-Ms"] = str(max(1, int(outbound.left_s * 1000)))
-        if outbound.tenant:
-            kept["X-Team"] = outbound.tenant
+        if outbound.team:
+            kept["X-Team"] = outbound.team
         if outbound.last_event_id is not None:
             kept["Last-Event-Id"] = str(outbound.last_event_id)
         return kept
 
-    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerSigns:
-        return AnswerSigns(
+    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+        return AnswerHeaders(
             not_executed="X-Not-Run" in headers or status == MISDIRECTED,
             request_id=headers.get("X-Request-Id", ""),
             signed=True,
--- a/ferrydock/gateway/_routes.py
+++ b/ferrydock/gateway/_routes.py
@@ -4,15 +4,15 @@
 
 from ..clock import Clock
 from ..configuration import (
-    BackEnd,
     Configuration,
-    ConfigurationBook,
+    CurrentConfiguration,
     Route,
     RouteKind,
-    ServiceFigures,
-    Tenant,
+    ServiceSpec,
+    Team,
+    WeightedService,
 )
-from ..forwarding import Forwarder, LoadBook, Placing, RouteGateway, Upstream
+from ..forwarding import EndpointSelector, Forwarder, RouteGateway, TargetLoads, Upstream
 from ..requests import RetryBudget
 from ..table import TableView
 from ..targets import Target, TargetDirectory
@@ -34,7 +34,7 @@
             host=row.host,
             path_prefix=row.path_prefix,
             kind=RouteKind(row.kind),
-            back_ends=tuple(BackEnd(service, weight) for service, weight in row.back_ends),
+            services=tuple(WeightedService(service, weight) for service, weight in row.back_ends),
             time_limit_s=row.time_limit_ms / 1000,
             attempts=row.attempts,
             priority=HIGHEST_PRIORITY - row.priority,
@@ -44,16 +44,16 @@
         for row in view.routes.values()
     )
     services = {
-        target.name: ServiceFigures(target.name, SLOTS_OF_A_SERVICE, None)
+        target.name: ServiceSpec(target.name, SLOTS_OF_A_SERVICE, None)
         for target in view.targets.values()
         if target.kind == "plain_service"
     }
-    tenants = tuple(
-        Tenant(team.name, frozenset(team.key_digests), USUAL_PRIORITY)
+    teams = tuple(
+        Team(team.name, frozenset(team.key_digests), USUAL_PRIORITY)
         for team in view.teams.values()
         if team.enabled
     )
-    return Configuration(view.revision, routes, services, tenants)
+    return Configuration(view.revision, routes, services, teams)
 
 
 def targets_of(view: TableView) -> list[Target]:
@@ -82,20 +82,20 @@
         Whose targets are preferred.
     """
 
-    __slots__ = ("_budgets", "book", "directory", "gateway", "ratio", "upstream")
+    __slots__ = ("_budgets", "current", "directory", "gateway", "ratio", "upstream")
 
     def __init__(self, hall: str, clock: Clock, rng: random.Random):
-        self.book = ConfigurationBook()
+        self.current = CurrentConfiguration()
         self.directory = TargetDirectory()
         self.upstream = Upstream()
         self.ratio = 0.1
         self._budgets: dict[str, RetryBudget] = {}
-        loads = LoadBook()
-        placing = Placing(self.directory, loads, hall, clock, rng)
+        loads = TargetLoads()
+        selector = EndpointSelector(self.directory, loads, hall, clock, rng)
         dialect = OwnDialect()
-        forwarder = Forwarder(placing, self.upstream, loads, dialect, self._budget, clock)
+        forwarder = Forwarder(selector, self.upstream, loads, dialect, self._budget, clock)
         self.gateway = RouteGateway(
-            self.book, forwarder, dialect, lambda: ALWAYS_FRESH_S, clock, rng
+            self.current, forwarder, dialect, lambda: ALWAYS_FRESH_S, clock, rng
         )
 
     def _budget(self, service: str) -> RetryBudget:
@@ -107,7 +107,7 @@
         """Put a revision of the table in force."""
         self.ratio = view.site.retry_budget_ratio
         self.directory.replace(targets_of(view))
-        self.book.offer(configuration_of(view), now_s)
+        self.current.offer(configuration_of(view), now_s)
 
     async def start(self, listen: str) -> str:
         """Begin to listen; return the address."""
--- a/ferrydock/platform/_boot.py
+++ b/ferrydock/platform/_boot.py
@@ -3,7 +3,7 @@
 import orjson
 
 from ..outcomes import Fault, Invalid
-from ..route_daemon import Deployment, EntrySettings, check_settings, register_deployment
+from ..route_daemon import Deployment, RouteDaemonSettings, check_settings, register_deployment
 from ._configuration import PlatformConfigurationSource
 from ._control import PlatformTargetControl
 from ._dialect import PlatformDialect
@@ -36,7 +36,7 @@
 }
 
 
-def read_boot_file(path: str) -> EntrySettings | Invalid:
+def read_boot_file(path: str) -> RouteDaemonSettings | Invalid:
     """Return the settings in a file, or what is wrong with it."""
     try:
         with open(path, "rb") as file:
--- a/ferrydock/platform/_configuration.py
+++ b/ferrydock/platform/_configuration.py
@@ -5,17 +5,17 @@
 import orjson
 
 from ..configuration import (
-    BackEnd,
     Configuration,
     ConfigurationUnchanged,
     ConfigurationUnreadable,
-    EngineFigures,
+    EngineSpec,
     IngressLimits,
-    ModelFigures,
+    ModelSpec,
     Route,
     RouteKind,
-    ServiceFigures,
-    Tenant,
+    ServiceSpec,
+    Team,
+    WeightedService,
 )
 from ..outcomes import Unavailable, Unknown
 from ..store import Compare, Txn
@@ -92,7 +92,7 @@
         version=int(fields["version"]),
         routes=tuple(_route(route) for route in fields["routes"]),
         services={service["name"]: _service(service) for service in fields["services"]},
-        tenants=tuple(_tenant(tenant) for tenant in fields.get("tenants") or ()),
+        teams=tuple(_tenant(tenant) for tenant in fields.get("tenants") or ()),
         limits=_limits(fields.get("limits") or {}),
         encoded=value,
     )
@@ -108,15 +108,15 @@
     _check_unused(fields, _UNUSED_ROUTE_NUMBERS)
     split = fields.get("backends")
     if split:
-        back_ends = tuple(BackEnd(part["service"], float(part["weight"])) for part in split)
+        weighted = tuple(WeightedService(part["service"], float(part["weight"])) for part in split)
     else:
-        back_ends = (BackEnd(fields["service"], 1.0),)
+        weighted = (WeightedService(fields["service"], 1.0),)
     return Route(
         name=fields["name"],
         host=fields["host"],
         path_prefix=fields["path-prefix"],
         kind=_kind(fields),
-        back_ends=back_ends,
+        services=weighted,
         time_limit_s=fields["timeout-ms"] / 1000,
         attempts=int(fields.get("max-attempts", 1)),
         priority=int(fields.get("priority", _USUAL_PRIORITY)),
@@ -131,28 +131,28 @@
     return RouteKind.REPEATABLE if fields["route-type"] == _SAFE else RouteKind.AT_MOST_ONCE
 
 
-def _service(fields: Mapping) -> ServiceFigures:
+def _service(fields: Mapping) -> ServiceSpec:
     engine = fields.get("engine")
-    return ServiceFigures(
+    return ServiceSpec(
         name=fields["name"],
-        most_connections=int(fields.get("max-conns") or 100),
+        max_connections=int(fields.get("max-conns") or 100),
         engine=_engine(engine) if engine else None,
     )
 
 
-def _engine(fields: Mapping) -> EngineFigures:
+def _engine(fields: Mapping) -> EngineSpec:
     int(fields["kv-capacity"])
     _check_unused(fields, _UNUSED_ENGINE_NUMBERS)
-    return EngineFigures(
+    return EngineSpec(
         slots=int(fields["slots"]),
         loads_per_s=float(fields.get("loads-per-s") or 1e6),
         models=tuple(_model(model) for model in fields.get("models") or ()),
     )
 
 
-def _model(fields: Mapping) -> ModelFigures:
+def _model(fields: Mapping) -> ModelSpec:
     _check_unused(fields, _UNUSED_MODEL_NUMBERS)
-    return ModelFigures(
+    return ModelSpec(
         name=fields["name"],
         size=int(fields.get("size", 1)),
         share=float(fields.get("share", 1.0)),
@@ -161,8 +161,8 @@
     )
 
 
-def _tenant(fields: Mapping) -> Tenant:
-    return Tenant(
+def _tenant(fields: Mapping) -> Team:
+    return Team(
         fields["name"],
         frozenset(fields.get("api-keys") or ()),
         int(fields.get("priority", _USUAL_PRIORITY)),
--- a/ferrydock/platform/_dialect.py
+++ b/ferrydock/platform/_dialect.py
@@ -4,7 +4,7 @@
 
 from multidict import CIMultiDict
 
-from ..forwarding import AnswerSigns, Inbound, Outbound, end_to_end
+from ..forwarding import AnswerHeaders, Inbound, Outbound, end_to_end
 
 __all__ = ["PlatformDialect"]
 
@@ -42,14 +42,14 @@
         kept = CIMultiDict(pair for pair in end_to_end(headers) if pair[0].lower() not in _SET_HERE)
         kept["X-Deadline-Ms"] = str(max(1, int(outbound.left_s * 1000)))
         kept["X-Expect-Instance"] = outbound.target_id
-        if outbound.tenant:
-            kept["X-Tenant"] = outbound.tenant
+        if outbound.team:
+            kept["X-Tenant"] = outbound.team
         if outbound.last_event_id is not None:
             kept["Last-Event-Id"] = str(outbound.last_event_id)
         return kept
 
-    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerSigns:
-        return AnswerSigns(
+    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+        return AnswerHeaders(
             not_executed="X-Not-Executed" in headers or status == 421,
             request_id=headers.get("X-Attempt-Id", ""),
             signed="X-Server-Stamp" in headers,
--- a/ferrydock/platform/_targets.py
+++ b/ferrydock/platform/_targets.py
@@ -9,7 +9,7 @@
 from ..logs import log_event
 from ..outcomes import Unavailable
 from ..store import prefix_end
-from ..targets import GroupState, Membership, Target, TargetChanges
+from ..targets import Membership, ReplicaState, Target, TargetChanges
 from ._store import HistoryGone, PlatformStore, Watched
 
 __all__ = ["PlatformTargetSource", "parse_target"]
@@ -107,7 +107,7 @@
         replica=fields["name"],
         epoch=int(fields.get("epoch", 0)),
         rank=int(fields.get("rank", 0)),
-        state=GroupState(fields["state"]),
+        state=ReplicaState(fields["state"]),
     )
 
 
--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -9,7 +9,7 @@
 from ...clock import SystemClock
 from ...emulator import free_ports
 from ...outcomes import Invalid
-from ...route_daemon import EntryNode
+from ...route_daemon import RouteDaemon
 from ...standins.fleet import FleetSite
 from .. import open_platform
 
@@ -40,7 +40,7 @@
         path.write_text(json.dumps(self.site.settings(name, hall, free_ports(4), store)))
         deployment = open_platform(str(path))
         assert not isinstance(deployment, Invalid), deployment
-        node = EntryNode(deployment, SystemClock())
+        node = RouteDaemon(deployment, SystemClock())
         await node.start()
         self.nodes.append(node)
         return node
@@ -64,19 +64,19 @@
         assert self.site.record.keys_seen == 0
 
 
-class RecordingLedger:
-    """A ledger that notes who was given places."""
+class RecordingCounts:
+    """A counts that notes who was given places."""
 
-    def __init__(self, ledger, granted):
-        self.ledger = ledger
+    def __init__(self, counts, granted):
+        self.counts = counts
         self.granted = granted
 
     def __getattr__(self, name):
-        return getattr(self.ledger, name)
+        return getattr(self.counts, name)
 
     def grant(self, sender, target_id, now_s):
         self.granted.append(sender)
-        return self.ledger.grant(sender, target_id, now_s)
+        return self.counts.grant(sender, target_id, now_s)
 
 
 async def ask(node, path, key="key-acme", model="", request_id=None, timeout_s=6.0):
@@ -129,16 +129,16 @@
         async with Site(tmp_path) as site:
             node = await site.daemon("one")
             version = site.site.write_configuration()
-            await site.until(lambda: node.book.version == version)
+            await site.until(lambda: node.current.version == version)
             await site.until(lambda: node.directory.loaded)
             kept = [{"name": "bolt", "api-keys": ["key-bolt"]}]
             version = site.site.write_configuration(tenants=kept)
-            await site.until(lambda: node.book.version == version, 3.0)
+            await site.until(lambda: node.current.version == version, 3.0)
             assert (await ask(node, "/look/x"))[0] == 401
             assert (await ask(node, "/look/x", key="key-bolt"))[0] == 200
             site.site.store.put("op/config", b"not json")
             await asyncio.sleep(1.5)
-            assert node.book.version == version
+            assert node.current.version == version
             assert (await ask(node, "/look/x", key="key-bolt"))[0] == 200
 
     play(scenario)
@@ -150,7 +150,7 @@
         async with Site(tmp_path) as site:
             node = await site.daemon("one")
             version = site.site.write_configuration()
-            await site.until(lambda: node.book.version == version and node.directory.loaded)
+            await site.until(lambda: node.current.version == version and node.directory.loaded)
             node.settings = node.settings.__class__(
                 **{
                     name: getattr(node.settings, name) if name != "freshness_s" else 2.0
@@ -164,7 +164,7 @@
             assert (await ask(node, "/look/x"))[0] == 503
             assert (await ask(node, "/open/x", key=""))[0] == 200
             site.site.stores[0].faults.down = ""
-            await site.until(lambda: node.book.age_s(node.clock.now_s()) < 1.0, 5.0)
+            await site.until(lambda: node.current.age_s(node.clock.now_s()) < 1.0, 5.0)
             assert (await ask(node, "/look/x"))[0] == 200
 
     play(scenario)
@@ -217,22 +217,22 @@
         async with Site(tmp_path) as site:
             first = await site.daemon("one")
             site.site.write_configuration()
-            await site.until(lambda: first.own_seat.lease.valid and first.book.version > 0)
+            await site.until(lambda: first.leadership.lease.valid and first.current.version > 0)
             face = await site.site.open_store()
             second = await site.daemon("two", store=face)
-            await site.until(lambda: second.own_seat.is_relayed and site.formed(REPLICAS))
+            await site.until(lambda: second.leadership.is_relayed and site.formed(REPLICAS))
             calls = sum(face.calls.values())
             await asyncio.sleep(2.0)
             assert sum(face.calls.values()) - calls <= 2
             face.faults.down = "busy"  # the store turns this daemon away; its peer passes all on
             version = site.site.write_configuration(tenants=[{"name": "new", "api-keys": ["n"]}])
-            await site.until(lambda: second.book.version == version, 4.0)
+            await site.until(lambda: second.current.version == version, 4.0)
             assert (await ask(second, "/look/x"))[0] == 401
             assert (await ask(second, "/look/x", key="n"))[0] == 200
             face.faults.down = ""
             await first.close()
             site.nodes.remove(first)
-            await site.until(lambda: second.own_seat.lease.valid, 8.0)
+            await site.until(lambda: second.leadership.lease.valid, 8.0)
             assert (await ask(second, "/look/x", key="n"))[0] == 200
 
     play(scenario)
@@ -243,12 +243,12 @@
         async with Site(tmp_path) as site:
             first = await site.daemon("one")
             site.site.write_configuration()
-            await site.until(lambda: first.own_seat.lease.valid and first.book.version > 0)
+            await site.until(lambda: first.leadership.lease.valid and first.current.version > 0)
             second = await site.daemon("two", store=await site.site.open_store())
-            await site.until(lambda: second.own_seat.is_relayed and second.book.version > 0)
+            await site.until(lambda: second.leadership.is_relayed and second.current.version > 0)
             site.site.stores[0].faults.down = "silent"
             version = site.site.write_configuration()
-            await site.until(lambda: second.book.version == version, 1.9)
+            await site.until(lambda: second.current.version == version, 1.9)
 
     play(scenario)
 
@@ -321,7 +321,7 @@
 
             def counted():
                 now_s = site.nodes[0].clock.now_s()
-                return [node.roster.size(now_s) for node in site.nodes] == sizes
+                return [node.daemon_counter.size(now_s) for node in site.nodes] == sizes
 
             await site.until(counted)
             for node in site.nodes:
@@ -341,16 +341,16 @@
             site.site.write_configuration()
             await site.until(lambda: site.formed(REPLICAS))
             addresses = {node.settings.peer_address for node in nodes}
-            await site.until(lambda: all(n.own_seat.leader_address in addresses for n in nodes))
-            leader = nodes[0].own_seat.leader_address
-            dispatcher = next(n for n in nodes if n.settings.peer_address == leader).dispatcher
+            await site.until(lambda: all(n.leadership.leader_address in addresses for n in nodes))
+            leader = nodes[0].leadership.leader_address
+            scheduler = next(n for n in nodes if n.settings.peer_address == leader).scheduler
             granted = []
-            dispatcher.ledger = RecordingLedger(dispatcher.ledger, granted)
+            scheduler.counts = RecordingCounts(scheduler.counts, granted)
             asked = [ask(node, "/write/x", model="small") for node in nodes * 4]
             answers = await asyncio.gather(*asked)
             assert all(status == 200 for status, _, _ in answers)
             assert set(granted) == {node.settings.name for node in nodes}
-            await site.until(lambda: not dispatcher.ledger.of_hall())
+            await site.until(lambda: not scheduler.counts.of_hall())
             site.no_rule_is_broken()
 
     play(scenario)
@@ -362,14 +362,14 @@
             nodes = [await site.daemon(f"d{number}") for number in range(3)]
             site.site.write_configuration()
             await site.until(lambda: site.formed(REPLICAS))
-            leader = nodes[0].own_seat.leader_address
+            leader = nodes[0].leadership.leader_address
             dead = next(node for node in nodes if node.settings.peer_address == leader)
             await dead.close()
             site.nodes.remove(dead)
             for node in site.nodes:
                 assert (await ask(node, "/write/x", model="small"))[0] == 200
             await site.until(
-                lambda: all(n.own_seat.leader_address not in ("", leader) for n in site.nodes)
+                lambda: all(n.leadership.leader_address not in ("", leader) for n in site.nodes)
             )
             for node in site.nodes:
                 assert (await ask(node, "/write/x", model="large"))[0] == 200
@@ -384,9 +384,9 @@
             nodes = [await site.daemon(f"d{n}", store=face) for n, face in enumerate(faces)]
             site.site.write_configuration()
             await site.until(lambda: site.formed(REPLICAS))
-            await site.until(lambda: sum(n.own_seat.is_relayed for n in nodes) == 2)
+            await site.until(lambda: sum(n.leadership.is_relayed for n in nodes) == 2)
             followers = [
-                face for n, face in zip(nodes, faces, strict=True) if n.own_seat.is_relayed
+                face for n, face in zip(nodes, faces, strict=True) if n.leadership.is_relayed
             ]
             for face in faces:
                 face.faults.down = "busy"
@@ -399,7 +399,7 @@
             for face in faces:
                 face.faults.down = ""
             clock = nodes[0].clock
-            await site.until(lambda: all(n.book.age_s(clock.now_s()) < 1.1 for n in nodes))
+            await site.until(lambda: all(n.current.age_s(clock.now_s()) < 1.1 for n in nodes))
 
     play(scenario)
 
@@ -420,8 +420,8 @@
             site.site.is_first_start = is_first_start
             face = await site.site.open_store()
             node = await site.daemon("other", store=face)
-            await site.until(lambda: node.directory.loaded and node.book.lookup is not None)
-            await site.until(lambda: node.own_seat.is_relayed)
+            await site.until(lambda: node.directory.loaded and node.current.lookup is not None)
+            await site.until(lambda: node.leadership.is_relayed)
             assert (face.calls.get("txn", 0) == 0) is is_first_start
 
     play(scenario)
--- a/ferrydock/relay/__init__.py
+++ b/ferrydock/relay/__init__.py
@@ -2,14 +2,14 @@
 
 from ._broken_replicas import BrokenReplicas
 from ._client import RelayClient
-from ._daemon_counter import HallRoster
+from ._daemon_counter import DaemonCounter
 from ._messages import NewsAnswer, NewsRequest, decode_answer, decode_request, encode
 from ._peers import PeerCalls
 from ._server import RelayServer
 
 __all__ = [
     "BrokenReplicas",
-    "HallRoster",
+    "DaemonCounter",
     "NewsAnswer",
     "NewsRequest",
     "PeerCalls",
--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 
 from ..clock import Clock
-from ..configuration import Configuration, ConfigurationBook, ConfigurationUnreadable
+from ..configuration import Configuration, ConfigurationUnreadable, CurrentConfiguration
 from ..logs import log_event
 from ..targets import TargetChanges, TargetDirectory
 from ._broken_replicas import BrokenReplicas
-from ._daemon_counter import HallRoster
+from ._daemon_counter import DaemonCounter
 from ._messages import NewsAnswer, NewsRequest, decode_answer, encode
 from ._peers import PeerCalls
 from ._server import NEWS
@@ -25,13 +25,13 @@
 
     Parameters
     ----------
-    book, directory : ConfigurationBook, TargetDirectory
+    current, directory : CurrentConfiguration, TargetDirectory
         What is filled.
     decode : callable
         Reads an encoded configuration.
     broken : BrokenReplicas, optional
         What is known of broken replicas.
-    roster : HallRoster, optional
+    daemon_counter : DaemonCounter, optional
         Is told how many daemons the hall has.
     name : str, default=""
         Of this daemon, as others count it.
@@ -47,29 +47,29 @@
         "_calls",
         "_change",
         "_life",
-        "book",
+        "current",
         "broken",
         "clock",
         "decode",
         "directory",
         "name",
-        "roster",
+        "daemon_counter",
     )
 
     def __init__(
         self,
-        book: ConfigurationBook,
+        current: CurrentConfiguration,
         directory: TargetDirectory,
         decode: Callable[[bytes], Configuration | ConfigurationUnreadable],
         clock: Clock,
         broken: BrokenReplicas | None = None,
-        roster: HallRoster | None = None,
+        daemon_counter: DaemonCounter | None = None,
         name: str = "",
     ):
         self.broken = broken or BrokenReplicas()
-        self.roster = roster or HallRoster()
+        self.daemon_counter = daemon_counter or DaemonCounter()
         self.name = name
-        self.book = book
+        self.current = current
         self.directory = directory
         self.decode = decode
         self.clock = clock
@@ -86,7 +86,7 @@
         request = NewsRequest(
             self._life,
             self._change,
-            self.book.version,
+            self.current.version,
             self.broken.lately(self.clock.now_s()),
             self.name,
         )
@@ -112,13 +112,13 @@
         if answer.configuration:
             found = self.decode(answer.configuration.encode())
             if isinstance(found, Configuration):
-                self.book.offer(found, None)
+                self.current.offer(found, None)
         if answer.age_s is not None:
-            self.book.confirm(answer.version, sent_s - answer.age_s)
+            self.current.confirm(answer.version, sent_s - answer.age_s)
         if not answer.serves:
             return False
         self.broken.hear(answer.broken)
-        self.roster.learn(answer.daemons, sent_s)
+        self.daemon_counter.learn(answer.daemons, sent_s)
         if answer.revision < self.directory.revision:
             return False  # what this daemon has read itself is newer
         self._life, self._change = answer.life, answer.change
--- a/ferrydock/relay/_daemon_counter.py
+++ b/ferrydock/relay/_daemon_counter.py
@@ -2,14 +2,14 @@
 
 from collections import deque
 
-__all__ = ["HallRoster"]
+__all__ = ["DaemonCounter"]
 
 HEARD_FOR_S = 4.0
 LEARNED_FOR_S = 15.0
 GUESS = 16
 
 
-class HallRoster:
+class DaemonCounter:
     """Counts the daemons of a hall.
 
     Notes
@@ -19,15 +19,15 @@
 
     Examples
     --------
-    >>> roster = HallRoster()
-    >>> roster.size(now_s=0.0)
+    >>> daemon_counter = DaemonCounter()
+    >>> daemon_counter.size(now_s=0.0)
     16
-    >>> roster.heard("edge-2", now_s=0.0); roster.heard("edge-3", now_s=3.0)
-    >>> roster.followed(now_s=3.5), roster.followed(now_s=5.0)
+    >>> daemon_counter.heard("edge-2", now_s=0.0); daemon_counter.heard("edge-3", now_s=3.0)
+    >>> daemon_counter.count_followers(now_s=3.5), daemon_counter.count_followers(now_s=5.0)
     (3, 2)
-    >>> roster.learn(3, now_s=5.0); roster.learn(2, now_s=9.0)
-    >>> roster.size(now_s=10.0), roster.size(now_s=21.0), roster.size(now_s=99.0)
-    (3, 2, 2)
+    >>> daemon_counter.learn(3, now_s=5.0); daemon_counter.learn(2, now_s=9.0)
+    >>> [daemon_counter.size(now_s) for now_s in (10.0, 21.0, 99.0)]
+    [3, 2, 2]
     """
 
     __slots__ = ("_heard_s", "_learned")
@@ -41,7 +41,7 @@
         if sender:
             self._heard_s[sender] = now_s
 
-    def followed(self, now_s: float) -> int:
+    def count_followers(self, now_s: float) -> int:
         """Return how many daemons lately asked, and this one."""
         for sender in [s for s, heard_s in self._heard_s.items() if now_s - heard_s > HEARD_FOR_S]:
             del self._heard_s[sender]
--- a/ferrydock/relay/_messages.py
+++ b/ferrydock/relay/_messages.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from ..targets import GroupState, Membership, Target
+from ..targets import Membership, ReplicaState, Target
 
 __all__ = ["NewsAnswer", "NewsRequest", "decode_answer", "decode_request", "encode"]
 
@@ -89,7 +89,7 @@
     Examples
     --------
     >>> target = Target("t", "s", "127.0.0.1:1", "h", 2, staged=("m",),
-    ...                 membership=Membership("g", 3, 0, GroupState.OPEN))
+    ...                 membership=Membership("g", 3, 0, ReplicaState.OPEN))
     >>> answer = NewsAnswer(True, "x", 1, True, (target,), ("u",), 9, 4, "", 0.5)
     >>> decode_answer(encode(answer)) == answer
     True
@@ -108,7 +108,7 @@
 def _target(fields: dict) -> Target:
     place = fields["membership"]
     if place is not None:
-        place = Membership(**{**place, "state": GroupState(place["state"])})
+        place = Membership(**{**place, "state": ReplicaState(place["state"])})
     changed = {
         "membership": place,
         "staged": tuple(fields["staged"]),
--- a/ferrydock/relay/_server.py
+++ b/ferrydock/relay/_server.py
@@ -9,10 +9,10 @@
 import grpc.aio
 
 from ..clock import Clock
-from ..configuration import ConfigurationBook
+from ..configuration import CurrentConfiguration
 from ..targets import TargetDirectory
 from ._broken_replicas import BrokenReplicas
-from ._daemon_counter import HallRoster
+from ._daemon_counter import DaemonCounter
 from ._messages import NewsAnswer, decode_request, encode
 from ._peers import OPTIONS, SERVICE
 
@@ -43,39 +43,39 @@
 
     Parameters
     ----------
-    book, directory : ConfigurationBook, TargetDirectory
+    current, directory : CurrentConfiguration, TargetDirectory
         What is told.
     reads_store : callable
         Whether this daemon reads the store itself and lately reached it.
     broken : BrokenReplicas, optional
         What is known of broken replicas.
-    roster : HallRoster, optional
+    daemon_counter : DaemonCounter, optional
         Counts who asks.
     """
 
     __slots__ = (
         "_server",
-        "book",
+        "current",
         "broken",
         "clock",
         "directory",
         "life",
         "reads_store",
-        "roster",
+        "daemon_counter",
     )
 
     def __init__(
         self,
-        book: ConfigurationBook,
+        current: CurrentConfiguration,
         directory: TargetDirectory,
         reads_store: Callable[[], bool],
         clock: Clock,
         broken: BrokenReplicas | None = None,
-        roster: HallRoster | None = None,
+        daemon_counter: DaemonCounter | None = None,
     ):
         self.broken = broken or BrokenReplicas()
-        self.roster = roster or HallRoster()
-        self.book = book
+        self.daemon_counter = daemon_counter or DaemonCounter()
+        self.current = current
         self.directory = directory
         self.reads_store = reads_store
         self.clock = clock
@@ -109,7 +109,7 @@
     async def _news(self, data: bytes) -> bytes:
         request = decode_request(data)
         self.broken.hear(request.broken)
-        self.roster.heard(request.sender, self.clock.now_s())
+        self.daemon_counter.heard(request.sender, self.clock.now_s())
         known_broken = self.broken.count
         until_s = self.clock.now_s() + HOLD_S
         while (
@@ -126,21 +126,21 @@
         return (
             same_life
             and request.change == self.directory.changes
-            and request.version == self.book.version
+            and request.version == self.current.version
         )
 
     def answer(self, request) -> NewsAnswer:
         """Return what a follower lacks."""
-        directory, book = self.directory, self.book
+        directory, current = self.directory, self.current
         changed = directory.changed_since(request.change) if request.life == self.life else None
         if changed is None:
             entries, removed = tuple(directory.targets.values()), ()
         else:
             entries = tuple(directory.targets[i] for i in changed if i in directory.targets)
             removed = tuple(i for i in changed if i not in directory.targets)
-        configuration = book.lookup.configuration if book.lookup else None
+        configuration = current.lookup.configuration if current.lookup else None
         lacks = configuration is not None and request.version < configuration.version
-        age_s = book.age_s(self.clock.now_s())
+        age_s = current.age_s(self.clock.now_s())
         return NewsAnswer(
             serves=self.reads_store() and directory.loaded,
             life=self.life,
@@ -149,9 +149,9 @@
             entries=entries,
             removed=removed,
             revision=directory.revision,
-            version=book.version,
+            version=current.version,
             configuration=configuration.encoded.decode() if lacks else "",
             age_s=age_s if age_s != float("inf") else None,
             broken=self.broken.lately(self.clock.now_s()),
-            daemons=self.roster.followed(self.clock.now_s()),
+            daemons=self.daemon_counter.count_followers(self.clock.now_s()),
         )
--- a/ferrydock/relay/tests/test_relay.py
+++ b/ferrydock/relay/tests/test_relay.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from ...clock import ManualClock
-from ...configuration import Configuration, ConfigurationBook, ConfigurationUnreadable
+from ...configuration import Configuration, ConfigurationUnreadable, CurrentConfiguration
 from ...targets import Target, TargetDirectory
 from .. import NewsAnswer, NewsRequest, RelayClient, RelayServer
 
@@ -27,10 +27,10 @@
 
     def __init__(self):
         self.clock, self.follower_clock = ManualClock(1000.0), ManualClock(5.0)
-        self.book, self.directory = ConfigurationBook(), TargetDirectory()
+        self.current, self.directory = CurrentConfiguration(), TargetDirectory()
         self.serves = True
-        self.server = RelayServer(self.book, self.directory, lambda: self.serves, self.clock)
-        self.own_book, self.own_directory = ConfigurationBook(), TargetDirectory()
+        self.server = RelayServer(self.current, self.directory, lambda: self.serves, self.clock)
+        self.own_book, self.own_directory = CurrentConfiguration(), TargetDirectory()
         self.client = RelayClient(self.own_book, self.own_directory, decode, self.follower_clock)
         self.address = ""
 
@@ -38,7 +38,7 @@
         self.address = await self.server.start("127.0.0.1:0")
         self.directory.replace([target("a"), target("b")])
         self.directory.revision = 7
-        self.book.offer(configuration(3), 999.5)
+        self.current.offer(configuration(3), 999.5)
         return self
 
     async def __aexit__(self, *error):
@@ -136,9 +136,9 @@
     async def scenario():
         async with Pair() as pair:
             pair.client.name = "edge-2"
-            pair.server.roster.heard("edge-3", 1000.0)
+            pair.server.daemon_counter.heard("edge-3", 1000.0)
             assert await pair.client.pull(pair.address)
-            assert pair.client.roster.size(5.0) == 3
-            assert pair.server.roster.followed(1000.0) == 3
+            assert pair.client.daemon_counter.size(5.0) == 3
+            assert pair.server.daemon_counter.count_followers(1000.0) == 3
 
     play(scenario)
--- a/ferrydock/replicas/__init__.py
+++ b/ferrydock/replicas/__init__.py
@@ -1,24 +1,24 @@
 """Replicas as groups of workers: what to form, and the orders that form and dissolve them."""
 
-from ._controller import GroupController
+from ._controller import ReplicaController
 from ._forming import PlannedReplica, dissolve, form
-from ._load_budget import LoadBudget
-from ._order_sender import OrderDesk
+from ._load_budget import WeightLoadBudget
+from ._order_sender import OrderSender
 from ._plan import (
     Formation,
     choose_members,
+    desired_counts,
     domain_shares,
     next_formation,
-    target_counts,
 )
 from ._record import PlacementRecord, placement_key
 from ._staging import staging
 
 __all__ = [
     "Formation",
-    "GroupController",
-    "LoadBudget",
-    "OrderDesk",
+    "ReplicaController",
+    "WeightLoadBudget",
+    "OrderSender",
     "PlacementRecord",
     "PlannedReplica",
     "choose_members",
@@ -28,5 +28,5 @@
     "next_formation",
     "placement_key",
     "staging",
-    "target_counts",
+    "desired_counts",
 ]
--- a/ferrydock/replicas/_controller.py
+++ b/ferrydock/replicas/_controller.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Coroutine, Iterable
 
 from ..clock import Clock
-from ..configuration import ConfigurationBook, EngineFigures, ModelFigures
+from ..configuration import CurrentConfiguration, EngineSpec, ModelSpec
 from ..hall import ControllerLease
 from ..logs import log_event
 from ..reports import RouteMetrics
@@ -14,20 +14,20 @@
 from ..targets import OrderDone, StageOrder, Target, TargetDirectory
 from ._forming import PlannedReplica, dissolve, form
 from ._hall_state import HallState
-from ._health import ReplicaTender, Tended, Verdict
-from ._observed import SeenReplica, seen_replicas
-from ._order_sender import OrderDesk
+from ._health import HealthResult, ReplicaHealthCheck, Verdict
+from ._observed import ObservedReplica, observed_replicas
+from ._order_sender import OrderSender
 from ._plan import Formation
 from ._planning import HallPlanner
 from ._record import PlacementRecord
 
-__all__ = ["GroupController"]
+__all__ = ["ReplicaController"]
 
 _LOG = logging.getLogger("ferrydock.replicas")
 STAGE_WITHIN_S = 2.0
 
 
-class GroupController:
+class ReplicaController:
     """Forms, repairs and dissolves the replicas of one hall.
 
     Parameters
@@ -51,9 +51,9 @@
         halls: int,
         lease: ControllerLease,
         store: Store,
-        book: ConfigurationBook,
+        current: CurrentConfiguration,
         directory: TargetDirectory,
-        desk: OrderDesk,
+        order_sender: OrderSender,
         clock: Clock,
         load_window_s: float,
         load_overshoot: float,
@@ -63,9 +63,9 @@
         self.metrics = metrics or RouteMetrics()
         self.hall = hall
         self.lease = lease
-        self.book = book
+        self.current = current
         self.directory = directory
-        self.desk = desk
+        self.order_sender = order_sender
         self.clock = clock
         self.on_broken = on_broken
         self.record = PlacementRecord(store, hall, lease.holder)
@@ -73,7 +73,9 @@
         self.planner = HallPlanner(
             self.state, directory, clock, halls, load_window_s, load_overshoot
         )
-        self.tender = ReplicaTender(self.state, desk, directory, clock, self._spawn)
+        self.health_check = ReplicaHealthCheck(
+            self.state, order_sender, directory, clock, self._spawn
+        )
         self._tasks: set[asyncio.Task] = set()
         self._lost: set[tuple[str, int]] = set()
 
@@ -85,7 +87,7 @@
 
     async def step(self) -> None:
         """Look at the hall's workers, and set going what is missing."""
-        lookup = self.book.lookup
+        lookup = self.current.lookup
         if lookup is None or not self.directory.loaded or not self.lease.valid:
             return
         if not await self.record.read():
@@ -94,7 +96,7 @@
             if service.engine is not None:
                 await self._step_service(service.name, service.engine)
 
-    async def _step_service(self, service: str, engine: EngineFigures) -> None:
+    async def _step_service(self, service: str, engine: EngineSpec) -> None:
         now_s = self.clock.now_s()
         workers = [
             target
@@ -103,18 +105,18 @@
         ]
         self.state.forget(workers)
         members = [w for w in workers if w.membership is not None and not self.state.has_left(w)]
-        seen = seen_replicas(members)
+        seen = observed_replicas(members)
         replicas = [replica for replica in seen if self._tend(replica, engine, now_s)]
-        self.tender.forget_others({replica.key for replica in seen})
+        self.health_check.forget_others({replica.key for replica in seen})
         plans = self.planner.formations(service, workers, replicas, engine, now_s)
         if plans:
             await self._begin(plans)
         for worker, model in self.planner.stagings(workers, replicas, engine, now_s):
             self._stage(worker, model, now_s)
 
-    def _tend(self, replica: SeenReplica, engine: EngineFigures, now_s: float) -> bool:
+    def _tend(self, replica: ObservedReplica, engine: EngineSpec, now_s: float) -> bool:
         """Do what a replica needs; return whether it is there to stay."""
-        tended = self.tender.judge(replica, engine, now_s)
+        tended = self.health_check.judge(replica, engine, now_s)
         match tended.verdict:
             case Verdict.ADOPT:
                 self._adopt(replica, engine.model(replica.model))
@@ -126,7 +128,7 @@
 
     # Replicas that are there ------------------------------------------------------------------
 
-    def _give_up(self, replica: SeenReplica, tended: Tended) -> None:
+    def _give_up(self, replica: ObservedReplica, tended: HealthResult) -> None:
         """Dissolve a replica that cannot serve any more."""
         self._log_given_up(replica, tended.why, tended.dead)
         cut = tended.why != "leaving"
@@ -135,14 +137,14 @@
             self.state.freeing[replica.members[0].domain] += 1
         self._spawn(self._dissolve(replica, set(tended.dead), cut))
 
-    def _note_lost(self, replica: SeenReplica) -> None:
+    def _note_lost(self, replica: ObservedReplica) -> None:
         """Say once that all members of a replica are gone: there is nothing to dissolve."""
         if replica.key not in self._lost:
             self._lost.add(replica.key)
             self._log_given_up(replica, "all_dead", ())
             self.on_broken(replica.key)
 
-    def _log_given_up(self, replica: SeenReplica, why: str, dead: tuple[str, ...]) -> None:
+    def _log_given_up(self, replica: ObservedReplica, why: str, dead: tuple[str, ...]) -> None:
         log_event(
             _LOG,
             logging.WARNING,
@@ -156,7 +158,7 @@
         )
         self.metrics.repairs.labels(why).inc()
 
-    def _adopt(self, replica: SeenReplica, model: ModelFigures) -> None:
+    def _adopt(self, replica: ObservedReplica, model: ModelSpec) -> None:
         """Go on with a replica that another controller had begun."""
         members = tuple(replica.members)
         plan = PlannedReplica(
@@ -167,14 +169,20 @@
         log_event(_LOG, logging.INFO, "replica_adopted", replica=replica.name, epoch=replica.epoch)
         self._spawn(self._form(plan, joined=True))
 
-    async def _dissolve(self, replica: SeenReplica, dead: set[str], cut: bool) -> None:
+    async def _dissolve(self, replica: ObservedReplica, dead: set[str], cut: bool) -> None:
         members = tuple(t for t in replica.members if t.target_id not in dead)
         ids = {target.target_id for target in members}
         domain = replica.members[0].domain
         self.state.busy |= ids
         try:
             left = await dissolve(
-                replica.name, replica.epoch, members, self.desk, self.directory, self.clock, cut
+                replica.name,
+                replica.epoch,
+                members,
+                self.order_sender,
+                self.directory,
+                self.clock,
+                cut,
             )
             self.state.note_left(left, replica.key)
         finally:
@@ -200,7 +208,7 @@
     async def _form(self, plan: PlannedReplica, joined: bool = False) -> None:
         began_s = self.clock.now_s()
         try:
-            end = await form(plan, self.desk, self.directory, self.clock, joined)
+            end = await form(plan, self.order_sender, self.directory, self.clock, joined)
             took_s = self.clock.now_s() - began_s
             self.metrics.forming.labels("failed" if end.why else "open").observe(took_s)
             self.state.note_left(end.left, (plan.name, plan.epoch))
@@ -211,14 +219,14 @@
             self.state.forming.pop((plan.name, plan.epoch), None)
             self.state.busy.difference_update(plan.member_ids)
 
-    def _stage(self, worker: Target, model: ModelFigures, now_s: float) -> None:
+    def _stage(self, worker: Target, model: ModelSpec, now_s: float) -> None:
         """Load weights to the host of an idle worker."""
         self.planner.loads.begin(1, now_s)
         self.state.staging.begin(worker.target_id, model.name, model.load_s, now_s)
         self._spawn(self._stage_one(worker, model.name))
 
     async def _stage_one(self, worker: Target, model: str) -> None:
-        answer = await self.desk.give(worker, StageOrder(model), STAGE_WITHIN_S)
+        answer = await self.order_sender.give(worker, StageOrder(model), STAGE_WITHIN_S)
         if not isinstance(answer, OrderDone):
             self.state.staging.forget(worker.target_id)
             self.state.pause(worker.target_id)
--- a/ferrydock/replicas/_forming.py
+++ b/ferrydock/replicas/_forming.py
@@ -9,16 +9,16 @@
 from ..outcomes import Unavailable
 from ..targets import (
     CloseOrder,
-    GroupState,
     JoinOrder,
     LeaveOrder,
     OpenOrder,
     OrderDone,
     OrderRefused,
+    ReplicaState,
     Target,
     TargetDirectory,
 )
-from ._order_sender import OrderDesk
+from ._order_sender import OrderSender
 from ._plan import Formation
 
 __all__ = ["FormEnd", "PlannedReplica", "dissolve", "form"]
@@ -69,7 +69,7 @@
 
 async def form(
     plan: PlannedReplica,
-    desk: OrderDesk,
+    orders: OrderSender,
     directory: TargetDirectory,
     clock: Clock,
     joined: bool = False,
@@ -81,12 +81,12 @@
     joined : bool, default=False
         Whether the members were told to join before, by another controller.
     """
-    failed = [] if joined else await _join(plan, desk)
-    why = f"no join: {','.join(failed)}" if failed else await _open(plan, desk, directory, clock)
+    failed = [] if joined else await _join(plan, orders)
+    why = f"no join: {','.join(failed)}" if failed else await _open(plan, orders, directory, clock)
     left: tuple[str, ...] = ()
     if why:
         members = plan.formation.members
-        left = await dissolve(plan.name, plan.epoch, members, desk, directory, clock, cut=True)
+        left = await dissolve(plan.name, plan.epoch, members, orders, directory, clock, cut=True)
     log_event(
         _LOG,
         logging.WARNING if why else logging.INFO,
@@ -100,11 +100,11 @@
     return FormEnd(why, left)
 
 
-async def _join(plan: PlannedReplica, desk: OrderDesk) -> list[str]:
+async def _join(plan: PlannedReplica, orders: OrderSender) -> list[str]:
     """Order all members to join; return the ids of those that did not take it."""
     order = JoinOrder(plan.name, plan.epoch, plan.formation.model.name, plan.member_ids)
     members = plan.formation.members
-    answers = await asyncio.gather(*(desk.give(m, order, ANSWER_WITHIN_S) for m in members))
+    answers = await asyncio.gather(*(orders.give(m, order, ANSWER_WITHIN_S) for m in members))
     return [
         member.target_id
         for member, answer in zip(members, answers, strict=True)
@@ -113,7 +113,7 @@
 
 
 async def _open(
-    plan: PlannedReplica, desk: OrderDesk, directory: TargetDirectory, clock: Clock
+    plan: PlannedReplica, orders: OrderSender, directory: TargetDirectory, clock: Clock
 ) -> str:
     ready_s = plan.formation.ready_s
     until_s = clock.now_s() + ready_s * READY_FACTOR + READY_SLACK_S
@@ -133,12 +133,12 @@
             return f"late: {','.join(late)}"
         if clock.now_s() >= ask_s:
             ask_s = clock.now_s() + LIST_LATE_S
-            told |= await _ready_by_report(plan, late, desk)
+            told |= await _ready_by_report(plan, late, orders)
         await asyncio.sleep(LOOK_S)
     order = OpenOrder(plan.name, plan.epoch)
     until_s = clock.now_s() + OPEN_WITHIN_S
     while True:
-        answer = await desk.give(plan.formation.members[0], order, ANSWER_WITHIN_S)
+        answer = await orders.give(plan.formation.members[0], order, ANSWER_WITHIN_S)
         if isinstance(answer, OrderDone):
             await _until_open(plan, directory, clock)
             return ""
@@ -147,16 +147,16 @@
         await asyncio.sleep(LOOK_S * 3)
 
 
-async def _ready_by_report(plan: PlannedReplica, late: list[str], desk: OrderDesk) -> set[str]:
+async def _ready_by_report(plan: PlannedReplica, late: list[str], orders: OrderSender) -> set[str]:
     """Return which members say themselves that they are ready: the list may stand still."""
     members = [m for m in plan.formation.members if m.target_id in late]
-    reports = await asyncio.gather(*(desk.control.report(m, REPORT_TIMEOUT_S) for m in members))
+    reports = await asyncio.gather(*(orders.control.report(m, REPORT_TIMEOUT_S) for m in members))
     return {
         member.target_id
         for member, report in zip(members, reports, strict=True)
         if not isinstance(report, Unavailable)
         and (report.replica, report.epoch) == (plan.name, plan.epoch)
-        and report.state in (GroupState.READY, GroupState.OPEN)
+        and report.state in (ReplicaState.READY, ReplicaState.OPEN)
     }
 
 
@@ -165,14 +165,14 @@
     until_s = clock.now_s() + SHOWN_WITHIN_S
     head_id = plan.member_ids[0]
     while clock.now_s() < until_s:
-        if _state_of(plan.name, plan.epoch, head_id, directory) is GroupState.OPEN:
+        if _state_of(plan.name, plan.epoch, head_id, directory) is ReplicaState.OPEN:
             return
         await asyncio.sleep(LOOK_S)
 
 
 def _state_of(
     name: str, epoch: int, member_id: str, directory: TargetDirectory
-) -> GroupState | None:
+) -> ReplicaState | None:
     """Return the state of a replica at one member, or None if it is not in it."""
     target = directory.targets.get(member_id)
     place = target.membership if target else None
@@ -183,14 +183,14 @@
 
 def _is_ready(plan: PlannedReplica, member_id: str, directory: TargetDirectory) -> bool:
     state = _state_of(plan.name, plan.epoch, member_id, directory)
-    return state in (GroupState.READY, GroupState.OPEN)
+    return state in (ReplicaState.READY, ReplicaState.OPEN)
 
 
 async def dissolve(
     name: str,
     epoch: int,
     members: tuple[Target, ...],
-    desk: OrderDesk,
+    orders: OrderSender,
     directory: TargetDirectory,
     clock: Clock,
     cut: bool,
@@ -212,10 +212,10 @@
     """
     head, others = members[0], members[1:]
     state = _state_of(name, epoch, head.target_id, directory)
-    if state in (GroupState.OPEN, GroupState.CLOSING):
-        await _close(name, epoch, head, desk, directory, clock, cut)
-    gone = [await _leave(name, epoch, head, desk)]
-    gone += await asyncio.gather(*(_leave(name, epoch, member, desk) for member in others))
+    if state in (ReplicaState.OPEN, ReplicaState.CLOSING):
+        await _close(name, epoch, head, orders, directory, clock, cut)
+    gone = [await _leave(name, epoch, head, orders)]
+    gone += await asyncio.gather(*(_leave(name, epoch, member, orders) for member in others))
     left = tuple(m.target_id for m, is_gone in zip(members, gone, strict=True) if is_gone)
     log_event(
         _LOG,
@@ -229,14 +229,14 @@
     return left
 
 
-async def _leave(name: str, epoch: int, member: Target, desk: OrderDesk) -> bool:
+async def _leave(name: str, epoch: int, member: Target, orders: OrderSender) -> bool:
     """Let a member leave; return whether it surely is no member any more."""
-    answer = await desk.give(member, LeaveOrder(name, epoch), LEAVE_WITHIN_S)
+    answer = await orders.give(member, LeaveOrder(name, epoch), LEAVE_WITHIN_S)
     if isinstance(answer, OrderDone):
         return True
     if not isinstance(answer, OrderRefused):
         return False
-    report = await desk.control.report(member, REPORT_TIMEOUT_S)
+    report = await orders.control.report(member, REPORT_TIMEOUT_S)
     is_known = not isinstance(report, Unavailable)
     return is_known and (report.replica, report.epoch) != (name, epoch)
 
@@ -245,17 +245,17 @@
     name: str,
     epoch: int,
     head: Target,
-    desk: OrderDesk,
+    orders: OrderSender,
     directory: TargetDirectory,
     clock: Clock,
     cut: bool,
 ) -> None:
     """Let an open head end its requests, and wait until it is ready again."""
-    answer = await desk.give(head, CloseOrder(name, epoch, cut), LEAVE_WITHIN_S)
+    answer = await orders.give(head, CloseOrder(name, epoch, cut), LEAVE_WITHIN_S)
     if not isinstance(answer, OrderDone):
         return
     until_s = clock.now_s() + (CUT_WAIT_S if cut else CLOSE_WAIT_S)
-    serving = (GroupState.OPEN, GroupState.CLOSING)
+    serving = (ReplicaState.OPEN, ReplicaState.CLOSING)
     while clock.now_s() < until_s:
         if _state_of(name, epoch, head.target_id, directory) not in serving:
             return
--- a/ferrydock/replicas/_hall_state.py
+++ b/ferrydock/replicas/_hall_state.py
@@ -8,8 +8,8 @@
 from ..logs import log_event
 from ..targets import Target
 from ._forming import PlannedReplica
-from ._observed import SeenReplica
-from ._staging import StagingBook
+from ._observed import ObservedReplica
+from ._staging import StagingProgress
 
 __all__ = ["HallState"]
 
@@ -29,7 +29,7 @@
         Broken replicas that are being dissolved, by domain.
     forming : dict
         Replicas that are being formed, by name and epoch.
-    staging : StagingBook
+    staging : StagingProgress
         Loads to the hosts of idle workers.
     """
 
@@ -49,7 +49,7 @@
         self.busy: set[str] = set()
         self.freeing: Counter[str] = Counter()
         self.forming: dict[tuple[str, int], PlannedReplica] = {}
-        self.staging = StagingBook()
+        self.staging = StagingProgress()
         self._left: dict[str, tuple[str, int]] = {}
         self._paused_until_s: dict[str, float] = {}
         self._suspected_until_s: dict[str, float] = {}
@@ -92,7 +92,7 @@
         """Return whether an order is under way for one of the targets."""
         return any(target.target_id in self.busy for target in targets)
 
-    def counts(self, domain: str, replicas: list[SeenReplica]) -> dict[str, int]:
+    def counts(self, domain: str, replicas: list[ObservedReplica]) -> dict[str, int]:
         """Return the replicas of a domain by model, those being formed included."""
         counts: Counter[str] = Counter()
         for replica in replicas:
--- a/ferrydock/replicas/_health.py
+++ b/ferrydock/replicas/_health.py
@@ -7,15 +7,15 @@
 from enum import StrEnum
 
 from ..clock import Clock
-from ..configuration import EngineFigures, ModelFigures
+from ..configuration import EngineSpec, ModelSpec
 from ..logs import log_event
 from ..outcomes import Unavailable
-from ..targets import GroupState, TargetDirectory
+from ..targets import ReplicaState, TargetDirectory
 from ._hall_state import HallState
-from ._observed import SeenReplica
-from ._order_sender import OrderDesk
+from ._observed import ObservedReplica
+from ._order_sender import OrderSender
 
-__all__ = ["ReplicaTender", "Tended", "Verdict"]
+__all__ = ["ReplicaHealthCheck", "HealthResult", "Verdict"]
 
 _LOG = logging.getLogger("ferrydock.replicas")
 STRAY_S = 3.0
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tended:
+class HealthResult:
     """A verdict, why, and the members that are held for dead."""
 
     verdict: Verdict
@@ -43,7 +43,7 @@
     dead: tuple[str, ...] = ()
 
 
-class ReplicaTender:
+class ReplicaHealthCheck:
     """Judges replicas by their members' entries, by what is suspected and by what members say.
 
     Parameters
@@ -57,7 +57,7 @@
         "_asking",
         "_stray_since",
         "clock",
-        "desk",
+        "order_sender",
         "directory",
         "spawn",
         "state",
@@ -66,13 +66,13 @@
     def __init__(
         self,
         state: HallState,
-        desk: OrderDesk,
+        order_sender: OrderSender,
         directory: TargetDirectory,
         clock: Clock,
         spawn: Callable[[Coroutine], None],
     ):
         self.state = state
-        self.desk = desk
+        self.order_sender = order_sender
         self.directory = directory
         self.clock = clock
         self.spawn = spawn
@@ -80,39 +80,39 @@
         self._asked: dict[tuple[str, int], tuple[float, float]] = {}
         self._asking: set[tuple[str, int]] = set()
 
-    def judge(self, replica: SeenReplica, engine: EngineFigures, now_s: float) -> Tended:
+    def judge(self, replica: ObservedReplica, engine: EngineSpec, now_s: float) -> HealthResult:
         """Return what is to be done with a replica."""
         if replica.key in self.state.forming:
-            return Tended(Verdict.STAYS)
+            return HealthResult(Verdict.STAYS)
         if self.state.is_busy(replica.members):
-            return Tended(Verdict.UNDER_WAY)
+            return HealthResult(Verdict.UNDER_WAY)
         dead = tuple(t.target_id for t in replica.members if self.state.is_suspect(t.target_id))
         if len(dead) == len(replica.members):
-            return Tended(Verdict.ALL_DEAD, "all_dead", dead)
+            return HealthResult(Verdict.ALL_DEAD, "all_dead", dead)
         why = self._why_not_whole(replica, engine, bool(dead))
         figures = engine.model(replica.model)
         is_leaving = any(t.draining for t in replica.members)
         may_wait = why == "member_gone" and replica.head is not None and not is_leaving
         if may_wait and self._are_missing_alive(replica, figures, now_s):
-            return Tended(Verdict.STAYS)
+            return HealthResult(Verdict.STAYS)
         if why:
-            return Tended(Verdict.GIVE_UP, why, dead)
+            return HealthResult(Verdict.GIVE_UP, why, dead)
         if replica.is_open:
             self._stray_since.pop(replica.key, None)
-            return Tended(Verdict.STAYS)
+            return HealthResult(Verdict.STAYS)
         if replica.head is not None and figures:
-            return Tended(Verdict.ADOPT)
+            return HealthResult(Verdict.ADOPT)
         since_s = self._stray_since.setdefault(replica.key, now_s)
         if now_s - since_s < STRAY_S:
-            return Tended(Verdict.STAYS)
-        return Tended(Verdict.GIVE_UP, "stray")
+            return HealthResult(Verdict.STAYS)
+        return HealthResult(Verdict.GIVE_UP, "stray")
 
-    def _why_not_whole(self, replica: SeenReplica, engine: EngineFigures, is_dead: bool) -> str:
+    def _why_not_whole(self, replica: ObservedReplica, engine: EngineSpec, is_dead: bool) -> str:
         """Return why a replica cannot serve any more; empty if it can."""
         figures = engine.model(replica.model)
         if is_dead:
             return "dead"
-        if any(t.membership.state is GroupState.BROKEN for t in replica.members):
+        if any(t.membership.state is ReplicaState.BROKEN for t in replica.members):
             return "broken"
         if figures is not None and len(replica.members) < figures.size:
             return "member_gone"
@@ -124,7 +124,7 @@
             for key in [key for key in known if key not in keys]:
                 del known[key]
 
-    def _are_missing_alive(self, replica: SeenReplica, model: ModelFigures, now_s: float) -> bool:
+    def _are_missing_alive(self, replica: ObservedReplica, model: ModelSpec, now_s: float) -> bool:
         """Whether the members without an entry still answer, or have yet to be asked.
 
         Entries go in numbers while the store is cut off or comes back. A replica is whole as
@@ -141,13 +141,13 @@
             self.spawn(self._ask_missing(replica))
         return now_s - alive_s <= ANSWER_COUNTS_S
 
-    async def _ask_missing(self, replica: SeenReplica) -> None:
+    async def _ask_missing(self, replica: ObservedReplica) -> None:
         present = {target.target_id for target in replica.members}
         known = self.directory.members_ever(replica.key)
         missing = [target for target in known if target.target_id not in present]
         try:
             reports = await asyncio.gather(
-                *(self.desk.control.report(target, REPORT_TIMEOUT_S) for target in missing)
+                *(self.order_sender.control.report(target, REPORT_TIMEOUT_S) for target in missing)
             )
         finally:
             self._asking.discard(replica.key)
--- a/ferrydock/replicas/_load_budget.py
+++ b/ferrydock/replicas/_load_budget.py
@@ -2,10 +2,10 @@
 
 from collections import deque
 
-__all__ = ["LoadBudget"]
+__all__ = ["WeightLoadBudget"]
 
 
-class LoadBudget:
+class WeightLoadBudget:
     """Counts loads in a sliding window.
 
     Parameters
@@ -15,7 +15,7 @@
 
     Examples
     --------
-    >>> budget = LoadBudget(5.0)
+    >>> budget = WeightLoadBudget(5.0)
     >>> budget.begin(2, now_s=0.0)
     >>> budget.left(3, now_s=1.0), budget.left(3, now_s=5.5)
     (1, 3)
--- a/ferrydock/replicas/_observed.py
+++ b/ferrydock/replicas/_observed.py
@@ -3,13 +3,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..targets import GroupState, Target
+from ..targets import ReplicaState, Target
 
-__all__ = ["SeenReplica", "seen_replicas"]
+__all__ = ["ObservedReplica", "observed_replicas"]
 
 
 @dataclass(slots=True)
-class SeenReplica:
+class ObservedReplica:
     """One replica; `members` are those with an entry, by rank."""
 
     name: str
@@ -30,7 +30,7 @@
     @property
     def is_open(self) -> bool:
         """Whether its head says that it serves."""
-        return self.head is not None and self.head.membership.state is GroupState.OPEN
+        return self.head is not None and self.head.membership.state is ReplicaState.OPEN
 
     @property
     def model(self) -> str:
@@ -38,13 +38,13 @@
         return next((t.models[0] for t in self.members if t.models), "")
 
 
-def seen_replicas(members: Iterable[Target]) -> list[SeenReplica]:
+def observed_replicas(members: Iterable[Target]) -> list[ObservedReplica]:
     """Return the replicas that targets with a membership form."""
-    found: dict[tuple[str, int], SeenReplica] = {}
+    found: dict[tuple[str, int], ObservedReplica] = {}
     for target in members:
         place = target.membership
         key = (place.replica, place.epoch)
-        found.setdefault(key, SeenReplica(*key, [])).members.append(target)
+        found.setdefault(key, ObservedReplica(*key, [])).members.append(target)
     for seen in found.values():
         seen.members.sort(key=lambda target: target.membership.rank)
     return list(found.values())
--- a/ferrydock/replicas/_order_sender.py
+++ b/ferrydock/replicas/_order_sender.py
@@ -20,7 +20,7 @@
     TargetReport,
 )
 
-__all__ = ["OrderDesk"]
+__all__ = ["OrderSender"]
 
 _LOG = logging.getLogger("ferrydock.replicas")
 PAUSE_S = 0.1
@@ -56,7 +56,7 @@
         return self.place != (order.replica, order.epoch)
 
 
-class OrderDesk:
+class OrderSender:
     """Gives orders under the number of orders that a target has taken.
 
     Parameters
--- a/ferrydock/replicas/_plan.py
+++ b/ferrydock/replicas/_plan.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from types import MappingProxyType
 
-from ..configuration import EngineFigures, ModelFigures
+from ..configuration import EngineSpec, ModelSpec
 from ..targets import Target
 from ._staging import Loading
 
@@ -17,7 +17,7 @@
     "choose_members",
     "domain_shares",
     "next_formation",
-    "target_counts",
+    "desired_counts",
 ]
 
 SPARE_PART = 0.2
@@ -30,20 +30,20 @@
 class Formation:
     """A replica to form: its model and its members, the head first."""
 
-    model: ModelFigures
+    model: ModelSpec
     members: tuple[Target, ...]
     loads: int
     ready_s: float
 
 
-def domain_shares(domains: int, engine: EngineFigures) -> list[dict[str, float]]:
+def domain_shares(domains: int, engine: EngineSpec) -> list[dict[str, float]]:
     """Return the share of each model in each domain of a hall, the domains in a fixed order.
 
     Parameters
     ----------
     domains : int
         Domains of the hall, all taken for equally large.
-    engine : EngineFigures
+    engine : EngineSpec
         Models and their shares of the whole.
 
     Notes
@@ -74,16 +74,14 @@
     return shares
 
 
-def target_counts(
-    workers: int, engine: EngineFigures, shares: Mapping[str, float]
-) -> dict[str, int]:
+def desired_counts(workers: int, engine: EngineSpec, shares: Mapping[str, float]) -> dict[str, int]:
     """Return how many replicas of each model a domain of `workers` should hold.
 
     Parameters
     ----------
     workers : int
         Sound workers of the domain, idle or not.
-    engine : EngineFigures
+    engine : EngineSpec
         Sizes of the models.
     shares : mapping of str to float
         Part of the domain that each model should have.
@@ -98,12 +96,12 @@
     >>> from ferrydock.replicas.tests.specs import two_models
     >>> halves = {"large": 0.5, "small": 0.5}
     >>> sizes = (10, 9, 8, 7, 6, 5, 4, 3, 1)
-    >>> [tuple(target_counts(size, two_models(), halves).values()) for size in sizes]
+    >>> [tuple(desired_counts(size, two_models(), halves).values()) for size in sizes]
     [(1, 2), (1, 2), (1, 1), (1, 1), (1, 1), (1, 0), (1, 0), (0, 1), (0, 0)]
     >>> large, small = {"large": 1.0, "small": 0.0}, {"large": 0.0, "small": 1.0}
-    >>> [target_counts(size, two_models(), large)["large"] for size in (10, 8, 7)]
+    >>> [desired_counts(size, two_models(), large)["large"] for size in (10, 8, 7)]
     [2, 2, 1]
-    >>> [target_counts(size, two_models(), small)["small"] for size in (10, 8, 6, 5)]
+    >>> [desired_counts(size, two_models(), small)["small"] for size in (10, 8, 6, 5)]
     [4, 3, 3, 2]
     """
     sparing = _fill(workers - int(workers * SPARE_PART), engine, shares)
@@ -112,11 +110,11 @@
     return sparing if _workers_in(sparing, engine) >= enough else using_all
 
 
-def _workers_in(counts: Mapping[str, int], engine: EngineFigures) -> int:
+def _workers_in(counts: Mapping[str, int], engine: EngineSpec) -> int:
     return sum(counts[model.name] * model.size for model in engine.models)
 
 
-def _fill(left: int, engine: EngineFigures, shares: Mapping[str, float]) -> dict[str, int]:
+def _fill(left: int, engine: EngineSpec, shares: Mapping[str, float]) -> dict[str, int]:
     """Return the replicas that `left` workers form."""
     counts = {model.name: 0 for model in engine.models}
     while True:
@@ -129,7 +127,7 @@
 
 
 def ready_in_s(
-    worker: Target, model: ModelFigures, loading: Mapping[str, Loading] = MappingProxyType({})
+    worker: Target, model: ModelSpec, loading: Mapping[str, Loading] = MappingProxyType({})
 ) -> float:
     """Return how long a worker takes to be ready for a model."""
     under_way = loading.get(worker.target_id)
@@ -145,7 +143,7 @@
 
 def choose_members(
     idle: Sequence[Target],
-    model: ModelFigures,
+    model: ModelSpec,
     loading: Mapping[str, Loading] = MappingProxyType({}),
 ) -> Formation | None:
     """Return the formation of `model` that is ready soonest, or None if workers are too few."""
@@ -162,7 +160,7 @@
     idle: Sequence[Target],
     counts: Mapping[str, int],
     workers: int,
-    engine: EngineFigures,
+    engine: EngineSpec,
     shares: Mapping[str, float],
     site_workers: Mapping[str, int],
     loads_left: int,
@@ -196,7 +194,7 @@
     So once a site serves, weights are staged to idle workers, and a replica is formed only of
     workers that have them.
     """
-    wanted = target_counts(workers, engine, shares)
+    wanted = desired_counts(workers, engine, shares)
     found = []
     for model in engine.models:
         if counts.get(model.name, 0) >= wanted[model.name]:
--- a/ferrydock/replicas/_planning.py
+++ b/ferrydock/replicas/_planning.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable
 
 from ..clock import Clock
-from ..configuration import EngineFigures, ModelFigures
+from ..configuration import EngineSpec, ModelSpec
 from ..targets import Target, TargetDirectory
 from ._hall_state import HallState
-from ._load_budget import LoadBudget
-from ._observed import SeenReplica
-from ._plan import Formation, domain_shares, next_formation, target_counts
+from ._load_budget import WeightLoadBudget
+from ._observed import ObservedReplica
+from ._plan import Formation, desired_counts, domain_shares, next_formation
 from ._staging import staging
 
 __all__ = ["HallPlanner"]
@@ -54,7 +54,7 @@
         self.clock = clock
         self.halls = halls
         self.load_overshoot = load_overshoot
-        self.loads = LoadBudget(load_window_s)
+        self.loads = WeightLoadBudget(load_window_s)
         self._domains: set[str] = set()
         self._workers_known = 0
         self._workers_since_s = 0.0
@@ -63,8 +63,8 @@
         self,
         service: str,
         workers: list[Target],
-        replicas: list[SeenReplica],
-        engine: EngineFigures,
+        replicas: list[ObservedReplica],
+        engine: EngineSpec,
         now_s: float,
     ) -> list[Formation]:
         """Return the replicas to form now."""
@@ -113,12 +113,12 @@
     def stagings(
         self,
         workers: list[Target],
-        replicas: list[SeenReplica],
-        engine: EngineFigures,
+        replicas: list[ObservedReplica],
+        engine: EngineSpec,
         now_s: float,
-    ) -> list[tuple[Target, ModelFigures]]:
+    ) -> list[tuple[Target, ModelSpec]]:
         """Return which idle workers shall load what: for missing replicas, then for spares."""
-        found: list[tuple[Target, ModelFigures]] = []
+        found: list[tuple[Target, ModelSpec]] = []
         if not any(replica.is_open for replica in replicas):
             return found
         domains: dict[str, list[Target]] = {}
@@ -129,7 +129,7 @@
         for domain, sound in domains.items():
             idle = [worker for worker in sound if self.state.is_idle(worker)]
             counts = self.state.counts(domain, replicas)
-            wanted = target_counts(len(sound), engine, shares[domain])
+            wanted = desired_counts(len(sound), engine, shares[domain])
             orders = staging(
                 idle,
                 {m.name: (wanted[m.name] - counts.get(m.name, 0)) * m.size for m in engine.models},
@@ -142,7 +142,7 @@
             found += orders
         return found[: self._loads_left(engine, now_s)]
 
-    def _loads_left(self, engine: EngineFigures, now_s: float) -> int:
+    def _loads_left(self, engine: EngineSpec, now_s: float) -> int:
         """Return how many loads from the weight store may begin now: the hall's part."""
         most = int(engine.loads_per_s * self.loads.window_s * self.load_overshoot + EXTRA_LOADS)
         return self.loads.left(most // self.halls, now_s)
@@ -161,13 +161,13 @@
             self._workers_since_s = now_s
         return now_s - self._workers_since_s >= SETTLE_S
 
-    def _shares(self, domains: Iterable[str], engine: EngineFigures) -> dict[str, dict[str, float]]:
+    def _shares(self, domains: Iterable[str], engine: EngineSpec) -> dict[str, dict[str, float]]:
         """Return the models' shares in each domain; a domain once seen keeps its place."""
         self._domains.update(domains)
         order = sorted(self._domains)
         return dict(zip(order, domain_shares(len(order), engine), strict=True))
 
-    def _site_workers(self, service: str, engine: EngineFigures) -> dict[str, int]:
+    def _site_workers(self, service: str, engine: EngineSpec) -> dict[str, int]:
         """Return the workers in open replicas of the whole site by model, and those planned."""
         found = {model.name: 0 for model in engine.models}
         for replica in self.directory.replicas(service):
--- a/ferrydock/replicas/_staging.py
+++ b/ferrydock/replicas/_staging.py
@@ -3,10 +3,10 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from ..configuration import EngineFigures, ModelFigures
+from ..configuration import EngineSpec, ModelSpec
 from ..targets import Target
 
-__all__ = ["Loading", "StagingBook", "staging"]
+__all__ = ["Loading", "StagingProgress", "staging"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,7 +17,7 @@
     left_s: float
 
 
-class StagingBook:
+class StagingProgress:
     """The loads that this controller began.
 
     Notes
@@ -27,11 +27,11 @@
 
     Examples
     --------
-    >>> book = StagingBook()
-    >>> book.begin("w", "small", 12.0, now_s=100.0)
-    >>> book.loading(now_s=104.0)
+    >>> current = StagingProgress()
+    >>> current.begin("w", "small", 12.0, now_s=100.0)
+    >>> current.loading(now_s=104.0)
     {'w': Loading(model='small', left_s=8.0)}
-    >>> book.loading(now_s=113.0)
+    >>> current.loading(now_s=113.0)
     {}
     """
 
@@ -63,11 +63,11 @@
     idle: Sequence[Target],
     missing: Mapping[str, int],
     in_use: Mapping[str, int],
-    engine: EngineFigures,
+    engine: EngineSpec,
     shares: Mapping[str, float],
     loading: Mapping[str, Loading],
     may_restage: bool,
-) -> list[tuple[Target, ModelFigures]]:
+) -> list[tuple[Target, ModelSpec]]:
     """Return which idle workers should load which model to their host.
 
     Parameters
@@ -113,13 +113,13 @@
     return worker.staged[0] if worker.staged else ""
 
 
-def _lacking(model: ModelFigures, missing: Mapping[str, int], pools: Mapping[str, list]) -> int:
+def _lacking(model: ModelSpec, missing: Mapping[str, int], pools: Mapping[str, list]) -> int:
     """Return how many more workers must load a model before its replicas are whole."""
     return max(0, missing.get(model.name, 0) - len(pools[model.name]))
 
 
 def _helpers(
-    model: ModelFigures,
+    model: ModelSpec,
     missing: Mapping[str, int],
     pools: Mapping[str, list[Target]],
     bare: list[Target],
@@ -146,7 +146,7 @@
 
 
 def _use_of_spare(
-    model: ModelFigures,
+    model: ModelSpec,
     missing: Mapping[str, int],
     in_use: Mapping[str, int],
     shares: Mapping[str, float],
--- a/ferrydock/replicas/tests/hall.py
+++ b/ferrydock/replicas/tests/hall.py
@@ -3,12 +3,12 @@
 import asyncio
 import random
 
-from ...configuration import Configuration, ConfigurationBook, ServiceFigures
+from ...configuration import Configuration, CurrentConfiguration, ServiceSpec
 from ...hall import ControllerLease
 from ...standins.fleet import Fleet, FleetControl, FleetList, LoopClock
 from ...store import MemoryStore
 from ...targets import TargetDirectory
-from .. import GroupController, OrderDesk
+from .. import OrderSender, ReplicaController
 from .specs import two_models
 
 ROUND_S = 0.1
@@ -23,9 +23,9 @@
         self.clock = LoopClock()
         self.store = MemoryStore(self.clock)
         self.fleet = Fleet(two_models(), self.rng)
-        self.book = ConfigurationBook()
-        services = {"engines": ServiceFigures("engines", 100, two_models())}
-        self.book.offer(Configuration(1, (), services, ()), 0.0)
+        self.current = CurrentConfiguration()
+        services = {"engines": ServiceSpec("engines", 100, two_models())}
+        self.current.offer(Configuration(1, (), services, ()), 0.0)
         for domain in range(domains):
             for number in range(workers):
                 self.fleet.add(f"w{domain}-{number}", "hall-a", f"d{domain}")
@@ -52,14 +52,14 @@
         holder = f"daemon-{self.controllers}"
         control = FleetControl(self.fleet, self.rng)
         lease = ControllerLease(self.store, self.clock, "hall-a", holder)
-        self.controller = GroupController(
+        self.controller = ReplicaController(
             "hall-a",
             1,
             lease,
             self.store,
-            self.book,
+            self.current,
             self.directory,
-            OrderDesk(control, self.directory, self.clock),
+            OrderSender(control, self.directory, self.clock),
             self.clock,
             5.0,
             1.1,
--- a/ferrydock/replicas/tests/specs.py
+++ b/ferrydock/replicas/tests/specs.py
@@ -1,17 +1,17 @@
 """Figures of a service with two models, as a small site has it."""
 
-from ...configuration import EngineFigures, ModelFigures
+from ...configuration import EngineSpec, ModelSpec
 from ...targets import Target
 
 
 def two_models(loads_per_s=5.0):
     """Return an engine with a model of four workers and one of two."""
-    return EngineFigures(
+    return EngineSpec(
         slots=9,
         loads_per_s=loads_per_s,
         models=(
-            ModelFigures("large", 4, 0.5, 16.0, 1.6),
-            ModelFigures("small", 2, 0.5, 12.0, 1.1),
+            ModelSpec("large", 4, 0.5, 16.0, 1.6),
+            ModelSpec("small", 2, 0.5, 12.0, 1.1),
         ),
     )
 
--- a/ferrydock/replicas/tests/test_controller.py
+++ b/ferrydock/replicas/tests/test_controller.py
@@ -146,7 +146,7 @@
         head = next(h for h in hall.fleet.open_heads() if h.model == "large")
         for worker in hall.fleet.workers.values():
             known = KnownOrders(worker.orders + 1, worker.group_key)
-            hall.controller.desk._known[worker.worker_id] = known
+            hall.controller.order_sender._known[worker.worker_id] = known
         hall.kill_worker(head.members[1])
         hall.controller.suspect([head.members[1]], "test")
         took_s = await hall.until(lambda: hall.models() == WHOLE, 20.0)
@@ -177,10 +177,10 @@
         hall = Hall(5)
         hall.list.lag_s = 0.8
         await formed(hall)
-        desk = hall.controller.desk
+        order_sender = hall.controller.order_sender
         await asyncio.sleep(10.0)
         forming = 16 + 6 + 4  # joins, opens, stagings
-        assert desk.control.given <= forming + 2
+        assert order_sender.control.given <= forming + 2
 
     play(scenario)
 
--- a/ferrydock/route_daemon/__init__.py
+++ b/ferrydock/route_daemon/__init__.py
@@ -1,13 +1,13 @@
 """The daemon that serves routes: its settings, the deployment around it, its composition."""
 
-from ._daemon import EntryNode
+from ._daemon import RouteDaemon
 from ._deployment import Deployment, deployment_kinds, open_deployment, register_deployment
-from ._settings import EntrySettings, check_settings
+from ._settings import RouteDaemonSettings, check_settings
 
 __all__ = [
     "Deployment",
-    "EntryNode",
-    "EntrySettings",
+    "RouteDaemon",
+    "RouteDaemonSettings",
     "check_settings",
     "deployment_kinds",
     "open_deployment",
--- a/ferrydock/route_daemon/__main__.py
+++ b/ferrydock/route_daemon/__main__.py
@@ -17,7 +17,7 @@
 from ..environment import apply_environment
 from ..logs import log_event
 from ..outcomes import Invalid
-from . import Deployment, EntryNode, deployment_kinds, open_deployment
+from . import Deployment, RouteDaemon, deployment_kinds, open_deployment
 
 __all__ = ["RouteService", "main"]
 
@@ -28,7 +28,7 @@
 
 
 class RouteService(aiomisc.Service):
-    """Runs an `EntryNode` under aiomisc's entry point.
+    """Runs an `RouteDaemon` under aiomisc's entry point.
 
     Parameters
     ----------
@@ -37,10 +37,10 @@
     """
 
     deployment: Deployment
-    node: EntryNode
+    node: RouteDaemon
 
     async def start(self) -> None:
-        self.node = EntryNode(self.deployment, SystemClock())
+        self.node = RouteDaemon(self.deployment, SystemClock())
         await self.node.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
@@ -60,7 +60,7 @@
     return EXIT_BAD_SETTING
 
 
-async def _run_until_stopped(node: EntryNode) -> int:
+async def _run_until_stopped(node: RouteDaemon) -> int:
     """Wait for a signal, then stop as planned; a broken invariant ends the process at once."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -6,29 +6,36 @@
 from collections.abc import Awaitable, Callable
 
 from ..clock import Clock
-from ..configuration import ConfigurationBook, ServiceFigures
-from ..forwarding import Forwarder, HallPlacing, LoadBook, RouteGateway, StallWatch, Upstream
+from ..configuration import CurrentConfiguration, ServiceSpec
+from ..forwarding import (
+    Forwarder,
+    HallEndpointSelector,
+    RouteGateway,
+    StallDetector,
+    TargetLoads,
+    Upstream,
+)
 from ..hall import ControllerLease
 from ..logs import BoundedHandler, log_event
 from ..outcomes import Invalid
-from ..relay import BrokenReplicas, HallRoster, RelayClient, RelayServer
-from ..replicas import GroupController, OrderDesk
+from ..relay import BrokenReplicas, DaemonCounter, RelayClient, RelayServer
+from ..replicas import OrderSender, ReplicaController
 from ..reports import RouteMetrics
 from ..requests import RetryBudget
 from ..scheduling import (
-    DispatchClient,
-    Dispatcher,
-    ElsewhereWatch,
-    HallLedger,
-    dispatch_methods,
+    HallScheduler,
+    InFlightCounts,
+    RemoteHallPoller,
+    SchedulerClient,
+    scheduler_methods,
 )
 from ..targets import TargetDirectory
 from ._deployment import Deployment
-from ._leadership import OtherHallSeat, OwnHallSeat
-from ._status_listener import SideListener
+from ._leadership import OwnHallLeadership, RemoteHallLeadership
+from ._status_listener import StatusListener
 from ._store_follower import StoreFollower
 
-__all__ = ["EntryNode"]
+__all__ = ["RouteDaemon"]
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
 READY_GONE_S = 3.2
@@ -47,7 +54,7 @@
 GATHER_S = 0.4
 
 
-class EntryNode:
+class RouteDaemon:
     """Composes the parts of a daemon and drives its loops.
 
     Parameters
@@ -64,18 +71,18 @@
         self.clock = clock
         self.rng = random.Random()
         self.failed = asyncio.Event()
-        self.book = ConfigurationBook()
+        self.current = CurrentConfiguration()
         self.directory = TargetDirectory()
-        self.loads = LoadBook()
-        self.roster = HallRoster()
-        self.placing = HallPlacing(
+        self.loads = TargetLoads()
+        self.daemon_counter = DaemonCounter()
+        self.selector = HallEndpointSelector(
             self.directory, self.loads, self.settings.hall, clock, self.rng, self._daemons
         )
         self.upstream = Upstream()
         self.metrics = RouteMetrics()
         self._budgets: dict[str, RetryBudget] = {}
         self.forwarder = Forwarder(
-            self.placing,
+            self.selector,
             self.upstream,
             self.loads,
             deployment.dialect,
@@ -84,12 +91,12 @@
             self.metrics,
         )
         self.gateway = RouteGateway(
-            self.book, self.forwarder, deployment.dialect, self._freshness_s, clock, self.rng
+            self.current, self.forwarder, deployment.dialect, self._freshness_s, clock, self.rng
         )
-        self.desk = OrderDesk(deployment.control, self.directory, clock)
-        self.stalls = StallWatch(
+        self.order_sender = OrderSender(deployment.control, self.directory, clock)
+        self.stalls = StallDetector(
             self.forwarder,
-            self.placing,
+            self.selector,
             self.loads,
             deployment.control,
             clock,
@@ -98,66 +105,66 @@
         )
         self.broken = BrokenReplicas(self._on_told_broken)
         self.relay_server = RelayServer(
-            self.book, self.directory, self._reads_store, clock, self.broken, self.roster
+            self.current, self.directory, self._reads_store, clock, self.broken, self.daemon_counter
         )
         decode = deployment.configuration_source.decode
         self.relay_client = RelayClient(
-            self.book,
+            self.current,
             self.directory,
             decode,
             clock,
             self.broken,
-            self.roster,
+            self.daemon_counter,
             self.settings.name,
         )
         self.controllers = [self._controller(hall) for hall in self.settings.halls]
-        self.seats = [self._seat(controller) for controller in self.controllers]
+        self.leaderships = [self._seat(controller) for controller in self.controllers]
         own = self.settings.halls.index(self.settings.hall)
-        self.own_seat: OwnHallSeat = self.seats[own]
+        self.leadership: OwnHallLeadership = self.leaderships[own]
         self.follower = StoreFollower(
             deployment,
-            self.book,
+            self.current,
             self.directory,
-            self.own_seat,
+            self.leadership,
             clock,
             self.rng,
-            self.placing.wake,
+            self.selector.assign_free_slots,
         )
-        self.ledger = HallLedger(self.rng.getrandbits(40))
-        self.dispatcher = Dispatcher(
+        self.counts = InFlightCounts(self.rng.getrandbits(40))
+        self.scheduler = HallScheduler(
             self.directory,
-            self.ledger,
+            self.counts,
             self.settings.hall,
             self._service,
-            self.placing.broken,
+            self.selector.broken,
             clock,
             self.rng,
         )
-        self.placing.dispatch = DispatchClient(
+        self.selector.dispatch = SchedulerClient(
             self.settings.name,
-            self.dispatcher,
-            lambda: self.own_seat.leader_address,
+            self.scheduler,
+            lambda: self.leadership.leader_address,
             self.settings.peer_address,
             self.loads.running,
             clock,
         )
-        self.elsewhere = ElsewhereWatch(self.ledger, self._other_leaders, clock)
-        self.ready_listener = SideListener(self._answer_ready)
-        self.metrics_listener = SideListener(self._answer_metrics)
+        self.elsewhere = RemoteHallPoller(self.counts, self._other_leaders, clock)
+        self.ready_listener = StatusListener(self._answer_ready)
+        self.metrics_listener = StatusListener(self._answer_metrics)
         self.stopping = False
         self._tasks: list[asyncio.Task] = []
         self._seen_change = 0
 
-    def _controller(self, hall: str) -> GroupController:
+    def _controller(self, hall: str) -> ReplicaController:
         settings, store = self.settings, self.deployment.store
-        return GroupController(
+        return ReplicaController(
             hall,
             len(settings.halls),
             ControllerLease(store, self.clock, hall, settings.name, settings.peer_address),
             store,
-            self.book,
+            self.current,
             self.directory,
-            self.desk,
+            self.order_sender,
             self.clock,
             settings.load_window_s,
             settings.load_overshoot,
@@ -165,35 +172,35 @@
             self.metrics,
         )
 
-    def _seat(self, controller: GroupController) -> OwnHallSeat | OtherHallSeat:
+    def _seat(self, controller: ReplicaController) -> OwnHallLeadership | RemoteHallLeadership:
         parts = (controller, self.deployment.store, self.clock, self.rng, self._is_stopping)
         if controller.hall == self.settings.hall:
-            return OwnHallSeat(*parts, relay=self.relay_client)
-        return OtherHallSeat(*parts, is_candidate=lambda: self.own_seat.lease.valid)
+            return OwnHallLeadership(*parts, relay=self.relay_client)
+        return RemoteHallLeadership(*parts, is_candidate=lambda: self.leadership.lease.valid)
 
-    def _service(self, name: str) -> ServiceFigures | None:
-        lookup = self.book.lookup
+    def _service(self, name: str) -> ServiceSpec | None:
+        lookup = self.current.lookup
         return lookup.configuration.services.get(name) if lookup else None
 
     def _other_leaders(self) -> dict[str, str]:
         """Return the addresses of the other halls' dispatchers, as far as they are known."""
         return {
-            seat.controller.hall: seat.leader_address
-            for seat in self.seats
-            if seat is not self.own_seat and seat.leader_address
+            leadership.controller.hall: leadership.leader_address
+            for leadership in self.leaderships
+            if leadership is not self.leadership and leadership.leader_address
         }
 
     async def _hear_elsewhere(self) -> None:
-        """Learn, as this hall's dispatcher, what other halls have at its targets."""
-        self.ledger.forget_silent(self.clock.now_s())
-        if self.own_seat.is_leader:
+        """Learn, as this hall's scheduler, what other halls have at its targets."""
+        self.counts.forget_silent(self.clock.now_s())
+        if self.leadership.is_leader:
             await self.elsewhere.step()
-            self.dispatcher.serve_waiting()
+            self.scheduler.assign_free_slots()
 
     def _reads_store(self) -> bool:
         """Whether this daemon is the one of its hall that reads the store, and can."""
-        age_s = self.book.age_s(self.clock.now_s())
-        return self.own_seat.lease.valid and age_s < STORE_AWAY_S
+        age_s = self.current.age_s(self.clock.now_s())
+        return self.leadership.lease.valid and age_s < STORE_AWAY_S
 
     def _on_told_broken(self, key: tuple[str, int]) -> None:
         """Take another daemon's word that a replica is broken.
@@ -201,7 +208,7 @@
         A follower takes its controller's word. The controller asks the members itself: whoever
         told it may be cut off from them.
         """
-        if not self.own_seat.lease.valid:
+        if not self.leadership.lease.valid:
             self.stalls.break_replica(key, "told")
             return
         for service in self._engine_services():
@@ -226,7 +233,7 @@
 
     def _daemons(self) -> int:
         """Return how many daemons the site has, if all halls are as large as this one."""
-        return len(self.settings.halls) * self.roster.size(self.clock.now_s())
+        return len(self.settings.halls) * self.daemon_counter.size(self.clock.now_s())
 
     def _slack_part(self) -> float:
         """Return this daemon's part of the slack in retries, which all daemons share.
@@ -252,10 +259,10 @@
         self._spawn(self._every(PACE_S, self._set_pace))
         self._spawn(self._every(PACE_S, self._let_waiting_in))
         self._spawn(self._every(ELSEWHERE_S, self._hear_elsewhere))
-        methods = dispatch_methods(self.dispatcher)
+        methods = scheduler_methods(self.scheduler)
         await self.relay_server.start(self.settings.peer_address, methods)
-        for seat in self.seats:
-            self._spawn(seat.run())
+        for leadership in self.leaderships:
+            self._spawn(leadership.run())
         log_event(
             _LOG,
             logging.INFO,
@@ -288,7 +295,7 @@
         await self.gateway.close()
         await self.ready_listener.close()
         await self.metrics_listener.close()
-        await self.placing.dispatch.close()
+        await self.selector.dispatch.close()
         await self.elsewhere.close()
         await self.relay_client.close()
         await self.relay_server.close()
@@ -337,9 +344,9 @@
         metrics.set_replicas(replicas)
         metrics.targets.set(len(self.directory.targets))
         metrics.in_flight.set(self.gateway.in_flight)
-        metrics.waiting.set(self.placing.waiting)
-        metrics.version.set(self.book.version)
-        metrics.age.set(self.book.age_s(self.clock.now_s()))
+        metrics.waiting.set(self.selector.waiting)
+        metrics.version.set(self.current.version)
+        metrics.age.set(self.current.age_s(self.clock.now_s()))
         for service, budget in self._budgets.items():
             metrics.budget_left.labels(service).set(budget.left)
         for result, calls in self.deployment.store_calls.items():
@@ -348,15 +355,15 @@
         metrics.log_lines_left_out.set(sum(handler.left_out for handler in handlers))
 
     def _engine_services(self) -> list[str]:
-        if self.book.lookup is None:
+        if self.current.lookup is None:
             return []
-        services = self.book.lookup.configuration.services.values()
+        services = self.current.lookup.configuration.services.values()
         return [service.name for service in services if service.engine is not None]
 
     def _why_not_ready(self) -> str:
         if self.stopping:
             return "stopping"
-        if self.book.lookup is None:
+        if self.current.lookup is None:
             return "no configuration yet"
         return "" if self.directory.loaded else "no targets yet"
 
@@ -366,7 +373,7 @@
         """Wake queued requests when the targets have changed."""
         if self.directory.changes != self._seen_change:
             self._seen_change = self.directory.changes
-            self.placing.wake()
+            self.selector.assign_free_slots()
 
     async def _set_pace(self) -> None:
         """Let a controller at work hear of its targets at once, and others in larger batches."""
@@ -378,7 +385,7 @@
         busy = {target_id for target_id, load in self.loads.items() if load.running}
         self.upstream.forget_others(listed, busy)
         self.loads.forget_others(listed)
-        self.desk.forget_others(listed)
+        self.order_sender.forget_others(listed)
         self._share_budgets()
         self.gateway.enforce_timeouts()
         self.reread_settings()
@@ -386,8 +393,8 @@
     def _share_budgets(self) -> None:
         """Give each retry budget the part that the hall's number of daemons leaves."""
         now_s = self.clock.now_s()
-        if self.own_seat.lease.valid:
-            self.roster.learn(self.roster.followed(now_s), now_s)
+        if self.leadership.lease.valid:
+            self.daemon_counter.learn(self.daemon_counter.count_followers(now_s), now_s)
         part = self._slack_part()
         for budget in self._budgets.values():
             budget.limit(part)
--- a/ferrydock/route_daemon/_deployment.py
+++ b/ferrydock/route_daemon/_deployment.py
@@ -8,7 +8,7 @@
 from ..outcomes import Invalid
 from ..store import Store
 from ..targets import TargetControl, TargetSource
-from ._settings import EntrySettings
+from ._settings import RouteDaemonSettings
 
 __all__ = ["Deployment", "deployment_kinds", "open_deployment", "register_deployment"]
 
@@ -19,7 +19,7 @@
 
     Attributes
     ----------
-    settings : EntrySettings
+    settings : RouteDaemonSettings
         As read.
     reread : callable
         Reads the settings again.
@@ -27,8 +27,8 @@
         Calls made of the store so far, by kind and result.
     """
 
-    settings: EntrySettings
-    reread: Callable[[], EntrySettings | Invalid]
+    settings: RouteDaemonSettings
+    reread: Callable[[], RouteDaemonSettings | Invalid]
     store: Store
     store_calls: Mapping[str, int]
     configuration_source: ConfigurationSource
--- a/ferrydock/route_daemon/_leadership.py
+++ b/ferrydock/route_daemon/_leadership.py
@@ -10,10 +10,10 @@
 from ..logs import log_event
 from ..outcomes import Conflict, Unavailable
 from ..relay import RelayClient
-from ..replicas import GroupController
+from ..replicas import ReplicaController
 from ..store import LeaseGranted, LeaseLost, RangeDone, Store
 
-__all__ = ["ControllerSeat", "OtherHallSeat", "OwnHallSeat"]
+__all__ = ["HallLeadership", "RemoteHallLeadership", "OwnHallLeadership"]
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
 LEASE_S = 1.8
@@ -31,12 +31,12 @@
 MOST_LOOKS_LEFT_OUT = 4
 
 
-class ControllerSeat:
+class HallLeadership:
     """The lease of one hall, and the hall's controller that acts under it.
 
     Parameters
     ----------
-    controller : GroupController
+    controller : ReplicaController
         Acts while the lease is held.
     is_leaving : callable
         Whether this daemon is about to stop.
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        controller: GroupController,
+        controller: ReplicaController,
         store: Store,
         clock: Clock,
         rng: random.Random,
@@ -122,8 +122,8 @@
             await self.lease.give_back()
 
 
-class OwnHallSeat(ControllerSeat):
-    """The seat of the daemon's own hall: taken if free, else its holder is followed.
+class OwnHallLeadership(HallLeadership):
+    """The leadership of the daemon's own hall: taken if free, else its holder is followed.
 
     Parameters
     ----------
@@ -147,7 +147,7 @@
         return self.clock.now_s() < self.relayed_until_s
 
     async def run(self) -> None:
-        """Take the seat, or follow whoever has it."""
+        """Take the leadership, or follow whoever has it."""
         away = 0
         while not self.is_leaving():
             found = await self.store.range(self.key)
@@ -165,7 +165,7 @@
                 await self._wait_for_end(found.revision, self.rng.uniform(1.0, 2.0))
 
     async def _try_for_seat(self) -> None:
-        """Take the free seat, unless another daemon was quicker.
+        """Take the free leadership, unless another daemon was quicker.
 
         Daemons of a hall start, and miss a leader, all at once: one read after a drawn pause
         spares most of them a lease that would be in vain.
@@ -197,8 +197,8 @@
                 await asyncio.sleep(BROKEN_PAUSE_S)
 
 
-class OtherHallSeat(ControllerSeat):
-    """The seat of another hall, which only a controller takes, after nobody there has.
+class RemoteHallLeadership(HallLeadership):
+    """The leadership of another hall, which only a controller takes, after nobody there has.
 
     Parameters
     ----------
@@ -211,7 +211,7 @@
         self.is_candidate = is_candidate
 
     async def run(self) -> None:
-        """Look whether the hall is without a controller for long, and then take its seat."""
+        """Look whether the hall is without a controller for long, and then take its leadership."""
         while not self.is_leaving():
             await asyncio.sleep(self.rng.uniform(0.8, 1.2))
             if not self.is_candidate():
--- a/ferrydock/route_daemon/_settings.py
+++ b/ferrydock/route_daemon/_settings.py
@@ -6,13 +6,13 @@
 
 from ..outcomes import Fault, Invalid
 
-__all__ = ["EntrySettings", "check_settings"]
+__all__ = ["RouteDaemonSettings", "check_settings"]
 
 MOST_PORT = 65535
 
 
 @dataclass(frozen=True, slots=True)
-class EntrySettings:
+class RouteDaemonSettings:
     """What one daemon is told at its start.
 
     Attributes
@@ -111,13 +111,13 @@
 
 def check_settings(
     given: Mapping[str, object], shown: Mapping[str, str]
-) -> EntrySettings | Invalid:
+) -> RouteDaemonSettings | Invalid:
     """Return checked settings, or every fault with the field's name, value and what is allowed.
 
     Parameters
     ----------
     given : mapping
-        Values by the names of `EntrySettings`; a missing one is a fault.
+        Values by the names of `RouteDaemonSettings`; a missing one is a fault.
     shown : mapping
         Names by which whoever wrote the settings knows the fields.
     """
@@ -132,4 +132,5 @@
     if given["hall"] not in given["halls"]:
         place = shown.get("hall", "hall")
         return Invalid((Fault(place, f"{given['hall']!r} is none of the site's halls"),))
-    return EntrySettings(**{field.name: given[field.name] for field in fields(EntrySettings)})
+    names = [field.name for field in fields(RouteDaemonSettings)]
+    return RouteDaemonSettings(**{name: given[name] for name in names})
--- a/ferrydock/route_daemon/_status_listener.py
+++ b/ferrydock/route_daemon/_status_listener.py
@@ -4,10 +4,10 @@
 
 from aiohttp import web
 
-__all__ = ["SideListener"]
+__all__ = ["StatusListener"]
 
 
-class SideListener:
+class StatusListener:
     """Answers GET at any path with what a function returns.
 
     Parameters
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -8,15 +8,15 @@
 from ..clock import Clock
 from ..configuration import (
     Configuration,
-    ConfigurationBook,
     ConfigurationUnchanged,
     ConfigurationUnreadable,
+    CurrentConfiguration,
 )
 from ..logs import log_event
 from ..outcomes import Unavailable
 from ..targets import TargetDirectory
 from ._deployment import Deployment
-from ._leadership import OwnHallSeat
+from ._leadership import OwnHallLeadership
 
 __all__ = ["StoreBackoff", "StoreFollower"]
 
@@ -68,11 +68,11 @@
 
 
 class StoreFollower:
-    """Keeps the book of configurations and the directory of targets up to date.
+    """Keeps the current of configurations and the directory of targets up to date.
 
     Parameters
     ----------
-    seat : OwnHallSeat
+    leadership : OwnHallLeadership
         Tells whether another daemon's word makes the store needless.
     on_change : callable
         Called after a new configuration.
@@ -80,29 +80,29 @@
 
     __slots__ = (
         "_reached",
-        "book",
+        "current",
         "clock",
         "deployment",
         "directory",
         "on_change",
         "rng",
-        "seat",
+        "leadership",
     )
 
     def __init__(
         self,
         deployment: Deployment,
-        book: ConfigurationBook,
+        current: CurrentConfiguration,
         directory: TargetDirectory,
-        seat: OwnHallSeat,
+        leadership: OwnHallLeadership,
         clock: Clock,
         rng: random.Random,
         on_change: Callable[[], None],
     ):
         self.deployment = deployment
-        self.book = book
+        self.current = current
         self.directory = directory
-        self.seat = seat
+        self.leadership = leadership
         self.clock = clock
         self.rng = rng
         self.on_change = on_change
@@ -113,32 +113,34 @@
             return
         self._reached = reached
         event = "store_regained" if reached else "store_lost"
-        log_event(_LOG, logging.WARNING, event, why=reason or None, version=self.book.version)
+        log_event(_LOG, logging.WARNING, event, why=reason or None, version=self.current.version)
 
     async def follow_configuration(self) -> None:
         """Read and confirm the configuration, for good."""
         backoff = StoreBackoff(self.rng)
         await self._hear_peer_first()
         while True:
-            if self.seat.is_relayed:
+            if self.leadership.is_relayed:
                 backoff.reset()
                 await asyncio.sleep(RELAYED_LOOK_S)
                 continue
             began_s = self.clock.now_s()
             found = await self.deployment.configuration_source.read()
             if isinstance(found, Unavailable):
-                self._note_store(self.book.lookup is None, found.reason)
+                self._note_store(self.current.lookup is None, found.reason)
                 await asyncio.sleep(self._pause_s(backoff))
                 continue
             backoff.reset()
             self._note_store(True)
             self._take(found, began_s)
-            pause_s = CONFIRM_FOR_OTHERS_S if self.seat.lease.valid else CONFIRM_S
+            pause_s = CONFIRM_FOR_OTHERS_S if self.leadership.lease.valid else CONFIRM_S
             await asyncio.sleep(pause_s * self.rng.uniform(0.9, 1.1))
 
     def _pause_s(self, backoff: StoreBackoff) -> float:
         """Return how long to leave the store alone; a daemon without a list has nothing yet."""
-        hurries = self.seat.is_leader or self.book.lookup is None or not self.directory.loaded
+        hurries = (
+            self.leadership.is_leader or self.current.lookup is None or not self.directory.loaded
+        )
         return backoff.after_failure(hurries)
 
     def _take(
@@ -147,10 +149,10 @@
         began_s: float,
     ) -> None:
         if isinstance(found, Configuration):
-            self.book.offer(found, began_s)
+            self.current.offer(found, began_s)
             self.on_change()
         elif isinstance(found, ConfigurationUnchanged):
-            self.book.confirm(self.book.version, began_s)
+            self.current.confirm(self.current.version, began_s)
         else:
             log_event(_LOG, logging.ERROR, "configuration_unreadable", why=found.reason)
 
@@ -163,7 +165,7 @@
             return
         until_s = self.clock.now_s() + HEAR_PEER_S
         while self.clock.now_s() < until_s:
-            if self.seat.is_relayed or self.seat.lease.valid:
+            if self.leadership.is_relayed or self.leadership.lease.valid:
                 return
             await asyncio.sleep(RELAYED_LOOK_S / 2)
 
@@ -173,7 +175,7 @@
         await self._hear_peer_first()
         try:
             while True:
-                relayed = self.seat.is_relayed
+                relayed = self.leadership.is_relayed
                 if relayed and reading is not None:
                     reading.cancel()
                     reading = None
--- a/ferrydock/scheduling/__init__.py
+++ b/ferrydock/scheduling/__init__.py
@@ -1,25 +1,25 @@
 """One daemon of each hall places the requests of all: it alone knows every target's load."""
 
-from ._client import DispatchClient
-from ._endpoints import Place, most_requests, places
-from ._in_flight import HallLedger
-from ._messages import Placed, PlaceRequest, decode_placed, decode_request, encode
-from ._remote_halls import ElsewhereWatch
-from ._scheduler import Dispatcher
-from ._server import dispatch_methods
+from ._client import SchedulerClient
+from ._endpoints import Endpoint, endpoints, max_requests
+from ._in_flight import InFlightCounts
+from ._messages import SlotReply, SlotRequest, decode_placed, decode_request, encode
+from ._remote_halls import RemoteHallPoller
+from ._scheduler import HallScheduler
+from ._server import scheduler_methods
 
 __all__ = [
-    "DispatchClient",
-    "Dispatcher",
-    "ElsewhereWatch",
-    "HallLedger",
-    "Place",
-    "PlaceRequest",
-    "Placed",
+    "SchedulerClient",
+    "HallScheduler",
+    "RemoteHallPoller",
+    "InFlightCounts",
+    "Endpoint",
+    "SlotRequest",
+    "SlotReply",
     "decode_placed",
     "decode_request",
-    "dispatch_methods",
+    "scheduler_methods",
     "encode",
-    "most_requests",
-    "places",
+    "max_requests",
+    "endpoints",
 ]
--- a/ferrydock/scheduling/_client.py
+++ b/ferrydock/scheduling/_client.py
@@ -1,4 +1,4 @@
-"""Asking the hall's dispatcher for places, and telling it what runs."""
+"""Asking the hall's scheduler for endpoints, and telling it what runs."""
 
 import asyncio
 import logging
@@ -9,11 +9,11 @@
 from ..clock import Clock
 from ..logs import log_event
 from ..relay import PeerCalls
-from ._messages import Placed, PlaceRequest, decode_placed, encode
-from ._scheduler import Dispatcher
+from ._messages import SlotReply, SlotRequest, decode_placed, encode
+from ._scheduler import HallScheduler
 from ._server import PLACE
 
-__all__ = ["DispatchClient"]
+__all__ = ["SchedulerClient"]
 
 _LOG = logging.getLogger("ferrydock.scheduling")
 ANSWER_WITHIN_S = 0.06
@@ -22,17 +22,17 @@
 SEEN_TOLD_S = 0.6
 
 
-class DispatchClient:
-    """Reaches the dispatcher, which may be this daemon's own.
+class SchedulerClient:
+    """Reaches the scheduler, which may be this daemon's own.
 
     Parameters
     ----------
     name : str
         Of this daemon.
-    dispatcher : Dispatcher
+    scheduler : HallScheduler
         This daemon's own.
     address : callable
-        Returns ``IP:PORT`` of the hall's dispatcher; empty if it is not known.
+        Returns ``IP:PORT`` of the hall's scheduler; empty if it is not known.
     own_address : str
         This daemon's.
     running : callable
@@ -46,7 +46,7 @@
         "address",
         "calls",
         "clock",
-        "dispatcher",
+        "scheduler",
         "name",
         "own_address",
         "running",
@@ -55,14 +55,14 @@
     def __init__(
         self,
         name: str,
-        dispatcher: Dispatcher,
+        scheduler: HallScheduler,
         address: Callable[[], str],
         own_address: str,
         running: Callable[[], Mapping[str, int]],
         clock: Clock,
     ):
         self.name = name
-        self.dispatcher = dispatcher
+        self.scheduler = scheduler
         self.address = address
         self.own_address = own_address
         self.running = running
@@ -72,12 +72,12 @@
         self._seen: deque[tuple[float, int]] = deque()
         self._tell: asyncio.Task | None = None
 
-    async def ask(self, request: PlaceRequest) -> Placed | None:
-        """Return the dispatcher's answer; None if none can be had."""
+    async def ask(self, request: SlotRequest) -> SlotReply | None:
+        """Return the scheduler's answer; None if none can be had."""
         told = replace(request, sender=self.name, running=self.running(), seen=self._seen_lately())
         address = self.address()
         if address == self.own_address:
-            placed = await self.dispatcher.place(told)
+            placed = await self.scheduler.place(told)
         elif not address or self._is_passed_over():
             return None
         else:
@@ -106,16 +106,16 @@
         log_event(_LOG, logging.WARNING, "dispatcher_lost", address=address)
 
     def note_end(self) -> None:
-        """Tell the dispatcher soon that something ended."""
+        """Tell the scheduler soon that something ended."""
         if self._tell is None or self._tell.done():
             self._tell = asyncio.get_running_loop().create_task(self._tell_soon())
 
     async def _tell_soon(self) -> None:
         await asyncio.sleep(TELL_AFTER_S)
-        request = PlaceRequest(self.name, self.running(), self._seen_lately())
+        request = SlotRequest(self.name, self.running(), self._seen_lately())
         address = self.address()
         if address == self.own_address:
-            self.dispatcher.heard(request)
+            self.scheduler.heard(request)
         elif address and not self._is_passed_over():
             answer = await self.calls.call(address, PLACE, encode(request), ANSWER_WITHIN_S)
             if answer is None:
--- a/ferrydock/scheduling/_in_flight.py
+++ b/ferrydock/scheduling/_in_flight.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-__all__ = ["HallLedger"]
+__all__ = ["InFlightCounts"]
 
 SILENT_S = 3.0
 GRANT_COUNTS_S = 0.5
@@ -20,7 +20,7 @@
     at_s: float
 
 
-class HallLedger:
+class InFlightCounts:
     """Requests that run, by target.
 
     Parameters
@@ -36,20 +36,20 @@
 
     Examples
     --------
-    >>> ledger = HallLedger()
-    >>> ledger.heard("edge-1", {"t": 2}, now_s=0.0)
-    >>> ledger.grant("edge-2", "t", now_s=0.0)
+    >>> counts = InFlightCounts()
+    >>> counts.heard("edge-1", {"t": 2}, now_s=0.0)
+    >>> counts.grant("edge-2", "t", now_s=0.0)
     1
-    >>> ledger.total("t")
+    >>> counts.total("t")
     3
-    >>> ledger.heard("edge-2", {"t": 1}, now_s=0.2, seen=(1,))
-    >>> ledger.total("t")
+    >>> counts.heard("edge-2", {"t": 1}, now_s=0.2, seen=(1,))
+    >>> counts.total("t")
     3
-    >>> ledger.take_elsewhere("hall-b", {"t": 4}, now_s=0.2)
-    >>> ledger.total("t"), ledger.of_hall()
+    >>> counts.take_elsewhere("hall-b", {"t": 4}, now_s=0.2)
+    >>> counts.total("t"), counts.of_hall()
     (7, {'t': 3})
-    >>> ledger.forget_silent(now_s=3.1)
-    >>> ledger.total("t")
+    >>> counts.forget_silent(now_s=3.1)
+    >>> counts.total("t")
     1
     """
 
--- a/ferrydock/scheduling/_messages.py
+++ b/ferrydock/scheduling/_messages.py
@@ -1,15 +1,15 @@
-"""What a daemon asks of its hall's dispatcher, and the answer."""
+"""What a daemon asks of its hall's scheduler, and the answer."""
 
 from collections.abc import Mapping
 from dataclasses import asdict, dataclass, field
 
 import orjson
 
-__all__ = ["PlaceRequest", "Placed", "decode_placed", "decode_request", "encode"]
+__all__ = ["SlotRequest", "SlotReply", "decode_placed", "decode_request", "encode"]
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceRequest:
+class SlotRequest:
     """One request that needs a place; without a service it only tells what runs.
 
     Attributes
@@ -29,7 +29,7 @@
     left_s : float
         Time left for the request.
     hold_s : float
-        How long it may wait at the dispatcher for room.
+        How long it may wait at the scheduler for room.
     """
 
     sender: str
@@ -44,8 +44,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """The dispatcher's answer.
+class SlotReply:
+    """The scheduler's answer.
 
     Attributes
     ----------
@@ -62,17 +62,17 @@
     grant: int = 0
 
 
-def encode(message: PlaceRequest | Placed) -> bytes:
+def encode(message: SlotRequest | SlotReply) -> bytes:
     """Return a message's bytes."""
     return orjson.dumps(asdict(message))
 
 
-def decode_request(data: bytes) -> PlaceRequest:
+def decode_request(data: bytes) -> SlotRequest:
     """Return a request; raises ValueError, TypeError.
 
     Examples
     --------
-    >>> request = PlaceRequest("edge-1", {"t": 2}, (7,), "engines", "large", ("u",), (1, 2), 3.0)
+    >>> request = SlotRequest("edge-1", {"t": 2}, (7,), "engines", "large", ("u",), (1, 2), 3.0)
     >>> decode_request(encode(request)) == request
     True
     """
@@ -80,9 +80,9 @@
     fields["seen"] = tuple(fields.get("seen", ()))
     fields["avoid"] = tuple(fields.get("avoid", ()))
     fields["rank"] = tuple(fields.get("rank", ()))
-    return PlaceRequest(**fields)
+    return SlotRequest(**fields)
 
 
-def decode_placed(data: bytes) -> Placed:
+def decode_placed(data: bytes) -> SlotReply:
     """Return an answer; raises ValueError, TypeError."""
-    return Placed(**orjson.loads(data))
+    return SlotReply(**orjson.loads(data))
--- a/ferrydock/scheduling/_remote_halls.py
+++ b/ferrydock/scheduling/_remote_halls.py
@@ -6,16 +6,16 @@
 
 from ..clock import Clock
 from ..relay import PeerCalls
-from ._in_flight import HallLedger
+from ._in_flight import InFlightCounts
 from ._server import RUNNING
 
-__all__ = ["ElsewhereWatch"]
+__all__ = ["RemoteHallPoller"]
 
 ANSWER_WITHIN_S = 0.15
 
 
-class ElsewhereWatch:
-    """Keeps a hall's ledger informed of other halls.
+class RemoteHallPoller:
+    """Keeps a hall's counts informed of other halls.
 
     Parameters
     ----------
@@ -23,12 +23,12 @@
         Returns ``IP:PORT`` of the other halls' dispatchers, by hall.
     """
 
-    __slots__ = ("addresses", "calls", "clock", "ledger")
+    __slots__ = ("addresses", "calls", "clock", "counts")
 
     def __init__(
-        self, ledger: HallLedger, addresses: Callable[[], Mapping[str, str]], clock: Clock
+        self, counts: InFlightCounts, addresses: Callable[[], Mapping[str, str]], clock: Clock
     ):
-        self.ledger = ledger
+        self.counts = counts
         self.addresses = addresses
         self.clock = clock
         self.calls = PeerCalls()
@@ -38,7 +38,7 @@
         for hall, address in self.addresses().items():
             answer = await self.calls.call(address, RUNNING, b"", ANSWER_WITHIN_S)
             if answer is not None:
-                self.ledger.take_elsewhere(hall, orjson.loads(answer), self.clock.now_s())
+                self.counts.take_elsewhere(hall, orjson.loads(answer), self.clock.now_s())
 
     async def close(self) -> None:
         """Give up the connections."""
--- a/ferrydock/scheduling/_scheduler.py
+++ b/ferrydock/scheduling/_scheduler.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 
 from ..clock import Clock
-from ..configuration import ServiceFigures
+from ..configuration import ServiceSpec
 from ..targets import Target, TargetDirectory
-from ._endpoints import most_requests, places
-from ._in_flight import HallLedger
-from ._messages import Placed, PlaceRequest
+from ._endpoints import endpoints, max_requests
+from ._in_flight import InFlightCounts
+from ._messages import SlotReply, SlotRequest
 
-__all__ = ["Dispatcher"]
+__all__ = ["HallScheduler"]
 
 OTHER_HALL_PENALTY = 0.5
 OTHER_HALL_RESERVE = 1
@@ -26,7 +26,7 @@
     """A request for which there is no room yet."""
 
     key: tuple
-    request: PlaceRequest
+    request: SlotRequest
     future: asyncio.Future
 
     @property
@@ -35,14 +35,14 @@
         return self.request.service, self.request.model
 
 
-class Dispatcher:
+class HallScheduler:
     """Places requests where the fewest run, and lets the most urgent of the waiting in first.
 
     Parameters
     ----------
     directory : TargetDirectory
         Targets and replicas.
-    ledger : HallLedger
+    counts : InFlightCounts
         What runs where.
     hall : str
         Whose targets are preferred.
@@ -64,7 +64,7 @@
         "clock",
         "directory",
         "hall",
-        "ledger",
+        "counts",
         "rng",
         "services",
     )
@@ -72,15 +72,15 @@
     def __init__(
         self,
         directory: TargetDirectory,
-        ledger: HallLedger,
+        counts: InFlightCounts,
         hall: str,
-        services: Callable[[str], ServiceFigures | None],
+        services: Callable[[str], ServiceSpec | None],
         broken: Container[tuple[str, int]],
         clock: Clock,
         rng: random.Random,
     ):
         self.directory = directory
-        self.ledger = ledger
+        self.counts = counts
         self.hall = hall
         self.services = services
         self.broken = broken
@@ -94,27 +94,27 @@
         """How many requests of the hall wait."""
         return len(self._queue)
 
-    def heard(self, request: PlaceRequest) -> None:
+    def heard(self, request: SlotRequest) -> None:
         """Take what a daemon tells of its requests; who waits may have room now."""
         now_s = self.clock.now_s()
-        self.ledger.heard(request.sender, request.running, now_s, request.seen)
-        self.serve_waiting()
+        self.counts.heard(request.sender, request.running, now_s, request.seen)
+        self.assign_free_slots()
 
-    async def place(self, request: PlaceRequest) -> Placed:
+    async def place(self, request: SlotRequest) -> SlotReply:
         """Return a place, at once or within the time that the request may wait here."""
         self.heard(request)
         found = self._candidates(request)
         if not found:
-            return Placed("", 0)
+            return SlotReply("", 0)
         key = (*request.rank, self.clock.now_s() + request.left_s, next(self._numbers))
         wanted = (request.service, request.model)
-        has_rival = any(w.wanted == wanted and w.key < key for w in self._queue)
-        placed = None if has_rival else self._take(request, found)
+        must_wait = any(w.wanted == wanted and w.key < key for w in self._queue)
+        placed = None if must_wait else self._take(request, found)
         if placed is None and request.hold_s > 0:
             placed = await self._wait(_Waiting(key, request, _future()))
-        return placed or Placed("", len(found))
+        return placed or SlotReply("", len(found))
 
-    async def _wait(self, entry: _Waiting) -> Placed | None:
+    async def _wait(self, entry: _Waiting) -> SlotReply | None:
         bisect.insort(self._queue, entry, key=lambda waiting: waiting.key)
         try:
             async with asyncio.timeout(entry.request.hold_s):
@@ -125,7 +125,7 @@
             if entry in self._queue:
                 self._queue.remove(entry)
 
-    def serve_waiting(self) -> None:
+    def assign_free_slots(self) -> None:
         """Let in those who wait and now have room, first the most urgent."""
         full: set[tuple[str, str]] = set()
         for entry in list(self._queue):
@@ -138,7 +138,7 @@
                 self._queue.remove(entry)
                 entry.future.set_result(placed)
 
-    def _take(self, request: PlaceRequest, found: list[Target]) -> Placed | None:
+    def _take(self, request: SlotRequest, found: list[Target]) -> SlotReply | None:
         """Return the place where the fewest run, counted as taken; None if all are full."""
         scored = [
             (score + TIE_BREAK * self.rng.random(), target.target_id)
@@ -148,21 +148,21 @@
         if not scored:
             return None
         target_id = min(scored)[1]
-        number = self.ledger.grant(request.sender, target_id, self.clock.now_s())
-        return Placed(target_id, len(found), number)
+        number = self.counts.grant(request.sender, target_id, self.clock.now_s())
+        return SlotReply(target_id, len(found), number)
 
-    def _candidates(self, request: PlaceRequest) -> list[Target]:
+    def _candidates(self, request: SlotRequest) -> list[Target]:
         service = self.services(request.service)
         if service is None:
             return []
-        found = places(service, request.model, self.directory, self.broken)
+        found = endpoints(service, request.model, self.directory, self.broken)
         return [p.target for p in found if p.target.target_id not in request.avoid]
 
-    def _score(self, request: PlaceRequest, target: Target) -> float | None:
+    def _score(self, request: SlotRequest, target: Target) -> float | None:
         """Return how little a target is wanted; None for one without room."""
-        slots = most_requests(self.services(request.service), target)
+        slots = max_requests(self.services(request.service), target)
         is_near = target.hall == self.hall
-        total = self.ledger.total(target.target_id)
+        total = self.counts.total(target.target_id)
         if total >= slots - (0 if is_near else OTHER_HALL_RESERVE):
             return None
         return total / slots + (0.0 if is_near else OTHER_HALL_PENALTY)
--- a/ferrydock/scheduling/_server.py
+++ b/ferrydock/scheduling/_server.py
@@ -1,19 +1,21 @@
-"""The dispatcher's calls, as they are served to other daemons."""
+"""The scheduler's calls, as they are served to other daemons."""
 
 from collections.abc import Awaitable, Callable, Mapping
 
 import orjson
 
 from ._messages import decode_request, encode
-from ._scheduler import Dispatcher
+from ._scheduler import HallScheduler
 
-__all__ = ["PLACE", "RUNNING", "dispatch_methods"]
+__all__ = ["PLACE", "RUNNING", "scheduler_methods"]
 
 PLACE = "Place"
 RUNNING = "Running"
 
 
-def dispatch_methods(dispatcher: Dispatcher) -> Mapping[str, Callable[[bytes], Awaitable[bytes]]]:
+def scheduler_methods(
+    scheduler: HallScheduler,
+) -> Mapping[str, Callable[[bytes], Awaitable[bytes]]]:
     """Return the calls by their names: ``Place`` for daemons of the hall, ``Running`` for others.
 
     A call raises ValueError or TypeError for what it cannot read.
@@ -22,11 +24,11 @@
     async def place(data: bytes) -> bytes:
         request = decode_request(data)
         if not request.service:
-            dispatcher.heard(request)
+            scheduler.heard(request)
             return b""
-        return encode(await dispatcher.place(request))
+        return encode(await scheduler.place(request))
 
     async def running(data: bytes) -> bytes:
-        return orjson.dumps(dispatcher.ledger.of_hall())
+        return orjson.dumps(scheduler.counts.of_hall())
 
     return {PLACE: place, RUNNING: running}
--- a/ferrydock/scheduling/tests/test_scheduler.py
+++ b/ferrydock/scheduling/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The hall's dispatcher: exact counts, its queue, and how it is reached."""
+"""The hall's scheduler: exact counts, its queue, and how it is reached."""
 
 import asyncio
 import random
@@ -6,24 +6,24 @@
 import pytest
 
 from ...clock import ManualClock, SystemClock
-from ...configuration import ServiceFigures
+from ...configuration import ServiceSpec
 from ...relay import RelayServer
 from ...replicas.tests.specs import two_models
-from ...targets import GroupState, Membership, Target, TargetDirectory
-from .. import DispatchClient, Dispatcher, HallLedger, PlaceRequest, dispatch_methods
+from ...targets import Membership, ReplicaState, Target, TargetDirectory
+from .. import HallScheduler, InFlightCounts, SchedulerClient, SlotRequest, scheduler_methods
 
-ENGINES = ServiceFigures("engines", 300, two_models())
-PLAIN = ServiceFigures("plain", 100, None)
+ENGINES = ServiceSpec("engines", 300, two_models())
+PLAIN = ServiceSpec("plain", 100, None)
 SLOTS = ENGINES.engine.slots
 
 
 def head(name, hall="hall-a", model="large"):
-    place = Membership(f"g-{name}", 1, 0, GroupState.OPEN)
+    place = Membership(f"g-{name}", 1, 0, ReplicaState.OPEN)
     return Target(name, "engines", "127.0.0.1:1", hall, 9, models=(model,), membership=place)
 
 
 class Hall:
-    """A dispatcher and daemons that do as it says."""
+    """A scheduler and daemons that do as it says."""
 
     def __init__(self, *targets, seed=1, clock=None):
         self.clock = clock or ManualClock(100.0)
@@ -32,9 +32,9 @@
             self.directory.put(target)
         self.broken = set()
         services = {service.name: service for service in (ENGINES, PLAIN)}
-        self.dispatcher = Dispatcher(
+        self.scheduler = HallScheduler(
             self.directory,
-            HallLedger(7),
+            InFlightCounts(7),
             "hall-a",
             services.get,
             self.broken,
@@ -48,7 +48,7 @@
         running = self.running.setdefault(sender, {})
         fields = {"service": "engines", "model": model, "rank": rank, "left_s": 5.0, **changes}
         seen = tuple(self.seen.setdefault(sender, []))
-        return PlaceRequest(sender, dict(running), seen, **fields)
+        return SlotRequest(sender, dict(running), seen, **fields)
 
     def take(self, sender, placed):
         """Let a daemon act on an answer."""
@@ -59,13 +59,13 @@
         return placed.target_id
 
     async def ask(self, sender="d1", **options):
-        return self.take(sender, await self.dispatcher.place(self.request(sender, **options)))
+        return self.take(sender, await self.scheduler.place(self.request(sender, **options)))
 
     def end(self, sender, target_id):
-        """Let a request end, and the dispatcher hear of it."""
+        """Let a request end, and the scheduler hear of it."""
         self.running[sender][target_id] -= 1
-        told = PlaceRequest(sender, dict(self.running[sender]), tuple(self.seen[sender]))
-        self.dispatcher.heard(told)
+        told = SlotRequest(sender, dict(self.running[sender]), tuple(self.seen[sender]))
+        self.scheduler.heard(told)
 
 
 def play(scenario):
@@ -89,7 +89,7 @@
                     running.append((sender, target_id))
             counts = [sum(t == name for _, t in running) for name in "abc"]
             assert max(counts) <= SLOTS
-            assert hall.dispatcher.ledger.of_hall() == {
+            assert hall.scheduler.counts.of_hall() == {
                 name: n for name, n in zip("abc", counts, strict=True) if n
             }
 
@@ -102,7 +102,7 @@
         for _ in range(6):
             await hall.ask("d1")
             await hall.ask("d2")
-        totals = [hall.dispatcher.ledger.total(name) for name in "abc"]
+        totals = [hall.scheduler.counts.total(name) for name in "abc"]
         assert totals == [4, 4, 4]
 
     play(scenario)
@@ -112,10 +112,10 @@
     async def scenario():
         hall = Hall(head("a"))
         request = hall.request("d1")  # all are sent before any answer is seen
-        placed = [await hall.dispatcher.place(request) for _ in range(SLOTS + 1)]
+        placed = [await hall.scheduler.place(request) for _ in range(SLOTS + 1)]
         assert [bool(p.target_id) for p in placed] == [True] * SLOTS + [False]
         hall.clock.advance(0.6)  # their daemon has them not: the answers were lost
-        assert (await hall.dispatcher.place(request)).target_id == "a"
+        assert (await hall.scheduler.place(request)).target_id == "a"
 
     play(scenario)
 
@@ -127,7 +127,7 @@
             assert await hall.ask("d1")
         assert not await hall.ask("d2")
         hall.clock.advance(3.1)
-        hall.dispatcher.ledger.forget_silent(hall.clock.now_s())
+        hall.scheduler.counts.forget_silent(hall.clock.now_s())
         assert await hall.ask("d2") == "a"
 
     play(scenario)
@@ -136,11 +136,11 @@
 def test_another_hall_is_used_where_the_own_is_full_and_never_beyond_its_reserve():
     async def scenario():
         hall = Hall(head("a"), head("far", hall="hall-b"))
-        hall.dispatcher.ledger.take_elsewhere("hall-b", {"far": 3}, hall.clock.now_s())
+        hall.scheduler.counts.take_elsewhere("hall-b", {"far": 3}, hall.clock.now_s())
         taken = [await hall.ask("d1") for _ in range(SLOTS + 6)]
         assert taken[:4] == ["a"] * 4
         assert taken.count("a") == SLOTS
-        assert hall.dispatcher.ledger.total("far") == SLOTS - 1
+        assert hall.scheduler.counts.total("far") == SLOTS - 1
         assert taken[-1] == ""
 
     play(scenario)
@@ -152,7 +152,7 @@
         hall.broken.add(("g-a", 1))
         assert {await hall.ask(avoid=("b",)) for _ in range(5)} == {"c"}
         hall.broken |= {("g-b", 1), ("g-c", 1)}
-        placed = await hall.dispatcher.place(hall.request())
+        placed = await hall.scheduler.place(hall.request())
         assert placed.target_id == "" and placed.candidates == 0
 
     play(scenario)
@@ -186,7 +186,7 @@
             asyncio.ensure_future(wait("first", (0, 1), 9.0)),
         ]
         await asyncio.sleep(0)
-        assert hall.dispatcher.waiting == 3
+        assert hall.scheduler.waiting == 3
         for _ in range(3):
             hall.end("d1", "a")
             for _ in range(5):
@@ -217,22 +217,22 @@
         for _ in range(SLOTS):
             await hall.ask("d1")
         assert await hall.ask("d2", hold_s=0.01) == ""
-        assert hall.dispatcher.waiting == 0
+        assert hall.scheduler.waiting == 0
 
     play(scenario)
 
 
 class Served:
-    """A dispatcher behind its protocol, and a client of it."""
+    """A scheduler behind its protocol, and a client of it."""
 
     def __init__(self):
         self.hall = Hall(head("a"), head("b"), clock=SystemClock())
         self.server = RelayServer(None, None, lambda: True, self.hall.clock)
         self.address = ""
         self.running = {}
-        self.client = DispatchClient(
+        self.client = SchedulerClient(
             "d1",
-            Hall().dispatcher,
+            Hall().scheduler,
             lambda: self.address,
             "127.0.0.1:1",
             lambda: self.running,
@@ -240,7 +240,7 @@
         )
 
     async def __aenter__(self):
-        methods = dispatch_methods(self.hall.dispatcher)
+        methods = scheduler_methods(self.hall.scheduler)
         self.address = await self.server.start("127.0.0.1:0", methods)
         return self
 
@@ -252,13 +252,13 @@
 def test_a_place_is_had_by_the_protocol_and_its_end_is_told():
     async def scenario():
         async with Served() as served:
-            request = PlaceRequest("", service="engines", model="large", hold_s=2.0)
+            request = SlotRequest("", service="engines", model="large", hold_s=2.0)
             placed = await served.client.ask(request)
             assert placed.target_id in ("a", "b") and placed.candidates == 2
             served.running = {}
             served.client.note_end()
             async with asyncio.timeout(5.0):
-                while served.hall.dispatcher.ledger.of_hall():
+                while served.hall.scheduler.counts.of_hall():
                     await asyncio.sleep(0.01)
 
     play(scenario)
@@ -268,7 +268,7 @@
     async def scenario():
         async with Served() as served:
             await served.server.close()
-            request = PlaceRequest("", service="engines", model="large")
+            request = SlotRequest("", service="engines", model="large")
             assert await served.client.ask(request) is None
             calls, served.client.calls = served.client.calls, None  # a call would fail now
             assert await served.client.ask(request) is None
--- a/ferrydock/standins/fleet/_site.py
+++ b/ferrydock/standins/fleet/_site.py
@@ -6,7 +6,7 @@
 import orjson
 
 from ...clock import SystemClock
-from ...configuration import EngineFigures, ModelFigures
+from ...configuration import EngineSpec, ModelSpec
 from ...store import MemoryStore
 from ._store_http import StoreFace
 from ._worker_http import KV_TOKENS, RunRecord, WorkerFace, entry_group, entry_models
@@ -19,14 +19,14 @@
 PLAIN_SERVICE = "records"
 
 
-def small_engine() -> EngineFigures:
+def small_engine() -> EngineSpec:
     """Return an engine whose replicas form within a moment."""
-    return EngineFigures(
+    return EngineSpec(
         slots=8,
         loads_per_s=100.0,
         models=(
-            ModelFigures("large", 4, 0.5, 0.6, 0.2),
-            ModelFigures("small", 2, 0.5, 0.4, 0.1),
+            ModelSpec("large", 4, 0.5, 0.6, 0.2),
+            ModelSpec("small", 2, 0.5, 0.4, 0.1),
         ),
     )
 
@@ -243,7 +243,7 @@
     }
 
 
-def _engine_fields(engine: EngineFigures) -> dict:
+def _engine_fields(engine: EngineSpec) -> dict:
     return {
         "slots": engine.slots,
         "kv-capacity": KV_TOKENS,
--- a/ferrydock/standins/fleet/_workers.py
+++ b/ferrydock/standins/fleet/_workers.py
@@ -5,10 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ...configuration import EngineFigures, ModelFigures
+from ...configuration import EngineSpec, ModelSpec
 from ...targets import (
     CloseOrder,
-    GroupState,
     JoinOrder,
     LeaveOrder,
     Membership,
@@ -16,6 +15,7 @@
     Order,
     OrderDone,
     OrderRefused,
+    ReplicaState,
     StageOrder,
     Target,
 )
@@ -24,7 +24,7 @@
 
 REJOIN_S = 0.2
 MODELS_KEPT_BY_HOST = 1
-SERVING = (GroupState.OPEN, GroupState.CLOSING)
+SERVING = (ReplicaState.OPEN, ReplicaState.CLOSING)
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
     hall: str
     domain: str
     service: str
-    engine: EngineFigures
+    engine: EngineSpec
     alive: bool = True
     draining: bool = False
     orders: int = 0
@@ -115,7 +115,7 @@
 
     Parameters
     ----------
-    engine : EngineFigures
+    engine : EngineSpec
         Models, sizes, times.
     rng : random.Random
         Draws faults.
@@ -127,7 +127,7 @@
 
     def __init__(
         self,
-        engine: EngineFigures,
+        engine: EngineSpec,
         rng: random.Random,
         stall_s: float = 6.0,
         on_change: Callable[[Worker], None] = lambda worker: None,
@@ -221,7 +221,7 @@
         ready_s = self._ready_in_s(worker, model)
         rank = order.members.index(worker.worker_id)
         worker.top_epoch = order.epoch
-        worker.membership = Membership(order.replica, order.epoch, rank, GroupState.JOINING)
+        worker.membership = Membership(order.replica, order.epoch, rank, ReplicaState.JOINING)
         worker.members = order.members
         worker.model = model.name
         worker.last_model = model.name
@@ -242,7 +242,7 @@
             detail = f"{worker.group_key} is {head.membership.state.value}"
             self.violations.append(Violation("two", worker.worker_id, detail))
 
-    def _ready_in_s(self, worker: Worker, model: ModelFigures) -> float:
+    def _ready_in_s(self, worker: Worker, model: ModelSpec) -> float:
         staging_s = max(0.0, worker.staging_until_s - self.now_s())
         if worker.last_model == model.name and model.name in worker.staged:
             return REJOIN_S
@@ -251,17 +251,17 @@
         self._load(worker, model)
         return model.load_s
 
-    def _load(self, worker: Worker, model: ModelFigures) -> None:
+    def _load(self, worker: Worker, model: ModelSpec) -> None:
         worker.loads += 1
         worker.staging_until_s = self.now_s() + model.load_s
         worker.staged = [model.name, *worker.staged][:MODELS_KEPT_BY_HOST]
 
     def _become_ready(self, worker: Worker, key: tuple[str, int]) -> None:
         if worker.alive and worker.group_key == key:
-            self._set_state(worker, GroupState.READY)
+            self._set_state(worker, ReplicaState.READY)
             worker.was_ready.add((*key, worker.members))
 
-    def _set_state(self, worker: Worker, state: GroupState) -> None:
+    def _set_state(self, worker: Worker, state: ReplicaState) -> None:
         place = worker.membership
         worker.membership = Membership(place.replica, place.epoch, place.rank, state)
         self.on_change(worker)
@@ -270,25 +270,25 @@
         place = worker.membership
         if worker.group_key != (order.replica, order.epoch) or place.rank != 0:
             return OrderRefused("state")
-        if place.state is not GroupState.READY:
+        if place.state is not ReplicaState.READY:
             return OrderRefused("state")
-        self._set_state(worker, GroupState.OPEN)
+        self._set_state(worker, ReplicaState.OPEN)
         return OrderDone(already=False)
 
     def _close(self, worker: Worker, order: CloseOrder) -> OrderDone | OrderRefused:
         if worker.group_key != (order.replica, order.epoch):
             return OrderRefused("state")
-        if worker.membership.state is not GroupState.OPEN:
+        if worker.membership.state is not ReplicaState.OPEN:
             return OrderRefused("state")
-        self._set_state(worker, GroupState.CLOSING)
+        self._set_state(worker, ReplicaState.CLOSING)
         delay_s = 0.01 if order.cut else 1.0
         key = worker.group_key
         asyncio.get_running_loop().call_later(delay_s, self._closed, worker, key)
         return OrderDone(already=False)
 
     def _closed(self, worker: Worker, key: tuple[str, int]) -> None:
-        if worker.group_key == key and worker.membership.state is GroupState.CLOSING:
-            self._set_state(worker, GroupState.READY)
+        if worker.group_key == key and worker.membership.state is ReplicaState.CLOSING:
+            self._set_state(worker, ReplicaState.READY)
 
     def _leave(self, worker: Worker, order: LeaveOrder) -> OrderDone | OrderRefused:
         key = (order.replica, order.epoch)
@@ -326,12 +326,12 @@
 
     def _break(self, head: Worker, key: tuple[str, int]) -> None:
         if head.alive and head.group_key == key and not self.whole(head):
-            self._set_state(head, GroupState.BROKEN)
+            self._set_state(head, ReplicaState.BROKEN)
 
     def serve(self, head: Worker) -> bool:
         """Judge a request that reaches a head; return whether it runs now."""
         place = head.membership
-        if not head.alive or place is None or place.state is not GroupState.OPEN:
+        if not head.alive or place is None or place.state is not ReplicaState.OPEN:
             return False
         size = self.engine.model(head.model).size
         if len(head.members) != size:
@@ -353,6 +353,6 @@
             if worker.alive
             and worker.membership is not None
             and worker.membership.rank == 0
-            and worker.membership.state is GroupState.OPEN
+            and worker.membership.state is ReplicaState.OPEN
             and self.whole(worker)
         ]
--- a/ferrydock/targets/__init__.py
+++ b/ferrydock/targets/__init__.py
@@ -15,11 +15,11 @@
     TargetReport,
     TargetSource,
 )
-from ._target import GroupState, Membership, Target
+from ._target import Membership, ReplicaState, Target
 
 __all__ = [
     "CloseOrder",
-    "GroupState",
+    "ReplicaState",
     "JoinOrder",
     "LeaveOrder",
     "Membership",
--- a/ferrydock/targets/_directory.py
+++ b/ferrydock/targets/_directory.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from ._ports import TargetChanges
-from ._target import GroupState, Target
+from ._target import ReplicaState, Target
 
 __all__ = ["ReplicaView", "TargetDirectory"]
 
@@ -152,9 +152,9 @@
         for (service, name, epoch), group in members.items():
             group.sort(key=lambda target: target.membership.rank)
             head = group[0]
-            if head.membership.rank != 0 or head.membership.state is not GroupState.OPEN:
+            if head.membership.rank != 0 or head.membership.state is not ReplicaState.OPEN:
                 continue
-            if any(t.draining or t.membership.state is GroupState.BROKEN for t in group):
+            if any(t.draining or t.membership.state is ReplicaState.BROKEN for t in group):
                 continue
             if not head.models:
                 continue
--- a/ferrydock/targets/_target.py
+++ b/ferrydock/targets/_target.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-__all__ = ["GroupState", "Membership", "Target"]
+__all__ = ["ReplicaState", "Membership", "Target"]
 
 
-class GroupState(StrEnum):
+class ReplicaState(StrEnum):
     """State of a replica at one of its members."""
 
     JOINING = "joining"
@@ -23,7 +23,7 @@
     replica: str
     epoch: int
     rank: int
-    state: GroupState
+    state: ReplicaState
 
 
 @dataclass(frozen=True, slots=True)
