--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -14,7 +14,7 @@
 
 from ferrydock.clock import ManualClock
 from ferrydock.configuration import EngineSpec, ModelSpec, ServiceSpec
-from ferrydock.scheduling import HallScheduler, InFlightCounts, SlotRequest
+from ferrydock.scheduling import EndpointCatalog, HallScheduler, InFlightCounts, SlotRequest
 from ferrydock.targets import Membership, ReplicaState, Target, TargetDirectory
 
 from ._report import print_check, print_row
@@ -64,8 +64,9 @@
         self.totals = dict.fromkeys((t.target_id for t in self.targets), 0)
         directory = TargetDirectory()
         directory.replace(self.targets)
+        catalog = EndpointCatalog(directory)
         self.scheduler = HallScheduler(
-            directory, InFlightCounts(), "hall", lambda name: SERVICE, (), self.clock, self.rng
+            catalog, InFlightCounts(), "hall", lambda name: SERVICE, self.clock, self.rng
         )
         self.seen = {name: [] for name in self.daemons}
         self.rate_per_s = LOAD * SLOTS * replicas / HOLD_S
@@ -98,7 +99,7 @@
             self.clock.advance(at_s - self.clock.now_s())
             if kind == "tell":
                 told = SlotRequest(daemon, dict(self.running[daemon]), tuple(self.seen[daemon]))
-                self.scheduler.heard(told)
+                self.scheduler.receive_counts(told)
                 continue
             self.totals[target_id] -= 1
             self.running[daemon][target_id] -= 1
@@ -111,7 +112,7 @@
         request = SlotRequest(
             daemon, dict(self.running[daemon]), tuple(seen), "engines", "m", (), (0, 0), 5.0
         )
-        placed = await self.scheduler.place(request)
+        placed = await self.scheduler.acquire(request)
         if placed.target_id:
             seen.append(placed.grant)
             return placed.target_id
--- a/ferrydock/configuration/__init__.py
+++ b/ferrydock/configuration/__init__.py
@@ -1,6 +1,14 @@
-"""Configurations that come whole: routes, services, teams, limits; what is in force."""
+"""The configuration: routes, services, teams and limits, which come whole and in versions.
+
+Here stand its typed form (`_model`), the port it comes through (`_source`), look-ups (`_lookup`),
+the version in force (`_current`) and the rule on how old it may be (`_freshness`). What does not
+belong here: reading it from a store (the deployment's adapter, for example `ferrydock.platform`),
+passing it on between daemons (`ferrydock.relay`), and the operators' table of the other program
+(`ferrydock.table`).
+"""
 
 from ._current import CurrentConfiguration
+from ._freshness import LEADER_MAX_AGE_S, max_keyed_age_s
 from ._lookup import ConfigurationLookup
 from ._model import (
     Configuration,
@@ -16,13 +24,13 @@
 from ._source import ConfigurationSource, ConfigurationUnchanged, ConfigurationUnreadable
 
 __all__ = [
-    "WeightedService",
+    "LEADER_MAX_AGE_S",
     "Configuration",
-    "CurrentConfiguration",
     "ConfigurationLookup",
     "ConfigurationSource",
     "ConfigurationUnchanged",
     "ConfigurationUnreadable",
+    "CurrentConfiguration",
     "EngineSpec",
     "IngressLimits",
     "ModelSpec",
@@ -30,4 +38,6 @@
     "RouteKind",
     "ServiceSpec",
     "Team",
+    "WeightedService",
+    "max_keyed_age_s",
 ]
--- a/ferrydock/configuration/_current.py
+++ b/ferrydock/configuration/_current.py
@@ -1,10 +1,13 @@
-"""The configuration in force: it never goes back, and knows how long ago it was confirmed."""
+"""The configuration in force in this process; it never goes back to an older version.
+
+Owns the version in force and the time at which it was last confirmed as the newest, in memory.
+"""
 
 import logging
 
 from ..logs import log_event
 from ._lookup import ConfigurationLookup
-from ._model import Configuration
+from ._model import Configuration, ServiceSpec
 
 __all__ = ["CurrentConfiguration"]
 
@@ -19,7 +22,7 @@
     lookup : ConfigurationLookup or None
         The configuration in force; None before the first.
     confirmed_s : float or None
-        Local time up to which the configuration in force was surely the newest.
+        Local time at which the configuration in force was certainly the newest.
     """
 
     __slots__ = ("confirmed_s", "lookup")
@@ -34,20 +37,20 @@
         return -1 if self.lookup is None else self.lookup.configuration.version
 
     def offer(self, configuration: Configuration, confirmed_s: float | None) -> bool:
-        """Take a configuration if it is newer; return whether it was taken.
+        """Put a configuration in force if it is newer; return whether it was.
 
         Parameters
         ----------
         configuration : Configuration
-            What somebody holds to be in force.
+            From the store or from a peer.
         confirmed_s : float or None
-            Local time at which it surely was the newest: the start of the call that read it.
+            Local time at which it certainly was the newest: the start of the call that read it.
             None if it may have been older.
         """
         if configuration.version < self.version:
             return False
-        taken = configuration.version > self.version
-        if taken:
+        is_newer = configuration.version > self.version
+        if is_newer:
             log_event(
                 _LOG,
                 logging.INFO,
@@ -60,15 +63,24 @@
             self.lookup = ConfigurationLookup(configuration)
             self.confirmed_s = None
         self.confirm(configuration.version, confirmed_s)
-        return taken
+        return is_newer
 
     def confirm(self, version: int, confirmed_s: float | None) -> None:
-        """Note that `version` was the newest at `confirmed_s`; no other version is confirmed."""
+        """Note that `version` was the newest at `confirmed_s`; another version changes nothing."""
         if confirmed_s is None or version != self.version:
             return
         if self.confirmed_s is None or confirmed_s > self.confirmed_s:
             self.confirmed_s = confirmed_s
 
+    def service(self, name: str) -> ServiceSpec | None:
+        """Return a service of the configuration in force, or None."""
+        return self.lookup.configuration.services.get(name) if self.lookup else None
+
+    def engine_services(self) -> list[ServiceSpec]:
+        """Return the services whose targets form replicas."""
+        services = self.lookup.configuration.services.values() if self.lookup else ()
+        return [service for service in services if service.engine is not None]
+
     def age_s(self, now_s: float) -> float:
-        """Return how long ago the configuration was surely the newest."""
+        """Return seconds since the configuration was certainly the newest; inf if it never was."""
         return float("inf") if self.confirmed_s is None else now_s - self.confirmed_s
--- a/ferrydock/configuration/_lookup.py
+++ b/ferrydock/configuration/_lookup.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request and the holder of a key."""
+"""Finding the route of a request and the team of a key; indexes of one configuration."""
 
 from ._model import Configuration, Route, Team
 
@@ -24,12 +24,12 @@
         self._by_key = {key: team for team in configuration.teams for key in team.keys}
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of `host` with the longest prefix of `path`.
+        """Return the route of `host` with the longest prefix of `path`, or None.
 
         Parameters
         ----------
         host : str
-            As the request names it; a port is passed over.
+            As the request names it; a port is ignored.
         path : str
             As it was sent, with its query.
         """
@@ -50,5 +50,5 @@
         return bool(self.configuration.teams)
 
     def team(self, key: str) -> Team | None:
-        """Return the holder of `key`."""
+        """Return the team that holds `key`, or None."""
         return self._by_key.get(key)
--- a/ferrydock/configuration/_model.py
+++ b/ferrydock/configuration/_model.py
@@ -1,4 +1,7 @@
-"""A whole configuration as the gateway for routes takes it: routes, services, teams, limits."""
+"""The typed form of a configuration: routes, services, teams, limits. Data only, no state.
+
+Every number has its unit in its name; an adapter decodes its own format into these types.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -18,7 +21,7 @@
 
 
 class RouteKind(StrEnum):
-    """How often a request of a route may run, and what its answer is."""
+    """How often a request of a route may run, and what kind of answer it gets."""
 
     REPEATABLE = "repeatable"
     AT_MOST_ONCE = "at_most_once"
@@ -52,8 +55,12 @@
     ----------
     first_answer_s : float
         Objective for the time to the first byte of an answer.
+    services : tuple of WeightedService
+        One of them is drawn for each request.
+    time_limit_s : float
+        Longest time for a whole answer.
     attempts : int
-        Most targets that one request may be sent to.
+        How many targets one request may be sent to at most.
     priority : int
         0 is the most urgent.
     public : bool
@@ -74,14 +81,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSpec:
-    """A model of a service: how many workers form a replica, and how long that takes.
+    """A model of a service: how many targets form a replica, and how long that takes.
 
     Attributes
     ----------
+    size : int
+        Targets of one replica.
     share : float
-        Part of the service's work that the model starts with.
+        Expected part of the service's requests, relative to the other models.
     load_s, warm_s : float
-        Time to load the weights from their store, and from the worker's host.
+        Time to load the weights from their store, and from the target's own host.
     """
 
     name: str
@@ -93,14 +102,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What is known of the engines of a service.
+    """What is configured of the engines of a service.
 
     Attributes
     ----------
     slots : int
         Requests that a replica works on at a time.
     loads_per_s : float
-        Most loads from the weight store that may begin in a second.
+        Loads from the weight store that may begin in a second, on the whole site.
     """
 
     slots: int
@@ -108,13 +117,21 @@
     models: tuple[ModelSpec, ...]
 
     def model(self, name: str) -> ModelSpec | None:
-        """Return the figures of a model, or None if the service has no such model."""
+        """Return the spec of a model, or None if the service has no such model."""
         return next((model for model in self.models if model.name == name), None)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service behind routes; `engine` is None for a plain one."""
+    """A service behind routes.
+
+    Attributes
+    ----------
+    max_connections : int
+        Connections that one of its targets accepts, from all daemons together.
+    engine : EngineSpec or None
+        None for a plain service, whose targets form no replicas.
+    """
 
     name: str
     max_connections: int
@@ -123,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """A holder of keys; `priority` 0 is the most urgent."""
+    """A team of callers, known by its keys; `priority` 0 is the most urgent."""
 
     name: str
     keys: frozenset[str]
@@ -132,7 +149,10 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressLimits:
-    """What a caller may send, and how long it may take or rest."""
+    """What a caller may send, how long its head may take and its connection may rest.
+
+    The defaults stand where a configuration names no limit. Chosen, not measured.
+    """
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -147,7 +167,8 @@
     Attributes
     ----------
     encoded : bytes
-        The value it was read from, as other daemons may decode it; empty if it was built.
+        The stored value it was decoded from, to be passed on to other daemons; empty if it was
+        built in this process.
     """
 
     version: int
--- a/ferrydock/configuration/_source.py
+++ b/ferrydock/configuration/_source.py
@@ -1,4 +1,4 @@
-"""The port through which a whole configuration comes."""
+"""The port through which a configuration comes; an adapter of the deployment fills it."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -11,23 +11,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationUnchanged:
-    """What was read last is still the newest."""
+    """The version that was read last is still the newest."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationUnreadable:
-    """There is a newer value, and it cannot be read; `reason` names the field."""
+    """There is a newer value, but it cannot be decoded; `reason` names the field."""
 
     reason: str
 
 
 class ConfigurationSource(Protocol):
-    """What ferrydock asks of whoever keeps the configuration."""
+    """What ferrydock needs of whatever keeps the configuration."""
 
     async def read(
         self,
     ) -> Configuration | ConfigurationUnchanged | ConfigurationUnreadable | Unavailable:
-        """Read the newest configuration, surely no older than the start of this call."""
+        """Read the newest configuration, certainly no older than the start of this call."""
 
     def decode(self, encoded: bytes) -> Configuration | ConfigurationUnreadable:
-        """Read an encoded value that another daemon passed on."""
+        """Decode a stored value that another daemon passed on."""
--- a/ferrydock/forwarding/_dialect.py
+++ b/ferrydock/forwarding/_dialect.py
@@ -1,4 +1,7 @@
-"""The port that reads a caller's headers and writes those for a target."""
+"""The port that reads a caller's headers and writes those for a target.
+
+A deployment names the headers; the rest of ferrydock knows only the fields below.
+"""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -6,21 +9,25 @@
 
 from multidict import CIMultiDict
 
+from ..outcomes import Invalid
+
 __all__ = ["AnswerHeaders", "Inbound", "Outbound", "RequestDialect"]
 
 
 @dataclass(frozen=True, slots=True)
 class Inbound:
-    """What a caller's headers say, in the product's own terms.
+    """What a caller's headers say.
 
     Attributes
     ----------
     request_id : str
-        Empty if the caller named none.
+        Empty if the caller gave none.
     left_s : float or None
-        How long the caller will wait.
+        How many seconds the caller will wait; None if it does not say.
     key : str
-        Empty if none was given.
+        Key of the caller's team; empty if none was given.
+    model : str
+        Model wanted; empty for a plain service.
     last_event_id : int or None
         The event after which a stream goes on.
     """
@@ -34,7 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Outbound:
-    """What a target is told beside the caller's own headers."""
+    """What a target is sent in addition to the caller's own headers.
+
+    Attributes
+    ----------
+    target_id : str
+        The incarnation that is meant: addresses are reused, and another one must refuse.
+    left_s : float
+        Seconds until the caller's deadline.
+    team : str
+        Empty on public routes.
+    last_event_id : int or None
+        The last event that the caller has, if a stream is resumed.
+    """
 
     target_id: str
     left_s: float
@@ -44,16 +63,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHeaders:
-    """What a target's answer says about the request.
+    """What the head of a target's answer says.
 
     Attributes
     ----------
     not_executed : bool
         The target promises that the request did not run and will not.
     request_id : str
-        The request that the answer belongs to; empty if not told.
+        The request that the answer belongs to; empty if it does not say.
     signed : bool
-        Whether the answer is a target's own.
+        Whether the answer was made by a target, and not by something on the way.
     """
 
     not_executed: bool
@@ -64,8 +83,8 @@
 class RequestDialect(Protocol):
     """Names and formats of headers on both sides."""
 
-    def read(self, headers: Mapping[str, str]) -> Inbound | None:
-        """Return what a request says, or None if its headers cannot be read."""
+    def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
+        """Return what a request says, or the header that cannot be read."""
 
     def outgoing(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
@@ -73,4 +92,4 @@
         """Return the headers for a target: the caller's, less those of one connection."""
 
     def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
-        """Read a target's answer."""
+        """Read the head of a target's answer."""
--- a/ferrydock/forwarding/_events.py
+++ b/ferrydock/forwarding/_events.py
@@ -1,4 +1,8 @@
-"""Events of a stream with rising ids: cut whole, and known by the last id passed on."""
+"""Events of a stream with rising ids: cut whole, and known by the last id passed on.
+
+Owns the position of one stream, so that it can go on from another target without a gap or a
+repeat.
+"""
 
 __all__ = ["NumberedEvents"]
 
@@ -12,7 +16,14 @@
     Parameters
     ----------
     after : int or None
-        Id after which the first run goes on.
+        Id after which the first run goes on; None from the beginning.
+
+    Attributes
+    ----------
+    last_id : int or None
+        Id of the last event that was passed on.
+    count : int
+        Events passed on.
 
     Examples
     --------
@@ -24,13 +35,13 @@
     (b'id: 2\\ndata: b\\n\\n', 2)
     """
 
-    __slots__ = ("_rest", "_resumed", "count", "last_id")
+    __slots__ = ("_is_resumed", "_rest", "count", "last_id")
 
     def __init__(self, after: int | None):
         self.last_id = after
         self.count = 0
         self._rest = b""
-        self._resumed = False
+        self._is_resumed = False
 
     @property
     def is_torn(self) -> bool:
@@ -38,12 +49,12 @@
         return bool(self._rest)
 
     def start_run(self) -> None:
-        """Drop the part of an event that is held back: another run goes on after the last."""
+        """Begin a run of another target, which goes on after the last event passed on."""
         self._rest = b""
-        self._resumed = self.count > 0
+        self._is_resumed = self.count > 0
 
     def feed(self, piece: bytes) -> bytes:
-        """Take bytes and return the events that they complete, less those passed on before."""
+        """Take bytes; return the events that they complete, less those passed on before."""
         data = self._rest + piece
         end = data.rfind(_END) + len(_END)
         if end < len(_END):
@@ -51,9 +62,10 @@
             return b""
         self._rest = data[end:]
         whole = data[:end]
-        return self._only_new(whole) if self._resumed else self._counted(whole)
+        return self._only_new(whole) if self._is_resumed else self._counted(whole)
 
     def _counted(self, whole: bytes) -> bytes:
+        """Note the last id of events that are all new."""
         self.count += whole.count(_END)
         start = whole.rfind(_ID)
         number = _number(whole[start + len(_ID) :].split(b"\n", 1)[0]) if start >= 0 else None
@@ -62,6 +74,7 @@
         return whole
 
     def _only_new(self, whole: bytes) -> bytes:
+        """Return the events whose ids are above the last one passed on, or that have none."""
         kept = []
         for event in whole.split(_END)[:-1]:
             number = _id_of(event)
@@ -80,6 +93,7 @@
 
 
 def _id_of(event: bytes) -> int | None:
+    """Return the number in an event's ``id:`` line, or None if it has no such line."""
     for line in event.split(b"\n"):
         if line.startswith(_ID):
             return _number(line[len(_ID) :])
--- a/ferrydock/forwarding/_exchange.py
+++ b/ferrydock/forwarding/_exchange.py
@@ -1,8 +1,9 @@
-"""One request of a caller while it is under way."""
+"""One request of a caller while it is under way; state of that request only."""
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from aiohttp import web
 
@@ -11,7 +12,25 @@
 from ._dialect import Inbound
 from ._events import NumberedEvents
 
-__all__ = ["Attempt", "AttemptEnd", "Exchange"]
+__all__ = ["Attempt", "AttemptEnd", "AttemptReason", "CallerGone", "Exchange"]
+
+
+class CallerGone(ConnectionError):
+    """The caller's connection ended before its answer did."""
+
+
+class AttemptReason(StrEnum):
+    """Why an attempt ended, as in log lines and metrics."""
+
+    ANSWERED = "answered"
+    STREAMED = "streamed"
+    NOT_SENT = "not_sent"
+    REFUSED = "refused"
+    ERROR = "error"
+    BROKEN = "broken"
+    TORN = "torn"
+    WRONG_ANSWER = "wrong_answer"
+    TIME_OVER = "time_over"
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,9 +44,10 @@
     ran : bool
         False only where the request certainly did not run at the target.
     reason : str
-        Snake-case word for the log.
+        An `AttemptReason`; ``broken_`` and the error's name for a connection that broke before
+        the answer's head; or the reason of an interruption.
     offered : bool
-        Whether the target saw the request.
+        Whether the target may have seen a byte of the request.
     status : int
         Status of the target's answer; 0 if there was none.
     """
@@ -41,7 +61,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt that can be interrupted by whoever learns that its replica is broken."""
+    """An attempt that can be interrupted once its replica is known to be broken."""
 
     replica: ReplicaView | None
     limit: asyncio.Timeout
@@ -60,18 +80,24 @@
 
     Attributes
     ----------
+    team_priority : int
+        0 is the most urgent; so is it for routes.
+    started_s : float
+        Local time at which the request's head was read.
     until_s : float
-        Local time at which the caller gets its last answer.
+        Local time at which the caller's patience or the route's time limit ends.
     body : bytes or None
         The whole body; None where it is passed on as it comes and can be sent only once.
     tried : set of str
-        Targets that were sent this request.
+        Ids of targets that were sent this request.
     response : web.StreamResponse or None
-        Begun answer.
+        The answer that has begun.
+    events : NumberedEvents or None
+        What of a stream was passed on; None for an answer that is no stream.
     first_s : float or None
-        Time from the request to the first bytes of its answer.
+        Seconds from the request to the first bytes of its answer.
     longest_gap_s, queued_s : float
-        Longest pause between two events; time waited for room.
+        Longest pause between two events; time spent waiting for a slot.
     last_on_connection : callable
         Whether the connection is to end with this answer.
     """
@@ -96,6 +122,6 @@
     last_reason: str = ""
 
     @property
-    def rank(self) -> tuple:
-        """Order among waiting requests; the smallest goes first."""
+    def rank(self) -> tuple[int, int, float]:
+        """Order among waiting requests, the smallest first: team, route, deadline."""
         return (self.team_priority, self.route.priority, self.until_s)
--- a/ferrydock/forwarding/_gateway.py
+++ b/ferrydock/forwarding/_gateway.py
@@ -1,4 +1,8 @@
-"""The HTTP listener for routes: checks a request, then forwards it."""
+"""The HTTP gateway for routes: checks a request, then hands it to the forwarder.
+
+Owns the listening socket and the count of requests in flight. Relies on the current configuration
+for routes, keys and limits; without one, every request is refused.
+"""
 
 import asyncio
 import logging
@@ -8,27 +12,66 @@
 from aiohttp import web
 
 from ..clock import Clock
-from ..configuration import ConfigurationLookup, CurrentConfiguration, Route, WeightedService
+from ..configuration import (
+    ConfigurationLookup,
+    CurrentConfiguration,
+    IngressLimits,
+    Route,
+    Team,
+    WeightedService,
+)
 from ..logs import log_event
+from ..outcomes import Invalid
 from ._dialect import Inbound, RequestDialect
 from ._events import NumberedEvents
-from ._exchange import Exchange
-from ._forwarder import CallerGone, Forwarder
+from ._exchange import CallerGone, Exchange
+from ._forwarder import Forwarder
 from ._listener import HEADERS_TOO_LARGE, CallerConnection, Listener
 from ._refusal import refusal
 
 __all__ = ["RouteGateway"]
 
 _LOG = logging.getLogger("ferrydock.forwarding")
-LONGEST_HEAD_BYTES = 65536
-KEPT_BODY_BYTES = 262144
-UNCONFIRMED_RETRY_S = 0.5
-CLOSED_STATUS = 499
-ONE_MOMENT_S = 0.05
-REQUEST_LINE_REST_BYTES = 12
-ENFORCED_HERE_S = 86400.0
+
+# Longest line and longest field that the HTTP parser accepts; the configuration's own limit on the
+# whole head is checked afterwards. Chosen, not measured.
+MAX_PARSED_HEAD_BYTES = 65536
+
+# A body up to this size is read whole before the first attempt, so that it can be sent again. It
+# bounds the memory of a daemon at full load. Chosen, not measured.
+MAX_KEPT_BODY_BYTES = 262144
+
+# When a caller may come back who met a daemon without a current configuration, in seconds. A store
+# that returns is noticed within about that time. Chosen, not measured.
+NOT_CONFIGURED_RETRY_S = 0.5
+
+# Patience of a caller who does not say how long it waits, in seconds. Chosen, not measured.
 DEFAULT_DEADLINE_S = 30.0
 
+# Pause between ending kept connections politely and closing those that are still open, in seconds:
+# lets a request that was just read begin. Chosen, not measured.
+CLOSE_RESTING_DELAY_S = 0.05
+
+# What stands in a request line beside method and path: two spaces, "HTTP/1.1" and the line's end.
+REQUEST_LINE_REST_BYTES = 12
+FIELD_REST_BYTES = 4
+
+# aiohttp's own limit on idle connections, switched off: `enforce_timeouts` applies the limit of the
+# configuration, which may change while connections are open.
+IDLE_ENFORCED_HERE_S = 86400.0
+
+LISTEN_BACKLOG = 1024
+LINGERING_S = 1.0
+SHUTDOWN_S = 0.2
+
+# Status of a caller that left before its answer; never sent, by custom of other gateways.
+CALLER_LEFT_STATUS = 499
+BAD_REQUEST = 400
+UNAUTHORIZED = 401
+NOT_FOUND = 404
+BODY_TOO_LARGE = 413
+SERVICE_UNAVAILABLE = 503
+
 
 class RouteGateway:
     """Listens to callers of routes.
@@ -36,25 +79,35 @@
     Parameters
     ----------
     current : CurrentConfiguration
-        Routes, keys and limits.
+        Routes, keys and limits in force.
     forwarder : Forwarder
         Serves what passes the checks.
     dialect : RequestDialect
         Reads callers' headers.
-    freshness_s : callable
-        Returns the longest age of the configuration's confirmation for keyed requests.
+    max_age_s : callable
+        Returns how old the configuration's confirmation may be for a request with a key
+        (`configuration.max_keyed_age_s`).
+
+    Attributes
+    ----------
+    stopping : bool
+        Whether each answer ends its connection, since the daemon is about to stop.
+    in_flight : int
+        Requests that have no whole answer yet.
+    address : str
+        ``IP:PORT`` it listens on.
     """
 
     __slots__ = (
         "_server",
         "_sockets",
         "address",
-        "current",
         "clock",
+        "current",
         "dialect",
         "forwarder",
-        "freshness_s",
         "in_flight",
+        "max_age_s",
         "rng",
         "stopping",
     )
@@ -64,14 +117,14 @@
         current: CurrentConfiguration,
         forwarder: Forwarder,
         dialect: RequestDialect,
-        freshness_s: Callable[[], float],
+        max_age_s: Callable[[], float],
         clock: Clock,
         rng: random.Random,
     ):
         self.current = current
         self.forwarder = forwarder
         self.dialect = dialect
-        self.freshness_s = freshness_s
+        self.max_age_s = max_age_s
         self.clock = clock
         self.rng = rng
         self.stopping = False
@@ -87,33 +140,33 @@
             self._handle,
             handler_cancellation=True,
             access_log=None,
-            keepalive_timeout=ENFORCED_HERE_S,
-            max_line_size=LONGEST_HEAD_BYTES,
-            max_field_size=LONGEST_HEAD_BYTES,
-            lingering_time=1.0,
+            keepalive_timeout=IDLE_ENFORCED_HERE_S,
+            max_line_size=MAX_PARSED_HEAD_BYTES,
+            max_field_size=MAX_PARSED_HEAD_BYTES,
+            lingering_time=LINGERING_S,
         )
         self._sockets = await asyncio.get_running_loop().create_server(
-            self._server, host, int(port), backlog=1024
+            self._server, host, int(port), backlog=LISTEN_BACKLOG
         )
         bound = self._sockets.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
 
     def stop_listening(self) -> None:
-        """Take no new connections, and end those that rest."""
+        """Take no new connections, and end those without a request."""
         if self._sockets is not None:
             self._sockets.close()
         if self._server is not None:
             for connection in self._server.connections:
-                connection.close()  # takes no request from now on; one that is read goes on
-            asyncio.get_running_loop().call_later(ONE_MOMENT_S, self._end_resting)
+                connection.close()  # takes no further request; one that was read goes on
+            asyncio.get_running_loop().call_later(CLOSE_RESTING_DELAY_S, self._close_resting)
 
-    def _end_resting(self) -> None:
+    def _close_resting(self) -> None:
         for connection in self._server.connections:
             if not connection.requests:
                 connection.force_close()
 
     def enforce_timeouts(self) -> None:
-        """End callers' connections that take or rest longer than the configuration allows."""
+        """End callers' connections that send or rest longer than the configuration allows."""
         if self.current.lookup is not None:
             limits = self.current.lookup.configuration.limits
             self._server.enforce(limits.header_timeout_s, limits.idle_timeout_s)
@@ -122,7 +175,7 @@
         """Close what is left."""
         self.stop_listening()
         if self._server is not None:
-            await self._server.shutdown(0.2)
+            await self._server.shutdown(SHUTDOWN_S)
 
     # One request ----------------------------------------------------------------------------
 
@@ -133,7 +186,7 @@
         try:
             response = await self._serve(request)
         except (CallerGone, ConnectionError):
-            return web.Response(status=CLOSED_STATUS)
+            return web.Response(status=CALLER_LEFT_STATUS)
         finally:
             self.in_flight -= 1
             connection.end_request()
@@ -142,29 +195,46 @@
         return response
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Check head, route and key of a request, in this order, and forward it."""
         now_s = self.clock.now_s()
         lookup = self.current.lookup
         if lookup is None:
-            return refusal(503, "no_configuration", UNCONFIRMED_RETRY_S)
+            return refusal(SERVICE_UNAVAILABLE, "no_configuration", NOT_CONFIGURED_RETRY_S)
         if _head_bytes(request) > lookup.configuration.limits.header_bytes:
             return refusal(HEADERS_TOO_LARGE, "headers_too_large", None, close=True)
         inbound = self.dialect.read(request.headers)
-        if inbound is None:
-            return refusal(400, "bad_request", None)
+        if isinstance(inbound, Invalid):
+            log_event(
+                _LOG, logging.INFO, "request_unreadable", status=BAD_REQUEST, why=inbound.reason
+            )
+            return refusal(BAD_REQUEST, "bad_request", None)
         route = lookup.route(request.headers.get("Host", ""), request.raw_path)
         if route is None:
-            return refusal(404, "no_route", None)
-        team_name, team_priority = "", 0
+            return refusal(NOT_FOUND, "no_route", None)
+        team = None
         if lookup.has_teams and not route.public:
-            if self.current.age_s(now_s) > self.freshness_s():
-                self._log_refused(inbound, route, "configuration_unconfirmed")
-                return refusal(503, "configuration_unconfirmed", UNCONFIRMED_RETRY_S)
-            team = lookup.team(inbound.key)
-            if team is None:
-                self._log_refused(inbound, route, "unknown_key")
-                return refusal(401, "unknown_key", None)
-            team_name, team_priority = team.name, team.priority
-        return await self._forward(request, inbound, lookup, route, team_name, team_priority, now_s)
+            team = self._team_of(inbound, lookup, route, now_s)
+            if isinstance(team, web.Response):
+                return team
+        return await self._forward(request, inbound, lookup, route, team, now_s)
+
+    def _team_of(
+        self, inbound: Inbound, lookup: ConfigurationLookup, route: Route, now_s: float
+    ) -> Team | web.Response:
+        """Return the team that a request's key belongs to, or the refusal.
+
+        A key counts only while the configuration is known to be current: it may have been revoked
+        since. An old configuration is answered with 503, not 401, so that a caller with a good key
+        comes back.
+        """
+        if self.current.age_s(now_s) > self.max_age_s():
+            self._log_refused(inbound, route, "configuration_unconfirmed")
+            return refusal(SERVICE_UNAVAILABLE, "configuration_unconfirmed", NOT_CONFIGURED_RETRY_S)
+        team = lookup.team(inbound.key)
+        if team is None:
+            self._log_refused(inbound, route, "unknown_key")
+            return refusal(UNAUTHORIZED, "unknown_key", None)
+        return team
 
     async def _forward(
         self,
@@ -172,42 +242,45 @@
         inbound: Inbound,
         lookup: ConfigurationLookup,
         route: Route,
-        team: str,
-        team_priority: int,
+        team: Team | None,
         now_s: float,
     ) -> web.StreamResponse:
+        """Read the body of a request that passed the checks, and forward it."""
         limits = lookup.configuration.limits
         length = request.content_length
         if length is not None and length > limits.body_bytes:
-            return refusal(413, "body_too_large", None, close=True)
+            return refusal(BODY_TOO_LARGE, "body_too_large", None, close=True)
         service = lookup.configuration.services.get(self._pick(route.services))
         if service is None:
-            return refusal(503, "no_service", UNCONFIRMED_RETRY_S)
+            return refusal(SERVICE_UNAVAILABLE, "no_service", NOT_CONFIGURED_RETRY_S)
         left_s = min(route.time_limit_s, inbound.left_s or DEFAULT_DEADLINE_S)
-        body = await _read_small(request, length, limits.body_bytes)
+        body = await _read_small(request, length, limits)
         if body is _TOO_LARGE:
-            return refusal(413, "body_too_large", None, close=True)
-        is_stream = route.kind.is_stream
+            return refusal(BODY_TOO_LARGE, "body_too_large", None, close=True)
         exchange = Exchange(
             request=request,
             inbound=inbound,
             route=route,
             service=service,
-            team=team,
-            team_priority=team_priority,
+            team=team.name if team else "",
+            team_priority=team.priority if team else 0,
             started_s=now_s,
             until_s=now_s + left_s,
             body=body,
-            last_on_connection=lambda: self.stopping,
-            events=NumberedEvents(inbound.last_event_id) if is_stream else None,
+            last_on_connection=self._is_stopping,
+            events=NumberedEvents(inbound.last_event_id) if route.kind.is_stream else None,
         )
         return await self.forwarder.forward(exchange)
 
+    def _is_stopping(self) -> bool:
+        return self.stopping
+
     def _pick(self, services: tuple[WeightedService, ...]) -> str:
+        """Return the name of one of a route's services, drawn by their weights."""
         if len(services) == 1:
             return services[0].service
-        weights = [back_end.weight for back_end in services]
-        return self.rng.choices([b.service for b in services], weights)[0]
+        weights = [weighted.weight for weighted in services]
+        return self.rng.choices([weighted.service for weighted in services], weights)[0]
 
     def _log_refused(self, inbound: Inbound, route: Route, reason: str) -> None:
         log_event(
@@ -228,19 +301,20 @@
 def _head_bytes(request: web.BaseRequest) -> int:
     """Return the size of a request's head, as it was sent."""
     line = len(request.method) + len(request.raw_path) + REQUEST_LINE_REST_BYTES
-    return line + sum(len(name) + len(value) + 4 for name, value in request.raw_headers)
+    fields = (len(name) + len(value) + FIELD_REST_BYTES for name, value in request.raw_headers)
+    return line + sum(fields)
 
 
-async def _read_small(request: web.BaseRequest, length: int | None, most_bytes: int):
+async def _read_small(request: web.BaseRequest, length: int | None, limits: IngressLimits):
     """Return a body that is small enough to keep, None for a longer one, `_TOO_LARGE` beyond."""
     if not request.can_read_body:
         return b""
-    if length is not None and length > KEPT_BODY_BYTES:
+    if length is not None and length > MAX_KEPT_BODY_BYTES:
         return None
     pieces, size = [], 0
     async for piece in request.content.iter_any():
         size += len(piece)
-        if size > most_bytes:
+        if size > limits.body_bytes:
             return _TOO_LARGE
         pieces.append(piece)
     return b"".join(pieces)
--- a/ferrydock/forwarding/_hall_endpoint_selector.py
+++ b/ferrydock/forwarding/_hall_endpoint_selector.py
@@ -1,6 +1,9 @@
-"""Choice of a target by the hall's scheduler, and by this daemon alone where that is away."""
+"""Choice of a target by the hall scheduler, and by this daemon alone where that is unreachable.
 
-from ..scheduling import Endpoint, SchedulerClient, SlotRequest
+Owns nothing beyond the `EndpointSelector` it extends; relies on `scheduling.SchedulerClient`.
+"""
+
+from ..scheduling import Endpoint, SchedulerClient, SlotReply, SlotRequest
 from ._endpoint_selector import EndpointSelector
 from ._exchange import Exchange
 
@@ -8,48 +11,59 @@
 
 
 class HallEndpointSelector(EndpointSelector):
-    """Asks the scheduler for each place.
+    """Asks the hall scheduler for each slot.
 
     Attributes
     ----------
-    dispatch : SchedulerClient or None
+    scheduler : SchedulerClient or None
         Reaches the scheduler; None to decide alone.
     """
 
-    __slots__ = ("dispatch",)
+    __slots__ = ("scheduler",)
 
-    def __init__(self, *arguments, dispatch: SchedulerClient | None = None):
+    def __init__(self, *arguments, scheduler: SchedulerClient | None = None):
         super().__init__(*arguments)
-        self.dispatch = dispatch
+        self.scheduler = scheduler
+
+    async def acquire(self, exchange: Exchange, max_queue_s: float) -> Endpoint | None:
+        """Return an endpoint whose slot is taken, or None if none came free in time.
 
-    async def place(self, exchange: Exchange, patience_s: float) -> Endpoint | None:
-        if self.dispatch is None:
-            return await super().place(exchange, patience_s)
-        until_s = self.clock.now_s() + patience_s
-        for may_wait in (False, True):
+        The scheduler is asked twice: first without waiting, so that a scheduler which is gone
+        costs 60 ms and not the time in its queue; then for a place in its queue.
+        """
+        until_s = self.clock.now_s() + max_queue_s
+        reply = await self._ask(exchange, 0.0)
+        if _is_full(reply):
             left_s = until_s - self.clock.now_s()
-            if may_wait and left_s <= 0:
+            if left_s <= 0:
                 return None
-            placed = await self.dispatch.ask(self._request(exchange, left_s if may_wait else 0.0))
-            if placed is None or not placed.candidates:
-                break
-            if placed.target_id:
-                place = self._known(exchange, placed.target_id)
-                if place is None:
-                    break  # the scheduler's list is newer or older than the one here
-                self.loads.began(place.target.target_id, self.clock.now_s())
-                return place
-            if may_wait:
+            reply = await self._ask(exchange, left_s)
+            if _is_full(reply):
                 return None
-        return await super().place(exchange, until_s - self.clock.now_s())
+        if reply is not None and reply.target_id:
+            endpoint = self._known(exchange, reply.target_id)
+            if endpoint is not None:
+                self.loads.began(endpoint.target.target_id, self.clock.now_s())
+                return endpoint
+        # No reply, no target known to the scheduler, or one that is not in the list here (which
+        # may be older or newer than the scheduler's): decide alone.
+        return await super().acquire(exchange, until_s - self.clock.now_s())
+
+    def release(self, endpoint: Endpoint) -> None:
+        """Give a slot back, and report that to the scheduler."""
+        super().release(endpoint)
+        if self.scheduler is not None:
+            self.scheduler.report_end()
 
-    def release(self, place: Endpoint) -> None:
-        super().release(place)
-        if self.dispatch is not None:
-            self.dispatch.note_end()
+    async def _ask(self, exchange: Exchange, hold_s: float) -> SlotReply | None:
+        if self.scheduler is None:
+            return None
+        return await self.scheduler.ask(self._request(exchange, hold_s))
 
     def _known(self, exchange: Exchange, target_id: str) -> Endpoint | None:
-        return next((p for p in self._endpoints(exchange) if p.target.target_id == target_id), None)
+        """Return the endpoint of a target id, or None if it is not in this daemon's list."""
+        endpoints = self._endpoints(exchange)
+        return next((e for e in endpoints if e.target.target_id == target_id), None)
 
     def _request(self, exchange: Exchange, hold_s: float) -> SlotRequest:
         now_s = self.clock.now_s()
@@ -64,12 +78,18 @@
         )
 
     def _to_avoid(self, exchange: Exchange, now_s: float) -> tuple[str, ...]:
-        """Return the targets that were tried, or that this daemon holds for bad."""
+        """Return the ids of targets that were tried, are ejected here or are broken here."""
         avoid = set(exchange.tried)
-        for target in self.directory.of_service(exchange.service.name):
+        directory = self.catalog.directory
+        for target in directory.of_service(exchange.service.name):
             if self.loads.is_ejected(target.target_id, now_s):
                 avoid.add(target.target_id)
-        for replica in self.directory.replicas(exchange.service.name):
-            if replica.key in self.broken:
+        for replica in directory.replicas(exchange.service.name):
+            if replica.key in self.catalog.broken:
                 avoid.add(replica.head.target_id)
         return tuple(sorted(avoid))
+
+
+def _is_full(reply: SlotReply | None) -> bool:
+    """Return whether the scheduler knows targets for the request, all of them full."""
+    return reply is not None and reply.candidates > 0 and not reply.target_id
--- a/ferrydock/forwarding/_headers.py
+++ b/ferrydock/forwarding/_headers.py
@@ -1,4 +1,4 @@
-"""Headers that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Headers that concern one connection only (RFC 9110, section 7.6.1); stateless."""
 
 from collections.abc import Iterable
 
@@ -21,7 +21,7 @@
 
 
 def end_to_end(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers to pass on, in order, repeated ones kept.
+    """Return the headers that go on to the other side, in order, repeated ones kept.
 
     Examples
     --------
--- a/ferrydock/forwarding/_listener.py
+++ b/ferrydock/forwarding/_listener.py
@@ -1,4 +1,7 @@
-"""Connections of callers, with ferrydock's own answers to what is no request, and time limits."""
+"""Connections of callers: time limits, and answers to what is no readable request.
+
+Owns for each connection what is under way on it and since when.
+"""
 
 import logging
 
@@ -8,13 +11,18 @@
 
 from ..logs import log_event
 from ._refusal import refusal
+from ._target_loads import SERVER_ERROR
 
-__all__ = ["HEADERS_TOO_LARGE", "Listener"]
+__all__ = ["HEADERS_TOO_LARGE", "CallerConnection", "Listener"]
 
 _LOG = logging.getLogger("ferrydock.forwarding")
 HEADERS_TOO_LARGE = 431
-REQUEST_TIMEOUT = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-SERVER_ERROR = 500
+REQUEST_TIMEOUT = 408
+
+# Written to the connection as it is: while a head is incomplete there is no request to answer.
+_REQUEST_TIMEOUT_ANSWER = (
+    b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+)
 
 
 class CallerConnection(RequestHandler):
@@ -27,7 +35,7 @@
     rests_since_s : float
         Loop time since which nothing is under way.
     head_since_s : float or None
-        Loop time at which the first bytes of a head came that is not whole yet.
+        Loop time at which the first bytes of a head came that is not complete yet.
     """
 
     __slots__ = ("head_since_s", "requests", "rests_since_s")
@@ -44,7 +52,7 @@
         super().data_received(data)
 
     def begin_request(self) -> None:
-        """Note that a head is whole and its request is under way."""
+        """Note that a head is complete and its request is under way."""
         self.requests += 1
         self.head_since_s = None
 
@@ -54,13 +62,19 @@
         self.rests_since_s = self._loop.time()
 
     def enforce(self, now_s: float, header_timeout_s: float, idle_timeout_s: float) -> None:
-        """End the connection if it takes or rests too long."""
+        """End the connection if its head takes, or it rests, too long."""
         if self.requests or self.transport is None:
             return
         if self.head_since_s is not None:
             if now_s - self.head_since_s > header_timeout_s:
-                log_event(_LOG, logging.INFO, "request_unreadable", status=408, why="head too slow")
-                self.transport.write(REQUEST_TIMEOUT)
+                log_event(
+                    _LOG,
+                    logging.INFO,
+                    "request_unreadable",
+                    status=REQUEST_TIMEOUT,
+                    why="head too slow",
+                )
+                self.transport.write(_REQUEST_TIMEOUT_ANSWER)
                 self.force_close()
         elif now_s - self.rests_since_s > idle_timeout_s:
             self.force_close()
@@ -68,18 +82,19 @@
     def handle_error(
         self, request, status: int = SERVER_ERROR, exc=None, message: str | None = None
     ) -> web.StreamResponse:
+        """Answer what aiohttp could not read, or a fault of a handler, in ferrydock's own form."""
         if request.writer.output_size > 0:
             raise ConnectionError("the answer has begun")
         if isinstance(exc, LineTooLong):
             status = HEADERS_TOO_LARGE
-        level = logging.ERROR if status >= SERVER_ERROR else logging.INFO
+        is_own_fault = status >= SERVER_ERROR
+        level = logging.ERROR if is_own_fault else logging.INFO
         log_event(_LOG, level, "request_unreadable", status=status, why=repr(exc))
-        if status >= SERVER_ERROR:
+        if is_own_fault:
             _LOG.error("a handler failed", exc_info=exc)
+            return refusal(status, "internal_error", None, close=True)
         reason = "headers_too_large" if status == HEADERS_TOO_LARGE else "bad_request"
-        return refusal(
-            status, reason if status < SERVER_ERROR else "internal_error", None, close=True
-        )
+        return refusal(status, reason, None, close=True)
 
 
 class Listener(web.Server):
@@ -89,7 +104,7 @@
         return CallerConnection(self, loop=self._loop, **self._kwargs)
 
     def enforce(self, header_timeout_s: float, idle_timeout_s: float) -> None:
-        """End the connections that take or rest too long."""
+        """End the connections whose head takes, or that rest, too long."""
         now_s = self._loop.time()
         for connection in list(self.connections):
             connection.enforce(now_s, header_timeout_s, idle_timeout_s)
--- a/ferrydock/forwarding/_refusal.py
+++ b/ferrydock/forwarding/_refusal.py
@@ -1,26 +1,85 @@
-"""Answers of the gateway's own."""
+"""Rule: when a request is refused, with which status, and when its caller may come back.
+
+Pure but for the random part of the time to come back. A request that is given up gets its answer
+at once.
+"""
+
+import random
 
 import orjson
 from aiohttp import web
 
-__all__ = ["refusal"]
+from ._exchange import Exchange
+
+__all__ = ["TOO_LATE_S", "final_status", "max_queue_s", "refusal", "retry_after_s"]
+
+# Part of the route's objective for the first answer that a request may spend in the queue before
+# its first attempt. A slot taken later brings a late answer and delays others; refused this early,
+# the caller can come back and still be served in time. Measured in docs/MEASUREMENTS.md, second
+# sitting, "refusals within 0.23 of the objective".
+MAX_QUEUE_FRACTION = 0.23
+
+# Seconds in the queue before a further attempt. The request may have run already, so an answer is
+# worth more patience. Chosen, not measured.
+MAX_QUEUE_RETRY_S = 1.0
+
+# Range of the time to come back, in seconds; random, so that callers who were refused together do
+# not return together. Measured with MAX_QUEUE_FRACTION, in the same row.
+RETRY_AFTER_RANGE_S = (0.4, 1.4)
+
+# A request with less time left gets no further attempt: no target answers in it. Chosen, not
+# measured.
+TOO_LATE_S = 0.02
+
+BAD_GATEWAY = 502
+SERVICE_UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
+
+
+def max_queue_s(exchange: Exchange, now_s: float) -> float:
+    """Return how many seconds a request may wait for a slot from now on.
+
+    Never more than its caller's time allows; the objective counts from the arrival of the request.
+    """
+    left_s = exchange.until_s - now_s
+    if exchange.attempts:
+        return min(left_s, MAX_QUEUE_RETRY_S)
+    waited_s = now_s - exchange.started_s
+    return min(left_s, exchange.route.first_answer_s * MAX_QUEUE_FRACTION - waited_s)
+
+
+def final_status(may_have_run: bool, left_s: float) -> int:
+    """Return the status of a request that is given up before its answer began.
+
+    503 promises that the request did not run and will not. One that may have run ends as 504 if
+    its time is over, else as 502, and gets no time to come back: only its caller can tell whether
+    it is safe to repeat.
+    """
+    if not may_have_run:
+        return SERVICE_UNAVAILABLE
+    return GATEWAY_TIMEOUT if left_s <= TOO_LATE_S else BAD_GATEWAY
+
+
+def retry_after_s(rng: random.Random) -> float:
+    """Return after how many seconds a refused caller should come back."""
+    return rng.uniform(*RETRY_AFTER_RANGE_S)
 
 
 def refusal(
     status: int, reason: str, retry_after_s: float | None, close: bool = False
 ) -> web.Response:
-    """Return an answer that says why there is none of a target's.
+    """Return an answer of ferrydock's own.
 
     Parameters
     ----------
     status : int
-        503 promises that the request did not run and will not.
+        HTTP status.
     reason : str
         Snake-case word for programs.
     retry_after_s : float or None
-        When it is worth to come back.
+        Value of ``Retry-After``; None to send none.
     close : bool
-        Whether the connection ends with it.
+        Whether the connection ends with this answer.
     """
     headers = {"Retry-After": f"{retry_after_s:.3g}"} if retry_after_s is not None else {}
     body = orjson.dumps({"error": {"code": reason}})
--- /dev/null
+++ b/ferrydock/forwarding/_request_log.py
@@ -0,0 +1,113 @@
+"""Log lines and metrics of a request's end and of its attempts.
+
+Owns no state but the metrics it writes to. `ferrydock explain` reads these lines back, so their
+events and fields are named there and in docs/OPERATIONS.md as well.
+"""
+
+import logging
+
+from ..logs import log_event
+from ..reports import RouteMetrics
+from ..scheduling import Endpoint
+from ._exchange import AttemptEnd, Exchange
+from ._target_loads import SERVER_ERROR
+
+__all__ = ["RequestLog"]
+
+_LOG = logging.getLogger("ferrydock.forwarding")
+MS_PER_S = 1000
+
+
+class RequestLog:
+    """Writes one line for each attempt that failed and one for each request that ended."""
+
+    __slots__ = ("metrics",)
+
+    def __init__(self, metrics: RouteMetrics):
+        self.metrics = metrics
+
+    def attempt_failed(self, exchange: Exchange, end: AttemptEnd, endpoint: Endpoint) -> None:
+        """Log an attempt that brought no final answer."""
+        log_event(
+            _LOG,
+            logging.INFO,
+            "attempt_failed",
+            request=exchange.inbound.request_id,
+            route=exchange.route.name,
+            target=endpoint.target.target_id,
+            replica=endpoint.replica.name if endpoint.replica else None,
+            why=end.reason,
+            status=end.status or None,
+            ran=end.ran,
+            attempt=exchange.attempts,
+            after_event=exchange.events.last_id if exchange.events else None,
+        )
+
+    def done(self, exchange: Exchange, end: AttemptEnd, endpoint: Endpoint, took_s: float) -> None:
+        """Log and count a request whose answer is whole."""
+        self._count(exchange, "done" if end.status < SERVER_ERROR else "target_error")
+        first_s = exchange.first_s
+        log_event(
+            _LOG,
+            logging.INFO,
+            "request_done",
+            request=exchange.inbound.request_id,
+            route=exchange.route.name,
+            target=endpoint.target.target_id,
+            status=end.status,
+            attempts=exchange.attempts,
+            replica=endpoint.replica.name if endpoint.replica else None,
+            queued_ms=exchange.queued_s * MS_PER_S,
+            first_ms=first_s * MS_PER_S if first_s is not None else None,
+            gap_ms=exchange.longest_gap_s * MS_PER_S or None,
+            took_ms=took_s * MS_PER_S,
+        )
+
+    def gave_up(
+        self,
+        exchange: Exchange,
+        reason: str,
+        may_have_run: bool,
+        held_s: float,
+        endpoints: int,
+        waiting: int,
+    ) -> None:
+        """Log and count a request that ends without a whole answer.
+
+        Parameters
+        ----------
+        held_s : float
+            Seconds since the request came.
+        endpoints : int
+            Endpoints that could have served it, full ones included.
+        waiting : int
+            Requests in this daemon's queue.
+        """
+        if exchange.response is not None:
+            outcome = "cut"
+        else:
+            outcome = "unsure" if may_have_run else "refused"
+        self._count(exchange, outcome)
+        log_event(
+            _LOG,
+            logging.INFO,
+            "request_failed",
+            request=exchange.inbound.request_id,
+            route=exchange.route.name,
+            why=reason,
+            last=exchange.last_reason or None,
+            outcome=outcome,
+            may_have_run=may_have_run,
+            queued_ms=exchange.queued_s * MS_PER_S,
+            open_replicas=endpoints,
+            waiting=waiting,
+            attempts=exchange.attempts,
+            held_ms=held_s * MS_PER_S,
+        )
+
+    def _count(self, exchange: Exchange, outcome: str) -> None:
+        kind = exchange.route.kind
+        self.metrics.ended(exchange.route.name, kind.value, outcome, exchange.first_s)
+        self.metrics.queue_wait.observe(exchange.queued_s)
+        if kind.is_stream and exchange.first_s is not None:
+            self.metrics.longest_gap.observe(exchange.longest_gap_s)
--- a/ferrydock/forwarding/tests/rig.py
+++ b/ferrydock/forwarding/tests/rig.py
@@ -16,9 +16,18 @@
     WeightedService,
 )
 from ...platform import PlatformDialect
+from ...reports import RouteMetrics
 from ...requests import RetryBudget
+from ...scheduling import EndpointCatalog
 from ...targets import Target, TargetDirectory
-from .. import EndpointSelector, Forwarder, RouteGateway, TargetLoads, Upstream
+from .. import (
+    AttemptRunner,
+    EndpointSelector,
+    Forwarder,
+    RouteGateway,
+    TargetLoads,
+    Upstream,
+)
 
 _AT_ONCE = struct.pack("ii", 1, 0)
 HEAD = b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\n"
@@ -140,17 +149,18 @@
         self.budget = RetryBudget(1.0)
         rng = random.Random(1)
         self.selector = EndpointSelector(
-            self.directory, self.loads, "hall-a", self.clock, rng, lambda: daemons
+            EndpointCatalog(self.directory), self.loads, "hall-a", self.clock, rng, lambda: daemons
         )
         self.upstream = Upstream()
-        self.forwarder = Forwarder(
+        attempts = AttemptRunner(
             self.selector,
             self.upstream,
             self.loads,
             PlatformDialect(),
-            lambda service: self.budget,
             self.clock,
+            RouteMetrics(),
         )
+        self.forwarder = Forwarder(attempts, lambda service: self.budget, self.clock)
         self.gateway = RouteGateway(
             self.current, self.forwarder, PlatformDialect(), lambda: 5.0, self.clock, rng
         )
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from ...clock import ManualClock
 from ...configuration import Configuration, RouteKind
 from ...targets import Target
+from .._refusal import max_queue_s
 from .rig import HEAD, TENANTS, Rig, ScriptedTarget, answers, attempt_id, play, resets, route, whole
 
 NOT_EXECUTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -531,7 +531,7 @@
 
 
 def test_a_failure_passes_at_once_where_no_other_target_is_left(monkeypatch):
-    monkeypatch.setattr("ferrydock.forwarding._forwarder.PATIENCE_AGAIN_S", 10 * PATIENT_S)
+    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_QUEUE_RETRY_S", 10 * PATIENT_S)
 
     async def scenario():
         patient = route(time_limit_s=10 * PATIENT_S)
@@ -543,7 +543,7 @@
 
 
 def test_a_lost_answer_is_not_waited_for_where_no_other_target_is_left(monkeypatch):
-    monkeypatch.setattr("ferrydock.forwarding._forwarder.PATIENCE_AGAIN_S", 10 * PATIENT_S)
+    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_QUEUE_RETRY_S", 10 * PATIENT_S)
 
     async def scenario():
         patient = route(time_limit_s=10 * PATIENT_S)
@@ -586,18 +586,12 @@
 
 @pytest.mark.parametrize("waited_s", [0.0, 0.05, 0.09])
 def test_the_wait_for_a_first_place_ends_within_a_quarter_of_the_objective(waited_s):
-    async def scenario():
-        async with Rig([route()], []) as rig:
-            forwarder = rig.forwarder
-            forwarder.clock = ManualClock(50.0)
-            exchange = SimpleNamespace(
-                route=route(first_answer_s=0.4),
-                attempts=0,
-                started_s=50.0 - waited_s,
-                until_s=56.0,
-            )
-            assert 0 < forwarder._patience_s(exchange) <= 0.4 / 4 - waited_s
-            exchange.attempts = 1  # it may have run: what was begun is worth more patience
-            assert forwarder._patience_s(exchange) == 1.0
-
-    play(scenario)
+    exchange = SimpleNamespace(
+        route=route(first_answer_s=0.4),
+        attempts=0,
+        started_s=50.0 - waited_s,
+        until_s=56.0,
+    )
+    assert 0 < max_queue_s(exchange, 50.0) <= 0.4 / 4 - waited_s
+    exchange.attempts = 1  # it may have run: what was begun is worth more patience
+    assert max_queue_s(exchange, 50.0) == 1.0
--- a/ferrydock/gateway/_route_dialect.py
+++ b/ferrydock/gateway/_route_dialect.py
@@ -6,6 +6,7 @@
 from multidict import CIMultiDict
 
 from ..forwarding import AnswerHeaders, Inbound, Outbound, end_to_end
+from ..outcomes import Fault, Invalid
 from ..table import digest_key
 
 __all__ = ["OwnDialect"]
@@ -26,7 +27,7 @@
 
     __slots__ = ()
 
-    def read(self, headers: Mapping[str, str]) -> Inbound | None:
+    def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
         try:
             timeout = headers.get("X-Request-Timeout-Ms")
             after = headers.get("Last-Event-Id")
@@ -39,8 +40,8 @@
                 model="",
                 last_event_id=int(after) if after else None,
             )
-        except ValueError:
-            return None
+        except ValueError as error:
+            return Invalid((Fault("headers", str(error)),))
 
     def outgoing(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
--- a/ferrydock/gateway/_routes.py
+++ b/ferrydock/gateway/_routes.py
@@ -12,8 +12,17 @@
     Team,
     WeightedService,
 )
-from ..forwarding import EndpointSelector, Forwarder, RouteGateway, TargetLoads, Upstream
+from ..forwarding import (
+    AttemptRunner,
+    EndpointSelector,
+    Forwarder,
+    RouteGateway,
+    TargetLoads,
+    Upstream,
+)
+from ..reports import RouteMetrics
 from ..requests import RetryBudget
+from ..scheduling import EndpointCatalog
 from ..table import TableView
 from ..targets import Target, TargetDirectory
 from ._route_dialect import OwnDialect
@@ -91,9 +100,10 @@
         self.ratio = 0.1
         self._budgets: dict[str, RetryBudget] = {}
         loads = TargetLoads()
-        selector = EndpointSelector(self.directory, loads, hall, clock, rng)
+        selector = EndpointSelector(EndpointCatalog(self.directory), loads, hall, clock, rng)
         dialect = OwnDialect()
-        forwarder = Forwarder(selector, self.upstream, loads, dialect, self._budget, clock)
+        attempts = AttemptRunner(selector, self.upstream, loads, dialect, clock, RouteMetrics())
+        forwarder = Forwarder(attempts, self._budget, clock)
         self.gateway = RouteGateway(
             self.current, forwarder, dialect, lambda: ALWAYS_FRESH_S, clock, rng
         )
--- a/ferrydock/platform/_dialect.py
+++ b/ferrydock/platform/_dialect.py
@@ -5,6 +5,7 @@
 from multidict import CIMultiDict
 
 from ..forwarding import AnswerHeaders, Inbound, Outbound, end_to_end
+from ..outcomes import Fault, Invalid
 
 __all__ = ["PlatformDialect"]
 
@@ -19,7 +20,7 @@
 
     __slots__ = ()
 
-    def read(self, headers: Mapping[str, str]) -> Inbound | None:
+    def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
         try:
             deadline = headers.get("X-Deadline-Ms")
             for count in headers.get("X-Token-Count", "0,0").split(",")[:2]:
@@ -33,8 +34,8 @@
                 model=headers.get("X-Model", ""),
                 last_event_id=int(after) if after else None,
             )
-        except ValueError:
-            return None
+        except ValueError as error:
+            return Invalid((Fault("headers", str(error)),))
 
     def outgoing(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -321,7 +321,7 @@
 
             def counted():
                 now_s = site.nodes[0].clock.now_s()
-                return [node.daemon_counter.size(now_s) for node in site.nodes] == sizes
+                return [node.daemon_counter.daemons(now_s) for node in site.nodes] == sizes
 
             await site.until(counted)
             for node in site.nodes:
--- a/ferrydock/relay/_broken_replicas.py
+++ b/ferrydock/relay/_broken_replicas.py
@@ -1,59 +1,68 @@
-"""Which replicas are held for broken, and what is told of them."""
+"""Broken replicas as this daemon found them, to be reported to peers, and the peers' reports.
+
+Owns the time at which each was noted, in memory. What a report means is decided by
+`route_daemon.ReplicaFailures`.
+"""
 
 from collections.abc import Callable, Iterable
 
 __all__ = ["BrokenReplicas"]
 
-TOLD_FOR_S = 8.0
-MOST_TOLD = 100
+# How long a broken replica is reported. A follower asks its leader every 0.3 s, so a few lost calls
+# do not matter, and by then the leader has dissolved the replica. Chosen, not measured.
+REPORT_FOR_S = 8.0
 
+# Replicas in one report; bounds the message when a whole hall is lost. Chosen, not measured.
+MAX_REPORTED = 100
 
-class BrokenReplicas:
-    """Replicas that this daemon found broken lately, to be told to others.
+ReplicaKey = tuple[str, int]
 
-    Parameters
-    ----------
-    on_told : callable
-        Takes name and epoch of a replica that another daemon told of, each time it does.
+
+class BrokenReplicas:
+    """Replicas that this daemon found broken recently.
 
     Attributes
     ----------
+    on_received : callable
+        Takes name and epoch of a replica that a peer reports and that was not noted here; called
+        for each report.
     count : int
-        How many were noted so far.
+        How many were noted since the start.
 
     Examples
     --------
-    >>> heard = []
-    >>> broken = BrokenReplicas(heard.append)
+    >>> received = []
+    >>> broken = BrokenReplicas(received.append)
     >>> broken.note(("g1", 4), now_s=10.0)
-    >>> broken.hear([("g1", 4), ("g2", 5)])
-    >>> heard
+    >>> broken.receive([("g1", 4), ("g2", 5)])
+    >>> received
     [('g2', 5)]
-    >>> broken.lately(now_s=11.0), broken.lately(now_s=30.0)
+    >>> broken.recent(now_s=11.0), broken.recent(now_s=30.0)
     ((('g1', 4),), ())
     """
 
-    __slots__ = ("_noted_s", "count", "on_told")
+    __slots__ = ("_noted_s", "count", "on_received")
 
-    def __init__(self, on_told: Callable[[tuple[str, int]], None] = lambda key: None):
-        self.on_told = on_told
+    def __init__(self, on_received: Callable[[ReplicaKey], None] = lambda key: None):
+        self.on_received = on_received
         self.count = 0
-        self._noted_s: dict[tuple[str, int], float] = {}
+        self._noted_s: dict[ReplicaKey, float] = {}
 
-    def note(self, key: tuple[str, int], now_s: float) -> None:
-        """Note a replica that is held for broken."""
+    def note(self, key: ReplicaKey, now_s: float) -> None:
+        """Note a replica that this daemon considers broken."""
         if key not in self._noted_s:
             self._noted_s[key] = now_s
             self.count += 1
 
-    def lately(self, now_s: float) -> tuple[tuple[str, int], ...]:
-        """Return what others should be told."""
-        for key in [k for k, noted_s in self._noted_s.items() if now_s - noted_s > TOLD_FOR_S]:
+    def recent(self, now_s: float) -> tuple[ReplicaKey, ...]:
+        """Return what to report to peers."""
+        old = [key for key, noted_s in self._noted_s.items() if now_s - noted_s > REPORT_FOR_S]
+        for key in old:
             del self._noted_s[key]
-        return tuple(self._noted_s)[-MOST_TOLD:]
+        return tuple(self._noted_s)[-MAX_REPORTED:]
 
-    def hear(self, keys: Iterable[tuple[str, int]]) -> None:
-        """Take what another daemon tells."""
+    def receive(self, keys: Iterable[ReplicaKey]) -> None:
+        """Handle a peer's report."""
         for key in keys:
             if key not in self._noted_s:
-                self.on_told(key)
+                self.on_received(key)
--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -1,10 +1,19 @@
-"""Following another daemon instead of the store."""
+"""Following the hall leader instead of the store.
+
+Owns the position in the leader's target list, and the connection. Fills the current configuration,
+the target directory, the broken replicas and the daemon counter.
+"""
 
 import logging
 from collections.abc import Callable
 
 from ..clock import Clock
-from ..configuration import Configuration, ConfigurationUnreadable, CurrentConfiguration
+from ..configuration import (
+    LEADER_MAX_AGE_S,
+    Configuration,
+    ConfigurationUnreadable,
+    CurrentConfiguration,
+)
 from ..logs import log_event
 from ..targets import TargetChanges, TargetDirectory
 from ._broken_replicas import BrokenReplicas
@@ -16,30 +25,32 @@
 __all__ = ["RelayClient"]
 
 _LOG = logging.getLogger("ferrydock.relay")
+
+# How long the leader may take to answer: it holds a question for up to 0.3 s while nothing changes.
+# Part of the bound explained at `configuration.LEADER_MAX_AGE_S`.
 ANSWER_TIMEOUT_S = 0.6
-MOST_AGE_S = 1.1
 
 
 class RelayClient:
-    """Pulls news from the daemon that reads the store for this hall.
+    """Pulls news from the hall leader.
 
     Parameters
     ----------
     current, directory : CurrentConfiguration, TargetDirectory
         What is filled.
     decode : callable
-        Reads an encoded configuration.
+        Decodes a configuration as it is stored.
     broken : BrokenReplicas, optional
-        What is known of broken replicas.
+        Reports to the leader, and its reports.
     daemon_counter : DaemonCounter, optional
-        Is told how many daemons the hall has.
+        Receives the number of daemons in the hall.
     name : str, default=""
-        Of this daemon, as others count it.
+        Of this daemon, as the leader counts it.
 
     Notes
     -----
-    Confirmations travel as ages: an answer's age counts from the moment the question was sent,
-    which is no later than the answer was written.
+    The age of a confirmation in an answer counts from the moment the question was sent, which is
+    no later than the answer was written.
     """
 
     __slots__ = (
@@ -47,13 +58,13 @@
         "_calls",
         "_change",
         "_life",
-        "current",
         "broken",
         "clock",
+        "current",
+        "daemon_counter",
         "decode",
         "directory",
         "name",
-        "daemon_counter",
     )
 
     def __init__(
@@ -66,31 +77,31 @@
         daemon_counter: DaemonCounter | None = None,
         name: str = "",
     ):
-        self.broken = broken or BrokenReplicas()
-        self.daemon_counter = daemon_counter or DaemonCounter()
-        self.name = name
         self.current = current
         self.directory = directory
         self.decode = decode
         self.clock = clock
+        self.broken = broken or BrokenReplicas()
+        self.daemon_counter = daemon_counter or DaemonCounter()
+        self.name = name
         self._address = ""
         self._calls = PeerCalls()
         self._life = ""
         self._change = 0
 
     async def pull(self, address: str) -> bool:
-        """Ask once; return whether the answer was good enough to need no store."""
+        """Ask the leader once; return whether its answer makes the store unnecessary."""
         if address != self._address:
             await self.close()
             self._address = address
+        sent_s = self.clock.now_s()
         request = NewsRequest(
             self._life,
             self._change,
             self.current.version,
-            self.broken.lately(self.clock.now_s()),
+            self.broken.recent(sent_s),
             self.name,
         )
-        sent_s = self.clock.now_s()
         data = await self._calls.call(address, NEWS, encode(request), ANSWER_TIMEOUT_S)
         if data is None:
             await self.close()
@@ -104,21 +115,17 @@
         return self._take(answer, sent_s)
 
     async def close(self) -> None:
-        """Give up the connection; the next answer brings the whole list."""
+        """Close the connection; the next answer brings the whole list."""
         self._life = ""
         await self._calls.close()
 
     def _take(self, answer: NewsAnswer, sent_s: float) -> bool:
-        if answer.configuration:
-            found = self.decode(answer.configuration.encode())
-            if isinstance(found, Configuration):
-                self.current.offer(found, None)
-        if answer.age_s is not None:
-            self.current.confirm(answer.version, sent_s - answer.age_s)
+        """Take over an answer; return whether it makes the store unnecessary."""
+        self._take_configuration(answer, sent_s)
         if not answer.serves:
             return False
-        self.broken.hear(answer.broken)
-        self.daemon_counter.learn(answer.daemons, sent_s)
+        self.broken.receive(answer.broken)
+        self.daemon_counter.receive(answer.daemons, sent_s)
         if answer.revision < self.directory.revision:
             return False  # what this daemon has read itself is newer
         self._life, self._change = answer.life, answer.change
@@ -126,4 +133,14 @@
             self.directory.take(
                 TargetChanges(answer.whole, answer.entries, answer.removed, answer.revision)
             )
-        return answer.age_s is not None and answer.age_s <= MOST_AGE_S
+        return answer.age_s is not None and answer.age_s <= LEADER_MAX_AGE_S
+
+    def _take_configuration(self, answer: NewsAnswer, sent_s: float) -> None:
+        if answer.configuration:
+            decoded = self.decode(answer.configuration.encode())
+            if isinstance(decoded, Configuration):
+                self.current.offer(decoded, None)
+            else:
+                log_event(_LOG, logging.ERROR, "configuration_unreadable", why=decoded.reason)
+        if answer.age_s is not None:
+            self.current.confirm(answer.version, sent_s - answer.age_s)
--- a/ferrydock/relay/_messages.py
+++ b/ferrydock/relay/_messages.py
@@ -1,4 +1,8 @@
-"""What a follower asks of the daemon that reads the store for its hall, and the answer."""
+"""What a follower asks its hall leader, and the answer.
+
+The field names are the wire: daemons of two versions run side by side during an upgrade, so a
+field is never renamed (tests/test_outside.py).
+"""
 
 from dataclasses import asdict, dataclass
 
@@ -11,18 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class NewsRequest:
-    """What the follower knows.
+    """What the follower has.
 
     Attributes
     ----------
     life : str
-        Life of the daemon whose list it follows; empty for none.
+        Id of the leader's process whose list it follows; empty for none.
     change : int
-        Last change of that list it has taken.
+        Last change of that list that it has.
     version : int
-        Version of its configuration.
+        Version of its configuration; -1 for none.
     broken : tuple of (str, int)
-        Replicas, by name and epoch, that it found broken lately.
+        Replicas, by name and epoch, that it found broken in the last 8 s.
     sender : str
         Name of the follower.
     """
@@ -41,7 +45,9 @@
     Attributes
     ----------
     serves : bool
-        Whether the answering daemon reads the store, and lately reached it.
+        Whether the answering daemon leads its hall and reached the store in the last 1.1 s.
+    life : str
+        Id of its process: the changes of its list are numbered anew with each.
     whole : bool
         Whether `entries` is the whole list rather than what changed.
     revision : int
@@ -51,11 +57,11 @@
     configuration : str
         Its encoded value; empty where the follower has it.
     age_s : float or None
-        How long ago that version was surely the newest, as of this answer.
+        Seconds since that version was certainly the newest, as of this answer.
     broken : tuple of (str, int)
-        Replicas that the answering daemon holds for broken.
+        Replicas that the answering daemon considers broken.
     daemons : int
-        Daemons of the hall, as far as the answering one knows.
+        Daemons of the hall, as the answering one counts them.
     """
 
     serves: bool
@@ -106,11 +112,11 @@
 
 
 def _target(fields: dict) -> Target:
-    place = fields["membership"]
-    if place is not None:
-        place = Membership(**{**place, "state": ReplicaState(place["state"])})
+    membership = fields["membership"]
+    if membership is not None:
+        membership = Membership(**{**membership, "state": ReplicaState(membership["state"])})
     changed = {
-        "membership": place,
+        "membership": membership,
         "staged": tuple(fields["staged"]),
         "models": tuple(fields["models"]),
     }
--- a/ferrydock/relay/_peers.py
+++ b/ferrydock/relay/_peers.py
@@ -1,4 +1,7 @@
-"""Calls to other daemons: one connection for each, bytes in and bytes out."""
+"""Calls to other daemons: one connection for each, bytes in and bytes out.
+
+Owns the connections. What the bytes mean is up to the packages that call.
+"""
 
 import asyncio
 import logging
@@ -11,16 +14,32 @@
 __all__ = ["OPTIONS", "SERVICE", "PeerCalls"]
 
 _LOG = logging.getLogger("ferrydock.relay")
+
+# Name of the service on the wire.
 SERVICE = "ferrydock.Peer"
-MOST_MESSAGE_BYTES = 16 * 2**20
-MOST_CONNECTIONS = 8
-SILENCES_TO_DROP = 3
+
+# Largest message; a whole target list of a grown site and a configuration of some hundred routes
+# stay far below. Chosen, not measured.
+MAX_MESSAGE_BYTES = 16 * 2**20
+
+# Connections kept at a time: one daemon calls its hall leader, and a leader the leaders of other
+# halls. Chosen, not measured.
+MAX_CONNECTIONS = 8
+
+# Calls in a row without an answer after which a connection is opened anew: one behind a network cut
+# would stay silent. Chosen, not measured.
+TIMEOUTS_TO_RECONNECT = 3
+
+# No port is shared with an older process, and no proxy of the environment is used.
 OPTIONS = (
-    ("grpc.max_receive_message_length", MOST_MESSAGE_BYTES),
-    ("grpc.max_send_message_length", MOST_MESSAGE_BYTES),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
+    ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.so_reuseport", 0),
     ("grpc.enable_http_proxy", 0),
 )
+
+# A peer that starts again is reached within half a second. Chosen, not measured. The pool is local,
+# so that a connection that is given up here is really closed.
 CHANNEL_OPTIONS = (
     *OPTIONS,
     ("grpc.initial_reconnect_backoff_ms", 100),
@@ -31,57 +50,51 @@
 
 
 class PeerCalls:
-    """Makes calls.
-
-    Notes
-    -----
-    A connection behind a cut says nothing; after three calls in a row without an answer it is
-    given up and made anew.
-    """
+    """Makes calls to other daemons."""
 
-    __slots__ = ("_channels", "_silences")
+    __slots__ = ("_channels", "_timeouts")
 
     def __init__(self):
         self._channels: dict[str, grpc.aio.Channel] = {}
-        self._silences: dict[str, int] = {}
+        self._timeouts: dict[str, int] = {}
 
-    async def call(self, address: str, method: str, data: bytes, within_s: float) -> bytes | None:
-        """Return the answer, or None if there was none in time."""
+    async def call(self, address: str, method: str, data: bytes, timeout_s: float) -> bytes | None:
+        """Return the answer, or None if there was none in time; the reason is logged."""
         channel = self._channels.get(address)
         if channel is None:
             await self._make_room()
             channel = grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
             self._channels[address] = channel
         try:
-            answer = await channel.unary_unary(f"/{SERVICE}/{method}")(data, timeout=within_s)
+            answer = await channel.unary_unary(f"/{SERVICE}/{method}")(data, timeout=timeout_s)
         except (grpc.aio.AioRpcError, grpc.aio.UsageError, OSError) as error:
             await self._note_failure(address, method, error)
             return None
         except asyncio.CancelledError:
             if asyncio.current_task().cancelling():
                 raise
-            return None  # the connection was given up under the call
-        self._silences.pop(address, None)
+            return None  # another call has closed the connection under this one
+        self._timeouts.pop(address, None)
         return answer
 
     async def _note_failure(self, address: str, method: str, error: Exception) -> None:
         code = error.code() if isinstance(error, grpc.aio.AioRpcError) else None
         why = code.name if code else type(error).__name__
         log_event(_LOG, logging.INFO, "call_failed", address=address, method=method, why=why)
-        silences = self._silences[address] = self._silences.get(address, 0) + 1
-        if code is not grpc.StatusCode.DEADLINE_EXCEEDED or silences >= SILENCES_TO_DROP:
+        timeouts = self._timeouts[address] = self._timeouts.get(address, 0) + 1
+        if code is not grpc.StatusCode.DEADLINE_EXCEEDED or timeouts >= TIMEOUTS_TO_RECONNECT:
             await self.drop(address)
 
     async def drop(self, address: str) -> None:
-        """Give up the connection to a daemon."""
-        self._silences.pop(address, None)
+        """Close the connection to a daemon; the next call opens another."""
+        self._timeouts.pop(address, None)
         channel = self._channels.pop(address, None)
         if channel is not None:
             await channel.close()
 
     async def _make_room(self) -> None:
-        """Drop the oldest connection where there are too many."""
-        while len(self._channels) >= MOST_CONNECTIONS:
+        """Close the oldest connection if there are too many."""
+        while len(self._channels) >= MAX_CONNECTIONS:
             await self.drop(next(iter(self._channels)))
 
     async def close(self) -> None:
--- a/ferrydock/relay/_server.py
+++ b/ferrydock/relay/_server.py
@@ -1,4 +1,8 @@
-"""Answering followers: the list of targets and the configuration, as this daemon knows them."""
+"""Answering followers: the target list and the configuration, as this daemon knows them.
+
+Owns the server for calls between daemons; other packages add their calls to it. Answers from the
+current configuration and the target directory; keeps nothing of its own but the id of its life.
+"""
 
 import asyncio
 import uuid
@@ -13,21 +17,29 @@
 from ..targets import TargetDirectory
 from ._broken_replicas import BrokenReplicas
 from ._daemon_counter import DaemonCounter
-from ._messages import NewsAnswer, decode_request, encode
+from ._messages import NewsAnswer, NewsRequest, decode_request, encode
 from ._peers import OPTIONS, SERVICE
 
 __all__ = ["NEWS", "RelayServer"]
 
+# Name of the call on the wire.
 NEWS = "News"
+
+# How long a question is held while there is nothing new, so that a change reaches a follower as
+# soon as this daemon has it. A part of the bound explained at `configuration.LEADER_MAX_AGE_S`.
 HOLD_S = 0.3
+
+# Pause between two looks for something new while a question is held. Chosen, not measured.
 LOOK_S = 0.05
 
+# How long calls under way may still take when the server is closed. Chosen, not measured.
+CLOSE_GRACE_S = 0.1
 
 Method = Callable[[bytes], Awaitable[bytes]]
 
 
 def _answering(method: Method) -> Callable:
-    """Return a call's handler, which refuses what the call cannot read."""
+    """Return the handler of a call; one whose bytes cannot be decoded is refused."""
 
     async def handle(data: bytes, context: grpc.aio.ServicerContext) -> bytes:
         try:
@@ -44,24 +56,24 @@
     Parameters
     ----------
     current, directory : CurrentConfiguration, TargetDirectory
-        What is told.
+        What is passed on.
     reads_store : callable
-        Whether this daemon reads the store itself and lately reached it.
+        Whether this daemon reads the store for its hall and reached it recently.
     broken : BrokenReplicas, optional
-        What is known of broken replicas.
+        The followers' reports, and what is reported to them.
     daemon_counter : DaemonCounter, optional
         Counts who asks.
     """
 
     __slots__ = (
         "_server",
-        "current",
         "broken",
         "clock",
+        "current",
+        "daemon_counter",
         "directory",
         "life",
         "reads_store",
-        "daemon_counter",
     )
 
     def __init__(
@@ -73,12 +85,12 @@
         broken: BrokenReplicas | None = None,
         daemon_counter: DaemonCounter | None = None,
     ):
-        self.broken = broken or BrokenReplicas()
-        self.daemon_counter = daemon_counter or DaemonCounter()
         self.current = current
         self.directory = directory
         self.reads_store = reads_store
         self.clock = clock
+        self.broken = broken or BrokenReplicas()
+        self.daemon_counter = daemon_counter or DaemonCounter()
         self.life = uuid.uuid4().hex[:12]
         self._server: grpc.aio.Server | None = None
 
@@ -88,7 +100,7 @@
         Parameters
         ----------
         methods : mapping of str to callable
-            More calls to serve. One that raises ValueError or TypeError could not read its data.
+            More calls to serve. One that raises ValueError or TypeError could not decode its data.
         """
         self._server = grpc.aio.server(options=OPTIONS)
         handlers = {
@@ -104,54 +116,65 @@
     async def close(self) -> None:
         """Stop listening."""
         if self._server is not None:
-            await self._server.stop(0.1)
+            await self._server.stop(CLOSE_GRACE_S)
 
     async def _news(self, data: bytes) -> bytes:
+        """Answer a follower once there is something new, or after `HOLD_S`."""
         request = decode_request(data)
-        self.broken.hear(request.broken)
-        self.daemon_counter.heard(request.sender, self.clock.now_s())
-        known_broken = self.broken.count
+        self.broken.receive(request.broken)
+        self.daemon_counter.note_follower(request.sender, self.clock.now_s())
+        broken_before = self.broken.count
         until_s = self.clock.now_s() + HOLD_S
         while (
-            self._is_known(request)
-            and self.broken.count == known_broken
+            self._has_all(request)
+            and self.broken.count == broken_before
             and self.clock.now_s() < until_s
             and self.reads_store()
         ):
             await asyncio.sleep(LOOK_S)
         return encode(self.answer(request))
 
-    def _is_known(self, request) -> bool:
-        same_life = request.life == self.life
+    def _has_all(self, request: NewsRequest) -> bool:
+        """Return whether a follower has this daemon's list and configuration already."""
         return (
-            same_life
+            request.life == self.life
             and request.change == self.directory.changes
             and request.version == self.current.version
         )
 
-    def answer(self, request) -> NewsAnswer:
+    def answer(self, request: NewsRequest) -> NewsAnswer:
         """Return what a follower lacks."""
-        directory, current = self.directory, self.current
-        changed = directory.changed_since(request.change) if request.life == self.life else None
-        if changed is None:
-            entries, removed = tuple(directory.targets.values()), ()
-        else:
-            entries = tuple(directory.targets[i] for i in changed if i in directory.targets)
-            removed = tuple(i for i in changed if i not in directory.targets)
-        configuration = current.lookup.configuration if current.lookup else None
-        lacks = configuration is not None and request.version < configuration.version
-        age_s = current.age_s(self.clock.now_s())
+        now_s = self.clock.now_s()
+        is_whole, entries, removed = self._list_changes(request)
+        age_s = self.current.age_s(now_s)
         return NewsAnswer(
-            serves=self.reads_store() and directory.loaded,
+            serves=self.reads_store() and self.directory.loaded,
             life=self.life,
-            change=directory.changes,
-            whole=changed is None,
+            change=self.directory.changes,
+            whole=is_whole,
             entries=entries,
             removed=removed,
-            revision=directory.revision,
-            version=current.version,
-            configuration=configuration.encoded.decode() if lacks else "",
+            revision=self.directory.revision,
+            version=self.current.version,
+            configuration=self._configuration_for(request),
             age_s=age_s if age_s != float("inf") else None,
-            broken=self.broken.lately(self.clock.now_s()),
-            daemons=self.daemon_counter.count_followers(self.clock.now_s()),
+            broken=self.broken.recent(now_s),
+            daemons=self.daemon_counter.count_followers(now_s),
         )
+
+    def _list_changes(self, request: NewsRequest) -> tuple[bool, tuple, tuple[str, ...]]:
+        """Return whether the entries are the whole list, the entries, and the removed ids."""
+        directory = self.directory
+        changed = directory.changed_since(request.change) if request.life == self.life else None
+        if changed is None:
+            return True, tuple(directory.targets.values()), ()
+        entries = tuple(directory.targets[i] for i in changed if i in directory.targets)
+        removed = tuple(i for i in changed if i not in directory.targets)
+        return False, entries, removed
+
+    def _configuration_for(self, request: NewsRequest) -> str:
+        """Return the configuration as it is stored, or "" if the follower has it."""
+        lookup = self.current.lookup
+        if lookup is None or request.version >= lookup.configuration.version:
+            return ""
+        return lookup.configuration.encoded.decode()
--- a/ferrydock/relay/tests/test_relay.py
+++ b/ferrydock/relay/tests/test_relay.py
@@ -118,8 +118,8 @@
     async def scenario():
         async with Pair() as pair:
             heard, heard_back = [], []
-            pair.server.broken.on_told = heard.append
-            pair.client.broken.on_told = heard_back.append
+            pair.server.broken.on_received = heard.append
+            pair.client.broken.on_received = heard_back.append
             assert await pair.client.pull(pair.address)
             pair.client.broken.note(("g1", 3), pair.follower_clock.now_s())
             pulling = asyncio.ensure_future(pair.client.pull(pair.address))
@@ -136,9 +136,9 @@
     async def scenario():
         async with Pair() as pair:
             pair.client.name = "edge-2"
-            pair.server.daemon_counter.heard("edge-3", 1000.0)
+            pair.server.daemon_counter.note_follower("edge-3", 1000.0)
             assert await pair.client.pull(pair.address)
-            assert pair.client.daemon_counter.size(5.0) == 3
+            assert pair.client.daemon_counter.daemons(5.0) == 3
             assert pair.server.daemon_counter.count_followers(1000.0) == 3
 
     play(scenario)
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -6,8 +6,9 @@
 from collections.abc import Awaitable, Callable
 
 from ..clock import Clock
-from ..configuration import CurrentConfiguration, ServiceSpec
+from ..configuration import LEADER_MAX_AGE_S, CurrentConfiguration, max_keyed_age_s
 from ..forwarding import (
+    AttemptRunner,
     Forwarder,
     HallEndpointSelector,
     RouteGateway,
@@ -23,6 +24,7 @@
 from ..reports import RouteMetrics
 from ..requests import RetryBudget
 from ..scheduling import (
+    EndpointCatalog,
     HallScheduler,
     InFlightCounts,
     RemoteHallPoller,
@@ -40,7 +42,6 @@
 _LOG = logging.getLogger("ferrydock.route_daemon")
 READY_GONE_S = 3.2
 STOP_MARGIN_S = 0.8
-FRESHNESS_MARGIN_S = 0.4
 RATIO_PART = 0.8
 SLACK_PART = 0.8
 START_PART = 0.25
@@ -49,7 +50,6 @@
 PACE_S = 0.1
 ELSEWHERE_S = 0.15
 METRICS_PATH = "/metrics"
-STORE_AWAY_S = 1.1
 GATHER_CONTROLLER_S = 0.2
 GATHER_S = 0.4
 
@@ -73,36 +73,25 @@
         self.failed = asyncio.Event()
         self.current = CurrentConfiguration()
         self.directory = TargetDirectory()
+        self.catalog = EndpointCatalog(self.directory)
         self.loads = TargetLoads()
         self.daemon_counter = DaemonCounter()
         self.selector = HallEndpointSelector(
-            self.directory, self.loads, self.settings.hall, clock, self.rng, self._daemons
+            self.catalog, self.loads, self.settings.hall, clock, self.rng, self._daemons
         )
         self.upstream = Upstream()
         self.metrics = RouteMetrics()
         self._budgets: dict[str, RetryBudget] = {}
-        self.forwarder = Forwarder(
-            self.selector,
-            self.upstream,
-            self.loads,
-            deployment.dialect,
-            self._budget,
-            clock,
-            self.metrics,
+        attempts = AttemptRunner(
+            self.selector, self.upstream, self.loads, deployment.dialect, clock, self.metrics
         )
+        self.forwarder = Forwarder(attempts, self._budget, clock)
         self.gateway = RouteGateway(
             self.current, self.forwarder, deployment.dialect, self._freshness_s, clock, self.rng
         )
         self.order_sender = OrderSender(deployment.control, self.directory, clock)
-        self.stalls = StallDetector(
-            self.forwarder,
-            self.selector,
-            self.loads,
-            deployment.control,
-            clock,
-            self._on_dead,
-            lambda key: self.broken.note(key, clock.now_s()),
-        )
+        self.stalls = StallDetector(attempts, deployment.control, clock)
+        self.stalls.listener = self
         self.broken = BrokenReplicas(self._on_told_broken)
         self.relay_server = RelayServer(
             self.current, self.directory, self._reads_store, clock, self.broken, self.daemon_counter
@@ -132,15 +121,14 @@
         )
         self.counts = InFlightCounts(self.rng.getrandbits(40))
         self.scheduler = HallScheduler(
-            self.directory,
+            self.catalog,
             self.counts,
             self.settings.hall,
-            self._service,
-            self.selector.broken,
+            self.current.service,
             clock,
             self.rng,
         )
-        self.selector.dispatch = SchedulerClient(
+        self.selector.scheduler = SchedulerClient(
             self.settings.name,
             self.scheduler,
             lambda: self.leadership.leader_address,
@@ -168,7 +156,7 @@
             self.clock,
             settings.load_window_s,
             settings.load_overshoot,
-            lambda key: self.stalls.break_replica(key, "given_up"),
+            self.stalls.replica_given_up,
             self.metrics,
         )
 
@@ -178,10 +166,6 @@
             return OwnHallLeadership(*parts, relay=self.relay_client)
         return RemoteHallLeadership(*parts, is_candidate=lambda: self.leadership.lease.valid)
 
-    def _service(self, name: str) -> ServiceSpec | None:
-        lookup = self.current.lookup
-        return lookup.configuration.services.get(name) if lookup else None
-
     def _other_leaders(self) -> dict[str, str]:
         """Return the addresses of the other halls' dispatchers, as far as they are known."""
         return {
@@ -200,7 +184,7 @@
     def _reads_store(self) -> bool:
         """Whether this daemon is the one of its hall that reads the store, and can."""
         age_s = self.current.age_s(self.clock.now_s())
-        return self.leadership.lease.valid and age_s < STORE_AWAY_S
+        return self.leadership.lease.valid and age_s < LEADER_MAX_AGE_S
 
     def _on_told_broken(self, key: tuple[str, int]) -> None:
         """Take another daemon's word that a replica is broken.
@@ -214,9 +198,13 @@
         for service in self._engine_services():
             for replica in self.directory.replicas(service):
                 if replica.key == key:
-                    self.stalls.check_replica(replica)
+                    self.stalls.check_reported(replica)
+
+    def replica_broken(self, key: tuple[str, int]) -> None:
+        """Report a replica that this daemon found broken to its peers."""
+        self.broken.note(key, self.clock.now_s())
 
-    def _on_dead(self, target_ids: list[str], reason: str) -> None:
+    def targets_dead(self, target_ids: list[str], reason: str) -> None:
         for target_id in target_ids:
             target = self.directory.targets.get(target_id)
             for controller in self.controllers:
@@ -233,7 +221,7 @@
 
     def _daemons(self) -> int:
         """Return how many daemons the site has, if all halls are as large as this one."""
-        return len(self.settings.halls) * self.daemon_counter.size(self.clock.now_s())
+        return len(self.settings.halls) * self.daemon_counter.daemons(self.clock.now_s())
 
     def _slack_part(self) -> float:
         """Return this daemon's part of the slack in retries, which all daemons share.
@@ -243,7 +231,7 @@
         return self.settings.retry_slack * SLACK_PART / self._daemons()
 
     def _freshness_s(self) -> float:
-        return self.settings.freshness_s - FRESHNESS_MARGIN_S
+        return max_keyed_age_s(self.settings.freshness_s)
 
     # Life -----------------------------------------------------------------------------------
 
@@ -295,7 +283,7 @@
         await self.gateway.close()
         await self.ready_listener.close()
         await self.metrics_listener.close()
-        await self.selector.dispatch.close()
+        await self.selector.scheduler.close()
         await self.elsewhere.close()
         await self.relay_client.close()
         await self.relay_server.close()
@@ -394,7 +382,7 @@
         """Give each retry budget the part that the hall's number of daemons leaves."""
         now_s = self.clock.now_s()
         if self.leadership.lease.valid:
-            self.daemon_counter.learn(self.daemon_counter.count_followers(now_s), now_s)
+            self.daemon_counter.receive(self.daemon_counter.count_followers(now_s), now_s)
         part = self._slack_part()
         for budget in self._budgets.values():
             budget.limit(part)
--- a/ferrydock/scheduling/__init__.py
+++ b/ferrydock/scheduling/__init__.py
@@ -1,25 +1,49 @@
-"""One daemon of each hall places the requests of all: it alone knows every target's load."""
+"""Endpoint selection: which target gets a request, and who waits while all of them are full.
+
+The rules stand in `_selection` (which target), `_waiting_queue` (who is next) and `_endpoints`
+(which targets can serve a request at all, and how many requests each takes). They are used twice:
+by the hall scheduler, one daemon of each hall that sees the requests of all daemons, and by each
+daemon alone while the scheduler does not answer (`ferrydock.forwarding`). The rest of this package
+is the scheduler's state and its protocol between daemons.
+
+What does not belong here: forming replicas (`ferrydock.replicas`) and everything about one request
+after it has a target (`ferrydock.forwarding`).
+"""
 
 from ._client import SchedulerClient
-from ._endpoints import Endpoint, endpoints, max_requests
+from ._endpoints import Endpoint, EndpointCatalog, max_requests
 from ._in_flight import InFlightCounts
-from ._messages import SlotReply, SlotRequest, decode_placed, decode_request, encode
+from ._messages import SlotReply, SlotRequest, decode_reply, decode_request, encode
 from ._remote_halls import RemoteHallPoller
 from ._scheduler import HallScheduler
+from ._selection import (
+    DAEMON_SELECTION,
+    HALL_SELECTION,
+    Candidate,
+    SelectionWeights,
+    least_loaded,
+)
 from ._server import scheduler_methods
+from ._waiting_queue import WaitingQueue
 
 __all__ = [
-    "SchedulerClient",
+    "DAEMON_SELECTION",
+    "HALL_SELECTION",
+    "Candidate",
+    "Endpoint",
+    "EndpointCatalog",
     "HallScheduler",
-    "RemoteHallPoller",
     "InFlightCounts",
-    "Endpoint",
-    "SlotRequest",
+    "RemoteHallPoller",
+    "SchedulerClient",
+    "SelectionWeights",
     "SlotReply",
-    "decode_placed",
+    "SlotRequest",
+    "WaitingQueue",
+    "decode_reply",
     "decode_request",
-    "scheduler_methods",
     "encode",
+    "least_loaded",
     "max_requests",
-    "endpoints",
+    "scheduler_methods",
 ]
--- a/ferrydock/scheduling/_client.py
+++ b/ferrydock/scheduling/_client.py
@@ -1,4 +1,8 @@
-"""Asking the hall's scheduler for endpoints, and telling it what runs."""
+"""A daemon's side of the hall scheduler: asking it for slots, reporting what is in flight.
+
+Owns the connection to the scheduler and the grants received in the last 0.6 s. Relies on the hall
+leadership for the scheduler's address; without an answer the daemon decides alone.
+"""
 
 import asyncio
 import logging
@@ -9,47 +13,58 @@
 from ..clock import Clock
 from ..logs import log_event
 from ..relay import PeerCalls
-from ._messages import SlotReply, SlotRequest, decode_placed, encode
+from ._messages import SlotReply, SlotRequest, decode_reply, encode
 from ._scheduler import HallScheduler
 from ._server import PLACE
 
 __all__ = ["SchedulerClient"]
 
 _LOG = logging.getLogger("ferrydock.scheduling")
-ANSWER_WITHIN_S = 0.06
-PASSED_OVER_S = 0.5
-TELL_AFTER_S = 0.02
-SEEN_TOLD_S = 0.6
+
+# How long a reply may take, beyond the time that the request may wait in the scheduler's queue.
+# A call takes about 1 ms; a request that gets no reply is decided here, late by this much.
+# Chosen, not measured.
+REPLY_TIMEOUT_S = 0.06
+
+# How long a scheduler that did not reply is not asked again. Chosen, not measured.
+SKIP_AFTER_TIMEOUT_S = 0.5
+
+# Ends of requests within this time are reported in one message. Chosen, not measured.
+REPORT_DELAY_S = 0.02
+
+# How long a received grant is repeated in messages: longer than the scheduler counts a grant that
+# was not confirmed (`_in_flight.UNCONFIRMED_GRANT_S`), so that none is counted twice.
+REPEAT_GRANTS_S = 0.6
 
 
 class SchedulerClient:
-    """Reaches the scheduler, which may be this daemon's own.
+    """Reaches the hall scheduler, which may run in this daemon.
 
     Parameters
     ----------
     name : str
         Of this daemon.
     scheduler : HallScheduler
-        This daemon's own.
+        This daemon's own, used while it leads the hall.
     address : callable
-        Returns ``IP:PORT`` of the hall's scheduler; empty if it is not known.
+        Returns ``IP:PORT`` of the hall leader; empty if it is not known.
     own_address : str
-        This daemon's.
+        ``IP:PORT`` of this daemon.
     running : callable
-        Returns this daemon's requests that run, by target.
+        Returns this daemon's requests in flight, by target id.
     """
 
     __slots__ = (
-        "_passed_over_s",
-        "_seen",
-        "_tell",
+        "_grants",
+        "_report",
+        "_timed_out_s",
         "address",
         "calls",
         "clock",
-        "scheduler",
         "name",
         "own_address",
         "running",
+        "scheduler",
     )
 
     def __init__(
@@ -68,61 +83,66 @@
         self.running = running
         self.clock = clock
         self.calls = PeerCalls()
-        self._passed_over_s = -PASSED_OVER_S
-        self._seen: deque[tuple[float, int]] = deque()
-        self._tell: asyncio.Task | None = None
+        self._timed_out_s = -SKIP_AFTER_TIMEOUT_S
+        self._grants: deque[tuple[float, int]] = deque()
+        self._report: asyncio.Task | None = None
 
     async def ask(self, request: SlotRequest) -> SlotReply | None:
-        """Return the scheduler's answer; None if none can be had."""
-        told = replace(request, sender=self.name, running=self.running(), seen=self._seen_lately())
+        """Return the scheduler's reply, or None if the scheduler cannot be reached.
+
+        The sender's part of `request` (name, requests in flight, grants) is filled in here.
+        """
+        filled = replace(
+            request, sender=self.name, running=self.running(), seen=self._recent_grants()
+        )
         address = self.address()
         if address == self.own_address:
-            placed = await self.scheduler.place(told)
-        elif not address or self._is_passed_over():
+            reply = await self.scheduler.acquire(filled)
+        elif not address or self._is_skipped():
             return None
         else:
-            within_s = request.hold_s + ANSWER_WITHIN_S
-            answer = await self.calls.call(address, PLACE, encode(told), within_s)
-            if answer is None:
-                self._pass_over(address)
+            timeout_s = request.hold_s + REPLY_TIMEOUT_S
+            data = await self.calls.call(address, PLACE, encode(filled), timeout_s)
+            if data is None:
+                self._skip(address)
                 return None
-            placed = decode_placed(answer)
-        if placed.target_id:
-            self._seen.append((self.clock.now_s(), placed.grant))
-        return placed
+            reply = decode_reply(data)
+        if reply.target_id:
+            self._grants.append((self.clock.now_s(), reply.grant))
+        return reply
 
-    def _seen_lately(self) -> tuple[int, ...]:
-        """Return the numbers of grants that a message may not yet have told of."""
+    def _recent_grants(self) -> tuple[int, ...]:
+        """Return the grants that the scheduler may not yet know to have arrived."""
         now_s = self.clock.now_s()
-        while self._seen and now_s - self._seen[0][0] > SEEN_TOLD_S:
-            self._seen.popleft()
-        return tuple(number for _, number in self._seen)
+        while self._grants and now_s - self._grants[0][0] > REPEAT_GRANTS_S:
+            self._grants.popleft()
+        return tuple(number for _, number in self._grants)
 
-    def _is_passed_over(self) -> bool:
-        return self.clock.now_s() - self._passed_over_s < PASSED_OVER_S
+    def _is_skipped(self) -> bool:
+        return self.clock.now_s() - self._timed_out_s < SKIP_AFTER_TIMEOUT_S
 
-    def _pass_over(self, address: str) -> None:
-        self._passed_over_s = self.clock.now_s()
+    def _skip(self, address: str) -> None:
+        self._timed_out_s = self.clock.now_s()
         log_event(_LOG, logging.WARNING, "dispatcher_lost", address=address)
 
-    def note_end(self) -> None:
-        """Tell the scheduler soon that something ended."""
-        if self._tell is None or self._tell.done():
-            self._tell = asyncio.get_running_loop().create_task(self._tell_soon())
+    def report_end(self) -> None:
+        """Report soon that a request has ended; ends that follow at once share the message."""
+        if self._report is None or self._report.done():
+            self._report = asyncio.get_running_loop().create_task(self._report_soon())
 
-    async def _tell_soon(self) -> None:
-        await asyncio.sleep(TELL_AFTER_S)
-        request = SlotRequest(self.name, self.running(), self._seen_lately())
+    async def _report_soon(self) -> None:
+        await asyncio.sleep(REPORT_DELAY_S)
+        report = SlotRequest(self.name, self.running(), self._recent_grants())
         address = self.address()
         if address == self.own_address:
-            self.scheduler.heard(request)
-        elif address and not self._is_passed_over():
-            answer = await self.calls.call(address, PLACE, encode(request), ANSWER_WITHIN_S)
-            if answer is None:
-                self._pass_over(address)
+            self.scheduler.receive_counts(report)
+        elif address and not self._is_skipped():
+            data = await self.calls.call(address, PLACE, encode(report), REPLY_TIMEOUT_S)
+            if data is None:
+                self._skip(address)
 
     async def close(self) -> None:
-        """Give up the connections."""
-        if self._tell is not None:
-            self._tell.cancel()
+        """Close the connection."""
+        if self._report is not None:
+            self._report.cancel()
         await self.calls.close()
--- a/ferrydock/scheduling/_endpoints.py
+++ b/ferrydock/scheduling/_endpoints.py
@@ -1,46 +1,69 @@
-"""Which targets can serve a request, and how many requests each takes."""
+"""Which targets can serve a request, and how many requests each of them takes.
+
+Owns the set of replicas that this daemon considers broken; relies on the target directory, which
+the store follower and the relay keep up to date.
+"""
 
-from collections.abc import Container
 from dataclasses import dataclass
 
 from ..configuration import ServiceSpec
 from ..targets import ReplicaView, Target, TargetDirectory
 
-__all__ = ["Endpoint", "endpoints", "max_requests"]
+__all__ = ["Endpoint", "EndpointCatalog", "max_requests"]
 
+# Requests a plain target gets at a time, as a multiple of the slots it reports. Above 1, so that
+# the next request is already there when a slot comes free. Chosen, not measured.
 PLAIN_OVERCOMMIT = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Where a request can go; `replica` is None for a plain service."""
+    """A target that a request can be sent to, with its replica; None for a plain service."""
 
     target: Target
     replica: ReplicaView | None
 
 
-def endpoints(
-    service: ServiceSpec,
-    model: str,
-    directory: TargetDirectory,
-    broken: Container[tuple[str, int]],
-) -> list[Endpoint]:
-    """Return the targets of a plain service, or the heads of a model's replicas.
+class EndpointCatalog:
+    """Looks up the endpoints of a service.
 
     Parameters
     ----------
-    broken : container of (str, int)
-        Replicas that take nothing.
+    directory : TargetDirectory
+        Targets and the replicas they form.
+
+    Attributes
+    ----------
+    broken : set of (str, int)
+        Replicas, by name and epoch, that get no requests: a member was found dead, or the hall
+        leader gave them up. An epoch is never used again, so entries are never taken back.
     """
-    if service.engine is None:
-        return [Endpoint(target, None) for target in directory.of_service(service.name)]
-    return [
-        Endpoint(replica.head, replica)
-        for replica in directory.replicas(service.name)
-        if replica.model == model and replica.key not in broken
-    ]
+
+    __slots__ = ("broken", "directory")
+
+    def __init__(self, directory: TargetDirectory):
+        self.directory = directory
+        self.broken: set[tuple[str, int]] = set()
+
+    def endpoints(self, service: ServiceSpec, model: str) -> list[Endpoint]:
+        """Return the targets of a plain service, or the heads of the open replicas of `model`.
+
+        Draining targets, and replicas with a draining or broken member, are left out by the
+        directory.
+        """
+        if service.engine is None:
+            return [Endpoint(target, None) for target in self.directory.of_service(service.name)]
+        return [
+            Endpoint(replica.head, replica)
+            for replica in self.directory.replicas(service.name)
+            if replica.model == model and replica.key not in self.broken
+        ]
 
 
 def max_requests(service: ServiceSpec, target: Target) -> float:
-    """Return how many requests a target takes at a time; a plain one queues a few more."""
+    """Return how many requests a target may have at a time.
+
+    A replica answers as fast as an idle one until its slots are taken, and up to six times later
+    beyond (docs/design/dispatch.md), so it never gets more than its slots.
+    """
     return service.engine.slots if service.engine else target.slots * PLAIN_OVERCOMMIT
--- a/ferrydock/scheduling/_messages.py
+++ b/ferrydock/scheduling/_messages.py
@@ -1,35 +1,39 @@
-"""What a daemon asks of its hall's scheduler, and the answer."""
+"""Messages between the daemons of a hall and its scheduler.
+
+The field names are the wire: daemons of two versions run side by side during an upgrade, so a
+field is never renamed (tests/test_outside.py).
+"""
 
 from collections.abc import Mapping
 from dataclasses import asdict, dataclass, field
 
 import orjson
 
-__all__ = ["SlotRequest", "SlotReply", "decode_placed", "decode_request", "encode"]
+__all__ = ["SlotReply", "SlotRequest", "decode_reply", "decode_request", "encode"]
 
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """One request that needs a place; without a service it only tells what runs.
+    """A daemon asks for a slot; with an empty `service` it only reports what it has in flight.
 
     Attributes
     ----------
     sender : str
         Name of the daemon.
     running : mapping of str to int
-        Its requests that run, by target.
+        All its requests in flight, by target id.
     seen : tuple of int
-        Numbers of the grants that reached it lately; they are counted in `running`.
+        Numbers of the grants it received in the last 0.6 s; they are counted in `running`.
     service, model : str
         What must serve the request; `model` is empty for a plain service.
     avoid : tuple of str
-        Targets that will not do.
+        Ids of targets that were tried already or that this daemon considers broken.
     rank : tuple of int
-        Order among waiting requests; the smallest goes first.
+        Priority of the team, then of the route; the smallest goes first.
     left_s : float
-        Time left for the request.
+        Seconds until the caller's deadline; orders requests of equal priority.
     hold_s : float
-        How long it may wait at the scheduler for room.
+        How many seconds the request may wait in the scheduler's queue.
     """
 
     sender: str
@@ -50,11 +54,11 @@
     Attributes
     ----------
     target_id : str
-        Where the request goes; empty if there is no room.
+        Where the request goes; empty if no slot is free.
     candidates : int
-        Targets that would do, with room or without.
+        Targets that could serve the request, full ones included.
     grant : int
-        Number under which the place is counted.
+        Number under which the scheduler counts the slot as taken.
     """
 
     target_id: str
@@ -68,7 +72,12 @@
 
 
 def decode_request(data: bytes) -> SlotRequest:
-    """Return a request; raises ValueError, TypeError.
+    """Return a request.
+
+    Raises
+    ------
+    ValueError, TypeError
+        If the bytes are no such message.
 
     Examples
     --------
@@ -83,6 +92,6 @@
     return SlotRequest(**fields)
 
 
-def decode_placed(data: bytes) -> SlotReply:
-    """Return an answer; raises ValueError, TypeError."""
+def decode_reply(data: bytes) -> SlotReply:
+    """Return a reply; raises ValueError or TypeError if the bytes are none."""
     return SlotReply(**orjson.loads(data))
--- a/ferrydock/scheduling/_remote_halls.py
+++ b/ferrydock/scheduling/_remote_halls.py
@@ -1,4 +1,8 @@
-"""What other halls' daemons have at the targets, asked of their dispatchers."""
+"""Polling the schedulers of other halls for what their daemons have in flight.
+
+Owns the connections to them. A hall that does not answer keeps its last counts for a while
+(`_in_flight.REMOTE_REPORT_S`).
+"""
 
 from collections.abc import Callable, Mapping
 
@@ -11,16 +15,20 @@
 
 __all__ = ["RemoteHallPoller"]
 
-ANSWER_WITHIN_S = 0.15
+# How long another hall's scheduler may take to answer. Halls are tens of milliseconds apart; no
+# longer than the pause between two polls (0.15 s). Chosen, not measured.
+REPLY_TIMEOUT_S = 0.15
 
 
 class RemoteHallPoller:
-    """Keeps a hall's counts informed of other halls.
+    """Keeps the in-flight counts informed of other halls.
 
     Parameters
     ----------
+    counts : InFlightCounts
+        Receives what the other halls report.
     addresses : callable
-        Returns ``IP:PORT`` of the other halls' dispatchers, by hall.
+        Returns ``IP:PORT`` of the other halls' leaders, by hall.
     """
 
     __slots__ = ("addresses", "calls", "clock", "counts")
@@ -34,12 +42,12 @@
         self.calls = PeerCalls()
 
     async def step(self) -> None:
-        """Ask each once."""
+        """Ask each known scheduler once."""
         for hall, address in self.addresses().items():
-            answer = await self.calls.call(address, RUNNING, b"", ANSWER_WITHIN_S)
-            if answer is not None:
-                self.counts.take_elsewhere(hall, orjson.loads(answer), self.clock.now_s())
+            data = await self.calls.call(address, RUNNING, b"", REPLY_TIMEOUT_S)
+            if data is not None:
+                self.counts.receive_remote(hall, orjson.loads(data), self.clock.now_s())
 
     async def close(self) -> None:
-        """Give up the connections."""
+        """Close the connections."""
         await self.calls.close()
--- a/ferrydock/scheduling/_server.py
+++ b/ferrydock/scheduling/_server.py
@@ -1,4 +1,8 @@
-"""The scheduler's calls, as they are served to other daemons."""
+"""The scheduler's calls as other daemons make them; stateless.
+
+``Place``: a daemon of the hall asks for a slot, or reports what it has in flight.
+``Running``: another hall's scheduler asks what this hall's daemons have in flight.
+"""
 
 from collections.abc import Awaitable, Callable, Mapping
 
@@ -12,21 +16,22 @@
 PLACE = "Place"
 RUNNING = "Running"
 
+Method = Callable[[bytes], Awaitable[bytes]]
+
 
-def scheduler_methods(
-    scheduler: HallScheduler,
-) -> Mapping[str, Callable[[bytes], Awaitable[bytes]]]:
-    """Return the calls by their names: ``Place`` for daemons of the hall, ``Running`` for others.
+def scheduler_methods(scheduler: HallScheduler) -> Mapping[str, Method]:
+    """Return the calls by their names on the wire.
 
-    A call raises ValueError or TypeError for what it cannot read.
+    A call raises ValueError or TypeError for bytes that it cannot decode; the server then answers
+    INVALID_ARGUMENT.
     """
 
     async def place(data: bytes) -> bytes:
         request = decode_request(data)
         if not request.service:
-            scheduler.heard(request)
+            scheduler.receive_counts(request)
             return b""
-        return encode(await scheduler.place(request))
+        return encode(await scheduler.acquire(request))
 
     async def running(data: bytes) -> bytes:
         return orjson.dumps(scheduler.counts.of_hall())
--- /dev/null
+++ b/ferrydock/scheduling/_waiting_queue.py
@@ -0,0 +1,105 @@
+"""The queue of requests for which no slot is free, ordered by priority.
+
+Owns the waiting entries, in memory only; a request that waits is lost with its process, and its
+caller's connection ends with it.
+"""
+
+import asyncio
+import bisect
+import itertools
+from collections.abc import Callable, Hashable
+from dataclasses import dataclass
+from typing import Generic, TypeVar
+
+__all__ = ["WaitingQueue"]
+
+Request = TypeVar("Request")
+Slot = TypeVar("Slot")
+
+
+@dataclass(slots=True, eq=False)
+class _Waiter:
+    """One request in the queue; `key` is its rank and the number of its arrival."""
+
+    key: tuple
+    needs: Hashable
+    request: object
+    future: asyncio.Future
+
+
+class WaitingQueue(Generic[Request, Slot]):
+    """Requests that wait for a slot; the smallest rank is served first, then the oldest.
+
+    Each request says what it needs (for example service and model). Requests with different needs
+    do not hold each other up.
+    """
+
+    __slots__ = ("_numbers", "_waiters")
+
+    def __init__(self):
+        self._waiters: list[_Waiter] = []
+        self._numbers = itertools.count()
+
+    def __len__(self) -> int:
+        return len(self._waiters)
+
+    def must_wait(self, rank: tuple, needs: Hashable) -> bool:
+        """Return whether a request with the same needs and no larger rank waits already.
+
+        A new request may not overtake it, even if a slot is free at this moment.
+        """
+        return any(w.needs == needs and w.key[0] <= rank for w in self._waiters)
+
+    async def wait(
+        self,
+        rank: tuple,
+        needs: Hashable,
+        request: Request,
+        timeout_s: float,
+        give_back: Callable[[Slot], None] = lambda slot: None,
+    ) -> Slot | None:
+        """Wait for a slot; return None if none came free in time.
+
+        Parameters
+        ----------
+        give_back : callable, optional
+            Gets a slot that was assigned just before the waiting task was cancelled.
+        """
+        waiter = _Waiter((rank, next(self._numbers)), needs, request, _future())
+        bisect.insort(self._waiters, waiter, key=lambda w: w.key)
+        try:
+            async with asyncio.timeout(timeout_s):
+                return await waiter.future
+        except TimeoutError:
+            return None
+        except asyncio.CancelledError:
+            if waiter.future.done() and not waiter.future.cancelled():
+                give_back(waiter.future.result())
+            raise
+        finally:
+            if waiter in self._waiters:
+                self._waiters.remove(waiter)
+
+    def assign_free_slots(self, take: Callable[[Request], Slot | None]) -> None:
+        """Assign free slots to queued requests, highest priority first.
+
+        Parameters
+        ----------
+        take : callable
+            Takes a slot for a request, or returns None if there is no room; then all requests
+            with the same needs go on waiting.
+        """
+        full: set[Hashable] = set()
+        for waiter in list(self._waiters):
+            if waiter.future.done() or waiter.needs in full:
+                continue
+            slot = take(waiter.request)
+            if slot is None:
+                full.add(waiter.needs)
+                continue
+            self._waiters.remove(waiter)
+            waiter.future.set_result(slot)
+
+
+def _future() -> asyncio.Future:
+    return asyncio.get_running_loop().create_future()
--- a/ferrydock/scheduling/tests/test_scheduler.py
+++ b/ferrydock/scheduling/tests/test_scheduler.py
@@ -10,7 +10,14 @@
 from ...relay import RelayServer
 from ...replicas.tests.specs import two_models
 from ...targets import Membership, ReplicaState, Target, TargetDirectory
-from .. import HallScheduler, InFlightCounts, SchedulerClient, SlotRequest, scheduler_methods
+from .. import (
+    EndpointCatalog,
+    HallScheduler,
+    InFlightCounts,
+    SchedulerClient,
+    SlotRequest,
+    scheduler_methods,
+)
 
 ENGINES = ServiceSpec("engines", 300, two_models())
 PLAIN = ServiceSpec("plain", 100, None)
@@ -30,14 +37,13 @@
         self.directory = TargetDirectory()
         for target in targets:
             self.directory.put(target)
-        self.broken = set()
+        self.catalog = EndpointCatalog(self.directory)
         services = {service.name: service for service in (ENGINES, PLAIN)}
         self.scheduler = HallScheduler(
-            self.directory,
+            self.catalog,
             InFlightCounts(7),
             "hall-a",
             services.get,
-            self.broken,
             self.clock,
             random.Random(seed),
         )
@@ -59,13 +65,13 @@
         return placed.target_id
 
     async def ask(self, sender="d1", **options):
-        return self.take(sender, await self.scheduler.place(self.request(sender, **options)))
+        return self.take(sender, await self.scheduler.acquire(self.request(sender, **options)))
 
     def end(self, sender, target_id):
         """Let a request end, and the scheduler hear of it."""
         self.running[sender][target_id] -= 1
         told = SlotRequest(sender, dict(self.running[sender]), tuple(self.seen[sender]))
-        self.scheduler.heard(told)
+        self.scheduler.receive_counts(told)
 
 
 def play(scenario):
@@ -112,10 +118,10 @@
     async def scenario():
         hall = Hall(head("a"))
         request = hall.request("d1")  # all are sent before any answer is seen
-        placed = [await hall.scheduler.place(request) for _ in range(SLOTS + 1)]
+        placed = [await hall.scheduler.acquire(request) for _ in range(SLOTS + 1)]
         assert [bool(p.target_id) for p in placed] == [True] * SLOTS + [False]
         hall.clock.advance(0.6)  # their daemon has them not: the answers were lost
-        assert (await hall.scheduler.place(request)).target_id == "a"
+        assert (await hall.scheduler.acquire(request)).target_id == "a"
 
     play(scenario)
 
@@ -136,7 +142,7 @@
 def test_another_hall_is_used_where_the_own_is_full_and_never_beyond_its_reserve():
     async def scenario():
         hall = Hall(head("a"), head("far", hall="hall-b"))
-        hall.scheduler.counts.take_elsewhere("hall-b", {"far": 3}, hall.clock.now_s())
+        hall.scheduler.counts.receive_remote("hall-b", {"far": 3}, hall.clock.now_s())
         taken = [await hall.ask("d1") for _ in range(SLOTS + 6)]
         assert taken[:4] == ["a"] * 4
         assert taken.count("a") == SLOTS
@@ -149,10 +155,10 @@
 def test_broken_and_avoided_replicas_get_nothing():
     async def scenario():
         hall = Hall(head("a"), head("b"), head("c"))
-        hall.broken.add(("g-a", 1))
+        hall.catalog.broken.add(("g-a", 1))
         assert {await hall.ask(avoid=("b",)) for _ in range(5)} == {"c"}
-        hall.broken |= {("g-b", 1), ("g-c", 1)}
-        placed = await hall.scheduler.place(hall.request())
+        hall.catalog.broken |= {("g-b", 1), ("g-c", 1)}
+        placed = await hall.scheduler.acquire(hall.request())
         assert placed.target_id == "" and placed.candidates == 0
 
     play(scenario)
@@ -256,7 +262,7 @@
             placed = await served.client.ask(request)
             assert placed.target_id in ("a", "b") and placed.candidates == 2
             served.running = {}
-            served.client.note_end()
+            served.client.report_end()
             async with asyncio.timeout(5.0):
                 while served.hall.scheduler.counts.of_hall():
                     await asyncio.sleep(0.01)
