--- a/ferrydock/daemon.py
+++ b/ferrydock/daemon.py
@@ -1,18 +1,17 @@
-"""``ferrydockd``: the daemon of one entry box."""
+"""The command line of the table's daemon, ``ferrydockd``.
+
+Owns nothing; flags are read from the command line and from ``FERRYDOCK_...`` variables.
+"""
 
-import asyncio
 import logging
 import os
-import signal
 import sys
 
 import aiomisc
-import uvloop
 from absl import flags
 
-from . import __version__, logs
+from . import logs
 from .clock import SystemClock
-from .environment import apply_environment
 from .logs import log_event
 from .node import (
     Node,
@@ -23,14 +22,22 @@
     read_settings,
 )
 from .outcomes import Invalid
+from .startup import (
+    asked_for_text,
+    parse_flags,
+    refuse_to_start,
+    run_service,
+    run_until_stopped,
+)
 from .store import EtcdStore, HttpBoxList, HttpWeightStore, StaticWeightStore
 
 __all__ = ["NodeService", "main"]
 
 _LOG = logging.getLogger("ferrydock.daemon")
+
+# Rate assumed of a weight store that has no address to ask, in bytes a second. Chosen, not
+# measured.
 UNKNOWN_RATE_BYTES_PER_S = 1e9
-EXIT_BROKEN = 1
-EXIT_BAD_SETTING = 2
 
 
 class NodeService(aiomisc.Service):
@@ -55,7 +62,11 @@
         await self.node.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        return None
+        return None  # the node has been stopped by `run_until_stopped`
+
+    async def run(self) -> int:
+        """Serve until the daemon is told to stop; return the exit status."""
+        return await run_until_stopped(self.node.rounds.failed, self.node.stop, self.node.close)
 
 
 def _platform(settings: Settings) -> Platform:
@@ -67,71 +78,30 @@
     )
 
 
-async def _run_until_stopped(service: NodeService) -> int:
-    """Wait for a signal, then stop as planned; a second signal changes nothing.
-
-    A broken invariant ends the process at once. Returns the exit status.
-    """
-    stop = asyncio.Event()
-    loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    failed = service.node.rounds.failed
-    waits = [asyncio.ensure_future(event.wait()) for event in (stop, failed)]
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
-    if failed.is_set():
-        await service.node.close()
-        return EXIT_BROKEN
-    await service.node.stop()
-    return 0
-
-
-def _fail(problem: str) -> int:
-    print(f"ferrydockd: {problem}", file=sys.stderr)
-    return EXIT_BAD_SETTING
-
-
-def parse_settings(argv: list[str], environment) -> Settings | Invalid | str:
-    """Return the settings from a command line and an environment, or what is wrong."""
-    values = flags.FLAGS
-    try:
-        rest = values(argv)
-    except flags.Error as error:
-        return str(error).splitlines()[0]
-    if len(rest) > 1:
-        return f"{rest[1]!r} is not a flag; flags begin with --"
-    wrong = apply_environment(values, environment)
-    if wrong is not None:
-        return wrong
-    return read_settings(values)
+def _help_text() -> str:
+    return flags.FLAGS.main_module_help() or flags.FLAGS.get_help()
 
 
 def main(argv: list[str] | None = None) -> int:
     """Run the daemon; return the exit status."""
     arguments = list(sys.argv if argv is None else argv)
     define_flags()
-    if "--version" in arguments:
-        print(f"ferrydockd {__version__}")
-        return 0
-    if "--help" in arguments:
-        print(flags.FLAGS.main_module_help() or flags.FLAGS.get_help())
+    text = asked_for_text(arguments, _help_text)
+    if text:
+        print(text)
         return 0
-    settings = parse_settings(arguments, os.environ)
-    if isinstance(settings, str):
-        return _fail(settings)
+    problem = parse_flags(flags.FLAGS, arguments, os.environ)
+    if problem:
+        return refuse_to_start(problem)
+    settings = read_settings(flags.FLAGS)
     if isinstance(settings, Invalid):
-        return _fail(settings.reason)
+        return refuse_to_start(settings.reason)
     logs.configure(settings.log_level)
     if flags.FLAGS.check_settings:
         print("ferrydockd: the settings are good")
         return 0
     service = NodeService(settings=settings)
-    with aiomisc.entrypoint(
-        service, log_config=False, pool_size=2, loop_factory=uvloop.new_event_loop
-    ) as loop:
-        status = loop.run_until_complete(_run_until_stopped(service))
+    status = run_service(service, service.run)
     log_event(_LOG, logging.INFO, "exit", status=status)
     return status
 
--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -3,6 +3,7 @@
 import asyncio
 import json
 import random
+from dataclasses import replace
 
 import pytest
 
@@ -151,13 +152,8 @@
             node = await site.daemon("one")
             version = site.site.write_configuration()
             await site.until(lambda: node.current.version == version and node.directory.loaded)
-            node.settings = node.settings.__class__(
-                **{
-                    name: getattr(node.settings, name) if name != "freshness_s" else 2.0
-                    for name in node.settings.__slots__
-                }
-            )
-            node.deployment.reread = lambda: node.settings
+            node.live_settings.current = replace(node.settings, freshness_s=2.0)
+            node.live_settings.read = lambda: node.settings
             site.site.stores[0].faults.down = down
             assert (await ask(node, "/look/x"))[0] == 200
             await asyncio.sleep(2.2)
@@ -325,9 +321,9 @@
 
             await site.until(counted)
             for node in site.nodes:
-                node._budget("records")
-                node._share_budgets()
-            parts = [node._budgets["records"].most_saved for node in site.nodes]
+                node.retry_shares.budget("records")
+                node.retry_shares.update()
+            parts = [node.retry_shares.budget("records").most_saved for node in site.nodes]
             slack = site.nodes[0].settings.retry_slack
             assert slack * 0.7 < sum(parts) <= slack * 0.9
 
--- a/ferrydock/replicas/__init__.py
+++ b/ferrydock/replicas/__init__.py
@@ -1,10 +1,20 @@
-"""Replicas as groups of workers: what to form, and the orders that form and dissolve them."""
+"""Forming replicas from targets, repairing and dissolving them: the hall leader's controller.
 
-from ._controller import ReplicaController
-from ._forming import PlannedReplica, dissolve, form
+The decisions are pure or nearly so: `_plan` (which replicas a domain holds, which targets form the
+next), `_staging` (which weights idle targets load), `_health` (whether a replica can stay). The
+rest carries them out: `_controller` (rounds), `_planning` (what the decisions are fed with),
+`_forming` (steps of one replica), `_order_sender` (orders that may be lost or late), `_record` (the
+plan in the store). What does not belong here: who leads (`ferrydock.route_daemon`), which target
+gets a request (`ferrydock.scheduling`), placement by the operators' table (`ferrydock.placement`,
+the other program).
+"""
+
+from ._controller import ControllerSettings, ReplicaController
+from ._forming import PlannedReplica, ReplicaFormer
 from ._load_budget import WeightLoadBudget
 from ._order_sender import OrderSender
 from ._plan import (
+    DomainState,
     Formation,
     choose_members,
     desired_counts,
@@ -12,21 +22,22 @@
     next_formation,
 )
 from ._record import PlacementRecord, placement_key
-from ._staging import staging
+from ._staging import choose_stagings
 
 __all__ = [
+    "ControllerSettings",
+    "DomainState",
     "Formation",
-    "ReplicaController",
-    "WeightLoadBudget",
     "OrderSender",
     "PlacementRecord",
     "PlannedReplica",
+    "ReplicaController",
+    "ReplicaFormer",
+    "WeightLoadBudget",
     "choose_members",
-    "dissolve",
+    "choose_stagings",
+    "desired_counts",
     "domain_shares",
-    "form",
     "next_formation",
     "placement_key",
-    "staging",
-    "desired_counts",
 ]
--- a/ferrydock/replicas/_controller.py
+++ b/ferrydock/replicas/_controller.py
@@ -1,4 +1,8 @@
-"""The controller of a hall's replicas: what it sees, what it decides, what it sets going."""
+"""The controller of a hall's replicas: rounds of looking, deciding and setting work going.
+
+Acts only while its daemon leads the hall. Owns the work under way, in memory: a new leader finds
+the replicas again by the target list, and plans under a higher epoch.
+"""
 
 import asyncio
 import logging
@@ -12,32 +16,43 @@
 from ..reports import RouteMetrics
 from ..store import Store
 from ..targets import OrderDone, StageOrder, Target, TargetDirectory
-from ._forming import PlannedReplica, dissolve, form
+from ._forming import PlannedReplica, ReplicaFormer
 from ._hall_state import HallState
-from ._health import HealthResult, ReplicaHealthCheck, Verdict
+from ._health import GiveUpReason, HealthResult, ReplicaHealthCheck, Verdict
 from ._observed import ObservedReplica, observed_replicas
 from ._order_sender import OrderSender
 from ._plan import Formation
-from ._planning import HallPlanner
+from ._planning import ControllerSettings, HallPlanner
 from ._record import PlacementRecord
 
-__all__ = ["ReplicaController"]
+__all__ = ["ControllerSettings", "ReplicaController"]
 
 _LOG = logging.getLogger("ferrydock.replicas")
+
+# How long an order to stage weights is sent until it is answered. Chosen, not measured.
 STAGE_WITHIN_S = 2.0
 
+# Hexadecimal digits in the name of a replica: enough that no two of a hall share a name.
+NAME_DIGITS = 8
+
 
 class ReplicaController:
     """Forms, repairs and dissolves the replicas of one hall.
 
     Parameters
     ----------
-    hall : str
-        Whose workers.
+    settings : ControllerSettings
+        Hall and bounds on weight loads.
     lease : ControllerLease
-        Only its holder acts.
-    halls : int
-        How many halls share the bound on loads.
+        The controller acts only while it is held.
+    store : Store
+        Keeps the hall's placement record.
+    current : CurrentConfiguration
+        Services, models and their times.
+    order_sender : OrderSender
+        Sends orders to targets; knows the target directory and the clock.
+    on_broken : callable
+        Takes name and epoch of a replica that was given up.
 
     Notes
     -----
@@ -47,104 +62,109 @@
 
     def __init__(
         self,
-        hall: str,
-        halls: int,
+        settings: ControllerSettings,
         lease: ControllerLease,
         store: Store,
         current: CurrentConfiguration,
-        directory: TargetDirectory,
         order_sender: OrderSender,
-        clock: Clock,
-        load_window_s: float,
-        load_overshoot: float,
         on_broken: Callable[[tuple[str, int]], None],
         metrics: RouteMetrics | None = None,
     ):
-        self.metrics = metrics or RouteMetrics()
-        self.hall = hall
+        self.hall = settings.hall
         self.lease = lease
         self.current = current
-        self.directory = directory
         self.order_sender = order_sender
-        self.clock = clock
+        self.directory: TargetDirectory = order_sender.directory
+        self.clock: Clock = order_sender.clock
         self.on_broken = on_broken
-        self.record = PlacementRecord(store, hall, lease.holder)
-        self.state = HallState(clock)
-        self.planner = HallPlanner(
-            self.state, directory, clock, halls, load_window_s, load_overshoot
-        )
-        self.health_check = ReplicaHealthCheck(
-            self.state, order_sender, directory, clock, self._spawn
-        )
+        self.metrics = metrics or RouteMetrics()
+        self.record = PlacementRecord(store, self.hall, lease.holder)
+        self.state = HallState(self.clock)
+        self.planner = HallPlanner(self.state, self.directory, self.clock, settings)
+        self.health_check = ReplicaHealthCheck(self.state, order_sender, self._spawn)
+        self.former = ReplicaFormer(order_sender)
         self._tasks: set[asyncio.Task] = set()
         self._lost: set[tuple[str, int]] = set()
 
+    @property
+    def is_acting(self) -> bool:
+        """Whether it leads, and replicas are being formed or dissolved."""
+        return self.lease.valid and bool(self._tasks)
+
     def suspect(self, target_ids: Iterable[str], reason: str) -> None:
-        """Hold targets for dead until their source or time says otherwise."""
+        """Consider targets dead for some seconds: they did not answer when asked."""
         self.state.suspect(target_ids, reason)
 
-    # One round ------------------------------------------------------------------------------
+    def stand_down(self) -> None:
+        """Stop what is under way: the lease is gone."""
+        for task in list(self._tasks):
+            task.cancel()
+        self.record.forget()
+        self.state.clear()
+        self._lost.clear()
+
+    # One round --------------------------------------------------------------------------------
 
     async def step(self) -> None:
-        """Look at the hall's workers, and set going what is missing."""
-        lookup = self.current.lookup
-        if lookup is None or not self.directory.loaded or not self.lease.valid:
+        """Look at the hall's targets, and set going what is missing."""
+        if self.current.lookup is None or not self.directory.loaded or not self.lease.valid:
             return
         if not await self.record.read():
             return
-        for service in lookup.configuration.services.values():
-            if service.engine is not None:
-                await self._step_service(service.name, service.engine)
+        for service in self.current.engine_services():
+            await self._step_service(service.name, service.engine)
 
     async def _step_service(self, service: str, engine: EngineSpec) -> None:
-        now_s = self.clock.now_s()
-        workers = [
+        targets = [
             target
             for target in self.directory.targets.values()
             if target.service == service and target.hall == self.hall
         ]
-        self.state.forget(workers)
-        members = [w for w in workers if w.membership is not None and not self.state.has_left(w)]
-        seen = observed_replicas(members)
-        replicas = [replica for replica in seen if self._tend(replica, engine, now_s)]
-        self.health_check.forget_others({replica.key for replica in seen})
-        plans = self.planner.formations(service, workers, replicas, engine, now_s)
-        if plans:
-            await self._begin(plans)
-        for worker, model in self.planner.stagings(workers, replicas, engine, now_s):
-            self._stage(worker, model, now_s)
-
-    def _tend(self, replica: ObservedReplica, engine: EngineSpec, now_s: float) -> bool:
+        self.state.forget(targets)
+        members = [t for t in targets if t.membership is not None and not self.state.has_left(t)]
+        observed = observed_replicas(members)
+        staying = [replica for replica in observed if self._check(replica, engine)]
+        self.health_check.forget_others({replica.key for replica in observed})
+        formations = self.planner.formations(service, targets, staying, engine)
+        if formations:
+            await self._begin(formations)
+        for target, model in self.planner.stagings(targets, staying, engine):
+            self._stage(target, model)
+
+    def _check(self, replica: ObservedReplica, engine: EngineSpec) -> bool:
         """Do what a replica needs; return whether it is there to stay."""
-        tended = self.health_check.judge(replica, engine, now_s)
-        match tended.verdict:
+        result = self.health_check.judge(replica, engine)
+        match result.verdict:
             case Verdict.ADOPT:
                 self._adopt(replica, engine.model(replica.model))
             case Verdict.GIVE_UP:
-                self._give_up(replica, tended)
+                self._give_up(replica, result)
             case Verdict.ALL_DEAD:
                 self._note_lost(replica)
-        return tended.verdict in (Verdict.STAYS, Verdict.ADOPT)
+        return result.verdict in (Verdict.STAYS, Verdict.ADOPT)
 
     # Replicas that are there ------------------------------------------------------------------
 
-    def _give_up(self, replica: ObservedReplica, tended: HealthResult) -> None:
-        """Dissolve a replica that cannot serve any more."""
-        self._log_given_up(replica, tended.why, tended.dead)
-        cut = tended.why != "leaving"
+    def _give_up(self, replica: ObservedReplica, result: HealthResult) -> None:
+        """Dissolve a replica that cannot serve any more.
+
+        Only one whose member is leaving may finish its requests; any other is cut.
+        """
+        self._log_given_up(replica, result)
+        cut = result.why is not GiveUpReason.LEAVING
         if cut:
             self.on_broken(replica.key)
-            self.state.freeing[replica.members[0].domain] += 1
-        self._spawn(self._dissolve(replica, set(tended.dead), cut))
+            self.state.freeing[replica.domain] += 1
+        self._spawn(self._dissolve(replica, set(result.dead), cut))
 
     def _note_lost(self, replica: ObservedReplica) -> None:
-        """Say once that all members of a replica are gone: there is nothing to dissolve."""
+        """Log once that all members of a replica are dead: there is nothing to dissolve."""
         if replica.key not in self._lost:
             self._lost.add(replica.key)
-            self._log_given_up(replica, "all_dead", ())
+            self._log_given_up(replica, HealthResult(Verdict.ALL_DEAD, GiveUpReason.ALL_DEAD))
             self.on_broken(replica.key)
 
-    def _log_given_up(self, replica: ObservedReplica, why: str, dead: tuple[str, ...]) -> None:
+    def _log_given_up(self, replica: ObservedReplica, result: HealthResult) -> None:
         log_event(
             _LOG,
             logging.WARNING,
@@ -152,84 +172,77 @@
             replica=replica.name,
             epoch=replica.epoch,
             model=replica.model,
-            why=why,
+            why=result.why,
             members=",".join(t.target_id for t in replica.members),
-            dead=",".join(dead) or None,
+            dead=",".join(result.dead) or None,
         )
-        self.metrics.repairs.labels(why).inc()
+        self.metrics.repairs.labels(str(result.why)).inc()
 
     def _adopt(self, replica: ObservedReplica, model: ModelSpec) -> None:
-        """Go on with a replica that another controller had begun."""
+        """Go on with a replica that another leader had begun to form."""
         members = tuple(replica.members)
-        plan = PlannedReplica(
-            replica.name, replica.epoch, Formation(model, members, 0, model.load_s)
-        )
-        self.state.forming[replica.key] = plan
-        self.state.busy.update(plan.member_ids)
+        formation = Formation(model, members, 0, model.load_s)
+        plan = PlannedReplica(replica.name, replica.epoch, formation)
+        self._note_forming(plan)
         log_event(_LOG, logging.INFO, "replica_adopted", replica=replica.name, epoch=replica.epoch)
         self._spawn(self._form(plan, joined=True))
 
     async def _dissolve(self, replica: ObservedReplica, dead: set[str], cut: bool) -> None:
         members = tuple(t for t in replica.members if t.target_id not in dead)
         ids = {target.target_id for target in members}
-        domain = replica.members[0].domain
         self.state.busy |= ids
         try:
-            left = await dissolve(
-                replica.name,
-                replica.epoch,
-                members,
-                self.order_sender,
-                self.directory,
-                self.clock,
-                cut,
-            )
+            left = await self.former.dissolve(replica.key, members, cut)
             self.state.note_left(left, replica.key)
         finally:
             self.state.busy -= ids
             if cut:
-                self.state.freeing[domain] -= 1
+                self.state.freeing[replica.domain] -= 1
 
     # Replicas that are missing ----------------------------------------------------------------
 
     async def _begin(self, formations: list[Formation]) -> None:
         """Write the plans to the record, and form them under the revision of that write."""
-        plans = {f"g{uuid.uuid4().hex[:8]}": formation for formation in formations}
+        plans = {f"g{uuid.uuid4().hex[:NAME_DIGITS]}": formation for formation in formations}
         epoch = await self.record.write(plans)
         if epoch is None or not self.lease.valid:
             return
         for name, formation in plans.items():
             self.planner.loads.begin(formation.loads, self.clock.now_s())
             plan = PlannedReplica(name, epoch, formation)
-            self.state.forming[(name, epoch)] = plan
-            self.state.busy.update(plan.member_ids)
+            self._note_forming(plan)
             self._spawn(self._form(plan))
 
+    def _note_forming(self, plan: PlannedReplica) -> None:
+        self.state.forming[plan.key] = plan
+        self.state.busy.update(plan.member_ids)
+
     async def _form(self, plan: PlannedReplica, joined: bool = False) -> None:
         began_s = self.clock.now_s()
         try:
-            end = await form(plan, self.order_sender, self.directory, self.clock, joined)
+            end = await self.former.form(plan, joined)
             took_s = self.clock.now_s() - began_s
             self.metrics.forming.labels("failed" if end.why else "open").observe(took_s)
-            self.state.note_left(end.left, (plan.name, plan.epoch))
+            self.state.note_left(end.left, plan.key)
             for member_id in plan.member_ids:
                 if member_id in end.why:
                     self.state.pause(member_id)
         finally:
-            self.state.forming.pop((plan.name, plan.epoch), None)
+            self.state.forming.pop(plan.key, None)
             self.state.busy.difference_update(plan.member_ids)
 
-    def _stage(self, worker: Target, model: ModelSpec, now_s: float) -> None:
-        """Load weights to the host of an idle worker."""
+    def _stage(self, target: Target, model: ModelSpec) -> None:
+        """Load weights to the host of an idle target."""
+        now_s = self.clock.now_s()
         self.planner.loads.begin(1, now_s)
-        self.state.staging.begin(worker.target_id, model.name, model.load_s, now_s)
-        self._spawn(self._stage_one(worker, model.name))
+        self.state.staging.begin(target.target_id, model.name, model.load_s, now_s)
+        self._spawn(self._stage_one(target, model.name))
 
-    async def _stage_one(self, worker: Target, model: str) -> None:
-        answer = await self.order_sender.give(worker, StageOrder(model), STAGE_WITHIN_S)
-        if not isinstance(answer, OrderDone):
-            self.state.staging.forget(worker.target_id)
-            self.state.pause(worker.target_id)
+    async def _stage_one(self, target: Target, model: str) -> None:
+        outcome = await self.order_sender.send(target, StageOrder(model), STAGE_WITHIN_S)
+        if not isinstance(outcome, OrderDone):
+            self.state.staging.forget(target.target_id)
+            self.state.pause(target.target_id)
 
     # Tasks ------------------------------------------------------------------------------------
 
@@ -242,16 +255,3 @@
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log_event(_LOG, logging.ERROR, "control_failed", why=repr(task.exception()))
-
-    def stand_down(self) -> None:
-        """Stop what is under way: the lease is gone."""
-        for task in list(self._tasks):
-            task.cancel()
-        self.record.forget()
-        self.state.clear()
-        self._lost.clear()
-
-    @property
-    def is_acting(self) -> bool:
-        """Whether it controls, and replicas are being formed or dissolved."""
-        return self.lease.valid and bool(self._tasks)
--- a/ferrydock/replicas/_hall_state.py
+++ b/ferrydock/replicas/_hall_state.py
@@ -1,4 +1,7 @@
-"""What a hall's controller has under way, and what it holds of the hall's workers."""
+"""What a hall's controller has under way, and which targets it does not count on.
+
+Owns this state, in memory; all but the suspicions belongs to one term of leadership.
+"""
 
 import logging
 from collections import Counter
@@ -14,23 +17,28 @@
 __all__ = ["HallState"]
 
 _LOG = logging.getLogger("ferrydock.replicas")
+
+# How long a target that did not answer is suspected to be dead. By then its entry is gone, if it is
+# dead: entries lapse after three heartbeats. Chosen, not measured.
 SUSPECT_S = 6.0
+
+# How long a target is left alone after an order to it came to nothing. Chosen, not measured.
 FAILED_PAUSE_S = 3.0
 
 
 class HallState:
-    """State of one controller's term; what others tell of dead workers outlives it.
+    """State of the controller of one hall.
 
     Attributes
     ----------
     busy : set of str
-        Workers that an order is under way for.
+        Targets that orders are under way for.
     freeing : Counter of str
         Broken replicas that are being dissolved, by domain.
     forming : dict
         Replicas that are being formed, by name and epoch.
     staging : StagingProgress
-        Loads to the hosts of idle workers.
+        Loads to the hosts of idle targets.
     """
 
     __slots__ = (
@@ -55,38 +63,38 @@
         self._suspected_until_s: dict[str, float] = {}
 
     def suspect(self, target_ids: Iterable[str], reason: str) -> None:
-        """Hold targets for dead until their source or time says otherwise."""
+        """Consider targets dead for some seconds: they did not answer when asked."""
         for target_id in target_ids:
             if target_id not in self._suspected_until_s:
                 log_event(_LOG, logging.WARNING, "target_suspected", target=target_id, why=reason)
             self._suspected_until_s[target_id] = self.clock.now_s() + SUSPECT_S
 
     def is_suspect(self, target_id: str) -> bool:
-        """Return whether a target is held for dead."""
+        """Return whether a target is suspected to be dead."""
         return self._suspected_until_s.get(target_id, 0.0) > self.clock.now_s()
 
     def pause(self, target_id: str) -> None:
-        """Leave a worker alone for a while: what it was told came to nothing."""
+        """Leave a target alone for some seconds: an order to it came to nothing."""
         self._paused_until_s[target_id] = self.clock.now_s() + FAILED_PAUSE_S
 
-    def is_paused(self, worker: Target) -> bool:
-        """Return whether a worker is not to be counted on for now."""
-        paused = self._paused_until_s.get(worker.target_id, 0.0) > self.clock.now_s()
-        return paused or self.is_suspect(worker.target_id)
+    def is_paused(self, target: Target) -> bool:
+        """Return whether a target is paused or suspected."""
+        is_paused = self._paused_until_s.get(target.target_id, 0.0) > self.clock.now_s()
+        return is_paused or self.is_suspect(target.target_id)
 
     def note_left(self, target_ids: Iterable[str], key: tuple[str, int]) -> None:
-        """Note workers that have left a replica which their entries still show."""
+        """Note targets that have left a replica which their entries still show."""
         self._left.update((target_id, key) for target_id in target_ids)
 
     def has_left(self, target: Target) -> bool:
         """Return whether a target is known to have left the replica that its entry shows."""
-        place = target.membership
-        return self._left.get(target.target_id) == (place.replica, place.epoch)
+        membership = target.membership
+        return self._left.get(target.target_id) == (membership.replica, membership.epoch)
 
     def is_idle(self, target: Target) -> bool:
-        """Return whether a worker belongs to no replica and has no order under way."""
-        free = target.membership is None or self.has_left(target)
-        return free and target.target_id not in self.busy
+        """Return whether a target belongs to no replica and has no order under way."""
+        is_free = target.membership is None or self.has_left(target)
+        return is_free and target.target_id not in self.busy
 
     def is_busy(self, targets: Iterable[Target]) -> bool:
         """Return whether an order is under way for one of the targets."""
@@ -98,28 +106,28 @@
         for replica in replicas:
             if replica.key in self.forming:
                 continue
-            if replica.members[0].domain == domain and replica.model:
+            if replica.domain == domain and replica.model:
                 counts[replica.model] += 1
         for plan in self.forming.values():
             if plan.formation.members[0].domain == domain:
                 counts[plan.formation.model.name] += 1
         return counts
 
-    def forget(self, workers: list[Target]) -> None:
-        """Drop what the entries of targets have caught up with, and what is over."""
-        entries = {target.target_id: target for target in workers}
+    def forget(self, targets: list[Target]) -> None:
+        """Drop what the entries of targets have caught up with, and pauses that are over."""
+        entries = {target.target_id: target for target in targets}
         for target_id, key in list(self._left.items()):
             entry = entries.get(target_id)
-            place = entry.membership if entry else None
-            if place is None or (place.replica, place.epoch) != key:
+            membership = entry.membership if entry else None
+            if membership is None or (membership.replica, membership.epoch) != key:
                 del self._left[target_id]
         now_s = self.clock.now_s()
-        for held in (self._paused_until_s, self._suspected_until_s):
-            for target_id in [i for i, until_s in held.items() if until_s <= now_s]:
-                del held[target_id]
+        for until in (self._paused_until_s, self._suspected_until_s):
+            for target_id in [i for i, until_s in until.items() if until_s <= now_s]:
+                del until[target_id]
 
     def clear(self) -> None:
-        """Drop what belonged to a term that is over."""
+        """Drop what belonged to a term of leadership that is over."""
         self.busy.clear()
         self.freeing.clear()
         self.forming.clear()
--- a/ferrydock/replicas/_load_budget.py
+++ b/ferrydock/replicas/_load_budget.py
@@ -1,4 +1,7 @@
-"""How many loads from the weight store may begin: a part of the site's bound for each hall."""
+"""How many loads from the weight store may begin: a hall's part of the site's bound.
+
+Owns the times of the loads that this controller began, in memory.
+"""
 
 from collections import deque
 
@@ -28,11 +31,11 @@
         self._begun_s: deque[float] = deque()
 
     def begin(self, loads: int, now_s: float) -> None:
-        """Note loads that begin."""
+        """Count loads that begin."""
         self._begun_s.extend([now_s] * loads)
 
-    def left(self, most: int, now_s: float) -> int:
-        """Return how many more may begin now if `most` may within the window."""
+    def left(self, max_loads: int, now_s: float) -> int:
+        """Return how many more may begin now, if `max_loads` may within the window."""
         while self._begun_s and now_s - self._begun_s[0] > self.window_s:
             self._begun_s.popleft()
-        return max(0, most - len(self._begun_s))
+        return max(0, max_loads - len(self._begun_s))
--- a/ferrydock/replicas/_observed.py
+++ b/ferrydock/replicas/_observed.py
@@ -1,4 +1,4 @@
-"""Replicas as the entries of their members show them."""
+"""Replicas as the entries of their members in the target list show them; stateless."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -21,20 +21,30 @@
         """Name and epoch."""
         return self.name, self.epoch
 
+    @property
+    def domain(self) -> str:
+        """Fabric domain of its members."""
+        return self.members[0].domain
+
     @property
     def head(self) -> Target | None:
-        """The member that takes its requests, if it has an entry."""
+        """The member that takes its requests; None if it has no entry."""
         first = self.members[0]
         return first if first.membership.rank == 0 else None
 
     @property
     def is_open(self) -> bool:
-        """Whether its head says that it serves."""
+        """Whether its head reports that it serves."""
         return self.head is not None and self.head.membership.state is ReplicaState.OPEN
 
+    @property
+    def is_leaving(self) -> bool:
+        """Whether a member has said that it will leave."""
+        return any(target.draining for target in self.members)
+
     @property
     def model(self) -> str:
-        """What it serves; empty if no member tells."""
+        """What it serves; empty if no member reports it."""
         return next((t.models[0] for t in self.members if t.models), "")
 
 
@@ -42,9 +52,8 @@
     """Return the replicas that targets with a membership form."""
     found: dict[tuple[str, int], ObservedReplica] = {}
     for target in members:
-        place = target.membership
-        key = (place.replica, place.epoch)
+        key = (target.membership.replica, target.membership.epoch)
         found.setdefault(key, ObservedReplica(*key, [])).members.append(target)
-    for seen in found.values():
-        seen.members.sort(key=lambda target: target.membership.rank)
+    for replica in found.values():
+        replica.members.sort(key=lambda target: target.membership.rank)
     return list(found.values())
--- a/ferrydock/replicas/_plan.py
+++ b/ferrydock/replicas/_plan.py
@@ -1,6 +1,6 @@
-"""Which replicas a fabric domain should hold, and which idle workers form the next one.
+"""Rule: which replicas a fabric domain should hold, and which idle targets form the next one.
 
-Pure decisions: everything they depend on is an argument.
+Pure: everything a decision depends on is an argument.
 """
 
 from collections.abc import Mapping, Sequence
@@ -12,23 +12,45 @@
 from ._staging import Loading
 
 __all__ = [
-    "SPARE_PART",
+    "DomainState",
     "Formation",
     "choose_members",
+    "desired_counts",
     "domain_shares",
     "next_formation",
-    "desired_counts",
 ]
 
-SPARE_PART = 0.2
-WHOLE_DOMAIN = 0.75
-MOST_FOR_SPARES = 0.75
+# Part of a domain's targets that is kept idle as spares. A lost member is then replaced by a target
+# that has the weights already. Chosen, not measured.
+SPARE_FRACTION = 0.2
+
+# Spares are kept only if what is left serves at least this part of what all targets could.
+# Measured in docs/MEASUREMENTS.md, routes, "spares only where cheap" (commit 991cc1d).
+MIN_SERVING_FRACTION = 0.75
+
+# A domain is given to one model if the model has work for at least this part of it. That domains
+# are given whole at all: docs/MEASUREMENTS.md, routes, "domains by model"; the value is chosen, not
+# measured.
+WHOLE_DOMAIN_FRACTION = 0.75
+
+# How long a target takes to join a replica of the model that it served last, in seconds: the
+# platform's own time.
 REJOIN_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Formation:
-    """A replica to form: its model and its members, the head first."""
+    """A replica to form.
+
+    Attributes
+    ----------
+    members : tuple of Target
+        The head first.
+    loads : int
+        Loads from the weight store that it needs.
+    ready_s : float
+        How long the slowest member takes to be ready.
+    """
 
     model: ModelSpec
     members: tuple[Target, ...]
@@ -36,6 +58,35 @@
     ready_s: float
 
 
+@dataclass(slots=True)
+class DomainState:
+    """A fabric domain as the next decision finds it.
+
+    Attributes
+    ----------
+    size : int
+        Targets that can be used, idle or not.
+    idle : list of Target
+        Targets that may join a replica now.
+    counts : dict of str to int
+        Replicas by model, those being formed included.
+    shares : mapping of str to float
+        Part of the domain that each model should have.
+    """
+
+    size: int
+    idle: list[Target]
+    counts: dict[str, int]
+    shares: Mapping[str, float]
+
+    def add(self, formation: Formation) -> None:
+        """Count a replica that is to be formed, and its members as no longer idle."""
+        name = formation.model.name
+        self.counts[name] = self.counts.get(name, 0) + 1
+        taken = {member.target_id for member in formation.members}
+        self.idle = [target for target in self.idle if target.target_id not in taken]
+
+
 def domain_shares(domains: int, engine: EngineSpec) -> list[dict[str, float]]:
     """Return the share of each model in each domain of a hall, the domains in a fixed order.
 
@@ -48,9 +99,8 @@
 
     Notes
     -----
-    A domain is given to one model where that model has work for most of it: then every spare
-    and every survivor there has the weights that the next repair needs. What is left over is
-    mixed.
+    A domain is given to one model if that model has work for most of it: then every spare and every
+    survivor there has the weights that the next repair needs. The remaining domains are mixed.
 
     Examples
     --------
@@ -65,7 +115,7 @@
     shares = []
     for _ in range(domains):
         name = max(needs, key=needs.get)
-        if needs[name] >= WHOLE_DOMAIN or len(needs) == 1:
+        if needs[name] >= WHOLE_DOMAIN_FRACTION or len(needs) == 1:
             shares.append({other: float(other == name) for other in needs})
             needs[name] -= 1.0
         else:
@@ -74,13 +124,13 @@
     return shares
 
 
-def desired_counts(workers: int, engine: EngineSpec, shares: Mapping[str, float]) -> dict[str, int]:
-    """Return how many replicas of each model a domain of `workers` should hold.
+def desired_counts(size: int, engine: EngineSpec, shares: Mapping[str, float]) -> dict[str, int]:
+    """Return how many replicas of each model a domain should hold.
 
     Parameters
     ----------
-    workers : int
-        Sound workers of the domain, idle or not.
+    size : int
+        Targets of the domain that can be used, idle or not.
     engine : EngineSpec
         Sizes of the models.
     shares : mapping of str to float
@@ -88,8 +138,8 @@
 
     Notes
     -----
-    Workers go to the model that has the fewest for its share. A fifth of the domain stays idle
-    as spares, unless that costs more than a quarter of what it could serve with.
+    Targets go to the model that has the fewest for its share. A fifth of the domain stays idle as
+    spares, unless that costs more than a quarter of what it could serve with.
 
     Examples
     --------
@@ -104,18 +154,18 @@
     >>> [desired_counts(size, two_models(), small)["small"] for size in (10, 8, 6, 5)]
     [4, 3, 3, 2]
     """
-    sparing = _fill(workers - int(workers * SPARE_PART), engine, shares)
-    using_all = _fill(workers, engine, shares)
-    enough = MOST_FOR_SPARES * _workers_in(using_all, engine)
-    return sparing if _workers_in(sparing, engine) >= enough else using_all
+    with_spares = _fill(size - int(size * SPARE_FRACTION), engine, shares)
+    without_spares = _fill(size, engine, shares)
+    enough = MIN_SERVING_FRACTION * _targets_in(without_spares, engine)
+    return with_spares if _targets_in(with_spares, engine) >= enough else without_spares
 
 
-def _workers_in(counts: Mapping[str, int], engine: EngineSpec) -> int:
+def _targets_in(counts: Mapping[str, int], engine: EngineSpec) -> int:
     return sum(counts[model.name] * model.size for model in engine.models)
 
 
 def _fill(left: int, engine: EngineSpec, shares: Mapping[str, float]) -> dict[str, int]:
-    """Return the replicas that `left` workers form."""
+    """Return the replicas that `left` targets form."""
     counts = {model.name: 0 for model in engine.models}
     while True:
         fitting = [m for m in engine.models if m.size <= left and shares.get(m.name, 0) > 0]
@@ -127,16 +177,16 @@
 
 
 def ready_in_s(
-    worker: Target, model: ModelSpec, loading: Mapping[str, Loading] = MappingProxyType({})
+    target: Target, model: ModelSpec, loading: Mapping[str, Loading] = MappingProxyType({})
 ) -> float:
-    """Return how long a worker takes to be ready for a model."""
-    under_way = loading.get(worker.target_id)
+    """Return how many seconds a target takes to be ready for a model."""
+    under_way = loading.get(target.target_id)
     if under_way is not None:
-        is_it = under_way.model == model.name
-        return under_way.left_s + (model.warm_s if is_it else model.load_s)
-    if model.name == worker.last_model and model.name in worker.staged:
+        has_right_model = under_way.model == model.name
+        return under_way.left_s + (model.warm_s if has_right_model else model.load_s)
+    if model.name == target.last_model and model.name in target.staged:
         return REJOIN_S
-    if model.name in worker.staged:
+    if model.name in target.staged:
         return model.warm_s
     return model.load_s
 
@@ -146,23 +196,20 @@
     model: ModelSpec,
     loading: Mapping[str, Loading] = MappingProxyType({}),
 ) -> Formation | None:
-    """Return the formation of `model` that is ready soonest, or None if workers are too few."""
+    """Return the formation of `model` that is ready soonest, or None if targets are too few."""
     if len(idle) < model.size:
         return None
-    ranked = sorted(idle, key=lambda w: (ready_in_s(w, model, loading), len(w.staged), w.target_id))
+    ranked = sorted(idle, key=lambda t: (ready_in_s(t, model, loading), len(t.staged), t.target_id))
     members = tuple(ranked[: model.size])
-    times = [ready_in_s(worker, model, loading) for worker in members]
-    loads = sum(model.name not in worker.staged for worker in members)
-    return Formation(model, members, loads, max(times))
+    times_s = [ready_in_s(target, model, loading) for target in members]
+    loads = sum(model.name not in target.staged for target in members)
+    return Formation(model, members, loads, max(times_s))
 
 
 def next_formation(
-    idle: Sequence[Target],
-    counts: Mapping[str, int],
-    workers: int,
+    domain: DomainState,
     engine: EngineSpec,
-    shares: Mapping[str, float],
-    site_workers: Mapping[str, int],
+    site_targets: Mapping[str, int],
     loads_left: int,
     may_load: bool = True,
     loading: Mapping[str, Loading] = MappingProxyType({}),
@@ -171,39 +218,32 @@
 
     Parameters
     ----------
-    idle : sequence of Target
-        Workers that may join.
-    counts : mapping of str to int
-        Replicas of the domain by model, those being formed included.
-    workers : int
-        Sound workers of the domain.
-    shares : mapping of str to float
-        Part of the domain that each model should have.
-    site_workers : mapping of str to int
-        Workers of the whole site by model; decides between two models that both lack replicas.
+    site_targets : mapping of str to int
+        Targets of the whole site in replicas, by model. Of two models that both lack replicas, the
+        one with fewer targets for its share goes first.
     loads_left : int
         Loads from the weight store that may begin now.
     may_load : bool, default=True
-        Whether members may begin to load once they have joined.
+        Whether members may load weights after they have joined.
     loading : mapping of str to Loading, optional
-        Weights under way, by worker.
+        Weights under way, by target id.
 
     Notes
     -----
     A replica whose members must first load binds those that are ready for as long as that takes.
-    So once a site serves, weights are staged to idle workers, and a replica is formed only of
-    workers that have them.
+    So once a site serves, `may_load` is False: weights are staged to idle targets first. Measured
+    in docs/MEASUREMENTS.md, second sitting, "weights staged first".
     """
-    wanted = desired_counts(workers, engine, shares)
-    found = []
+    desired = desired_counts(domain.size, engine, domain.shares)
+    options = []
     for model in engine.models:
-        if counts.get(model.name, 0) >= wanted[model.name]:
+        if domain.counts.get(model.name, 0) >= desired[model.name]:
             continue
-        formation = choose_members(idle, model, loading)
+        formation = choose_members(domain.idle, model, loading)
         if formation is None or formation.loads > loads_left:
             continue
         if not may_load and formation.ready_s > model.warm_s:
             continue
-        need = site_workers.get(model.name, 0) / model.share
-        found.append((need, formation.ready_s, model.name, formation))
-    return min(found, key=lambda f: f[:3])[3] if found else None
+        served = site_targets.get(model.name, 0) / model.share
+        options.append((served, formation.ready_s, model.name, formation))
+    return min(options, key=lambda option: option[:3])[3] if options else None
--- a/ferrydock/replicas/_planning.py
+++ b/ferrydock/replicas/_planning.py
@@ -1,6 +1,11 @@
-"""Which replicas of a hall are missing, and which weights its idle workers lack."""
+"""What the planning rules are fed with: a hall's targets, replicas and the loads that are left.
 
-from collections.abc import Iterable
+Owns the loads that were begun, the domains seen so far, and since when the hall's targets have not
+changed in number. Decides by `_plan` and `_staging`; orders nothing.
+"""
+
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
 
 from ..clock import Clock
 from ..configuration import EngineSpec, ModelSpec
@@ -8,35 +13,58 @@
 from ._hall_state import HallState
 from ._load_budget import WeightLoadBudget
 from ._observed import ObservedReplica
-from ._plan import Formation, desired_counts, domain_shares, next_formation
-from ._staging import staging
+from ._plan import DomainState, Formation, desired_counts, domain_shares, next_formation
+from ._staging import StagingState, choose_stagings
 
-__all__ = ["HallPlanner"]
+__all__ = ["ControllerSettings", "HallPlanner"]
 
+# How long no target may have appeared anywhere before a hall is planned for the first time, in
+# seconds. The number of domains decides which model gets which. Measured in docs/MEASUREMENTS.md,
+# routes, "domains by model, after the last worker".
 SETTLE_S = 0.4
+
+# Loads that may begin in a window in addition to rate times window: the platform counts the same
+# way. Chosen, not measured.
 EXTRA_LOADS = 3
 
 
-class HallPlanner:
-    """Decides from what is seen; orders nothing.
+@dataclass(frozen=True, slots=True)
+class ControllerSettings:
+    """Settings of a hall's controller.
 
-    Parameters
+    Attributes
     ----------
+    hall : str
+        Whose targets it forms into replicas.
     halls : int
-        How many halls share the bound on loads.
+        How many halls share the site's bound on weight loads.
     load_window_s, load_overshoot : float
-        Window and factor in which the loads that begin are counted.
+        Window in which loads are counted, and the factor by which they may exceed the rate.
+    """
+
+    hall: str
+    halls: int
+    load_window_s: float
+    load_overshoot: float
+
+
+class HallPlanner:
+    """Returns the replicas to form and the weights to stage.
+
+    Parameters
+    ----------
+    state : HallState
+        What is under way.
     """
 
     __slots__ = (
         "_domains",
-        "_workers_known",
-        "_workers_since_s",
+        "_targets_known",
+        "_targets_since_s",
         "clock",
         "directory",
-        "halls",
-        "load_overshoot",
         "loads",
+        "settings",
         "state",
     )
 
@@ -45,121 +73,120 @@
         state: HallState,
         directory: TargetDirectory,
         clock: Clock,
-        halls: int,
-        load_window_s: float,
-        load_overshoot: float,
+        settings: ControllerSettings,
     ):
         self.state = state
         self.directory = directory
         self.clock = clock
-        self.halls = halls
-        self.load_overshoot = load_overshoot
-        self.loads = WeightLoadBudget(load_window_s)
+        self.settings = settings
+        self.loads = WeightLoadBudget(settings.load_window_s)
         self._domains: set[str] = set()
-        self._workers_known = 0
-        self._workers_since_s = 0.0
+        self._targets_known = 0
+        self._targets_since_s = 0.0
 
     def formations(
         self,
         service: str,
-        workers: list[Target],
+        targets: list[Target],
         replicas: list[ObservedReplica],
         engine: EngineSpec,
-        now_s: float,
     ) -> list[Formation]:
-        """Return the replicas to form now."""
-        plans: list[Formation] = []
-        site = self._site_workers(service, engine)
-        loads_left = self._loads_left(engine, now_s)
-        is_first = not any(t.models or t.staged for t in workers)
-        if is_first:
-            loads_left = len(workers)  # nothing serves yet: what loads now is not counted
+        """Return the replicas to form now.
+
+        Parameters
+        ----------
+        targets : list of Target
+            The service's targets of this hall.
+        replicas : list of ObservedReplica
+            Replicas that are there to stay.
+        """
+        now_s = self.clock.now_s()
+        is_first = not any(t.models or t.staged for t in targets)
+        # Before the first replica nothing serves yet, and the platform does not count loads.
+        loads_left = len(targets) if is_first else self._loads_left(engine, now_s)
         loading = self.state.staging.loading(now_s)
-        domains: dict[str, list[Target]] = {}
-        for worker in workers:
-            domains.setdefault(worker.domain, []).append(worker)
+        domains = _by_domain(targets)
         shares = self._shares(domains, engine)
-        if not self._is_settled(workers, now_s):
-            return plans
+        if not self._is_settled(targets, now_s):
+            return []
+        plans: list[Formation] = []
+        site_targets = self._site_targets(service, engine)
         for name in sorted(domains):
             if self.state.freeing[name]:
-                continue  # the survivors that are about to be free are ready soonest
-            sound = [w for w in domains[name] if not w.draining and not self.state.is_paused(w)]
-            idle = [worker for worker in sound if self.state.is_idle(worker)]
-            counts = self.state.counts(name, replicas)
-            while True:
-                formation = next_formation(
-                    idle,
-                    counts,
-                    len(sound),
-                    engine,
-                    shares[name],
-                    site,
-                    loads_left,
-                    is_first,
-                    loading,
-                )
-                if formation is None:
-                    break
+                continue  # the survivors of a broken replica will be idle soon, and ready soonest
+            domain = self._domain_state(name, domains[name], replicas, shares[name])
+            while formation := next_formation(
+                domain, engine, site_targets, loads_left, is_first, loading
+            ):
                 plans.append(formation)
                 loads_left -= formation.loads
+                domain.add(formation)
                 model = formation.model
-                counts[model.name] = counts.get(model.name, 0) + 1
-                site[model.name] = site.get(model.name, 0) + model.size
-                taken = {member.target_id for member in formation.members}
-                idle = [worker for worker in idle if worker.target_id not in taken]
+                site_targets[model.name] = site_targets.get(model.name, 0) + model.size
         return plans
 
     def stagings(
-        self,
-        workers: list[Target],
-        replicas: list[ObservedReplica],
-        engine: EngineSpec,
-        now_s: float,
+        self, targets: list[Target], replicas: list[ObservedReplica], engine: EngineSpec
     ) -> list[tuple[Target, ModelSpec]]:
-        """Return which idle workers shall load what: for missing replicas, then for spares."""
-        found: list[tuple[Target, ModelSpec]] = []
+        """Return which idle targets shall load what: for missing replicas, then for spares.
+
+        Nothing before the first replica is open: the first replicas load by themselves.
+        """
+        now_s = self.clock.now_s()
         if not any(replica.is_open for replica in replicas):
-            return found
-        domains: dict[str, list[Target]] = {}
-        for worker in workers:
-            if not worker.draining and not self.state.is_paused(worker):
-                domains.setdefault(worker.domain, []).append(worker)
+            return []
+        domains = _by_domain(t for t in targets if self._is_usable(t))
         shares = self._shares(domains, engine)
-        for domain, sound in domains.items():
-            idle = [worker for worker in sound if self.state.is_idle(worker)]
-            counts = self.state.counts(domain, replicas)
-            wanted = desired_counts(len(sound), engine, shares[domain])
-            orders = staging(
-                idle,
-                {m.name: (wanted[m.name] - counts.get(m.name, 0)) * m.size for m in engine.models},
-                {m.name: counts.get(m.name, 0) * m.size for m in engine.models},
-                engine,
-                shares[domain],
-                self.state.staging.loading(now_s),
-                not self.state.freeing[domain] and not self.state.is_busy(sound),
+        orders: list[tuple[Target, ModelSpec]] = []
+        for name, usable in domains.items():
+            domain = self._domain_state(name, usable, replicas, shares[name])
+            desired = desired_counts(domain.size, engine, domain.shares)
+            counts = domain.counts
+            missing = {
+                m.name: (desired[m.name] - counts.get(m.name, 0)) * m.size for m in engine.models
+            }
+            state = StagingState(
+                missing=missing,
+                in_use={m.name: counts.get(m.name, 0) * m.size for m in engine.models},
+                shares=domain.shares,
+                loading=self.state.staging.loading(now_s),
+                may_restage=not self.state.freeing[name] and not self.state.is_busy(usable),
             )
-            found += orders
-        return found[: self._loads_left(engine, now_s)]
+            orders += choose_stagings(domain.idle, engine, state)
+        return orders[: self._loads_left(engine, now_s)]
+
+    def _is_usable(self, target: Target) -> bool:
+        return not target.draining and not self.state.is_paused(target)
+
+    def _domain_state(
+        self,
+        name: str,
+        targets: Sequence[Target],
+        replicas: list[ObservedReplica],
+        shares: dict[str, float],
+    ) -> DomainState:
+        usable = [target for target in targets if self._is_usable(target)]
+        idle = [target for target in usable if self.state.is_idle(target)]
+        return DomainState(len(usable), idle, self.state.counts(name, replicas), shares)
 
     def _loads_left(self, engine: EngineSpec, now_s: float) -> int:
-        """Return how many loads from the weight store may begin now: the hall's part."""
-        most = int(engine.loads_per_s * self.loads.window_s * self.load_overshoot + EXTRA_LOADS)
-        return self.loads.left(most // self.halls, now_s)
+        """Return how many loads from the weight store may begin now: the hall's equal part."""
+        settings = self.settings
+        within_window = engine.loads_per_s * settings.load_window_s * settings.load_overshoot
+        max_loads = int(within_window + EXTRA_LOADS) // settings.halls
+        return self.loads.left(max_loads, now_s)
 
-    def _is_settled(self, workers: list[Target], now_s: float) -> bool:
-        """Whether the hall's workers are all here, as far as can be told.
+    def _is_settled(self, targets: list[Target], now_s: float) -> bool:
+        """Return whether all of the hall's targets have probably appeared.
 
-        The number of domains decides which model has which, so the first plan waits until no
-        worker has shown up anywhere for a moment. It does not wait once one of the hall's has
-        had an order.
+        True as soon as one of them has ever had an order: then the hall was planned before.
         """
-        if not all(worker.is_fresh for worker in workers):
+        if not all(target.is_fresh for target in targets):
             return True
-        if len(self.directory.targets) != self._workers_known:
-            self._workers_known = len(self.directory.targets)
-            self._workers_since_s = now_s
-        return now_s - self._workers_since_s >= SETTLE_S
+        if len(self.directory.targets) != self._targets_known:
+            self._targets_known = len(self.directory.targets)
+            self._targets_since_s = now_s
+        return now_s - self._targets_since_s >= SETTLE_S
 
     def _shares(self, domains: Iterable[str], engine: EngineSpec) -> dict[str, dict[str, float]]:
         """Return the models' shares in each domain; a domain once seen keeps its place."""
@@ -167,8 +194,8 @@
         order = sorted(self._domains)
         return dict(zip(order, domain_shares(len(order), engine), strict=True))
 
-    def _site_workers(self, service: str, engine: EngineSpec) -> dict[str, int]:
-        """Return the workers in open replicas of the whole site by model, and those planned."""
+    def _site_targets(self, service: str, engine: EngineSpec) -> dict[str, int]:
+        """Return the targets in replicas of the whole site by model, those planned included."""
         found = {model.name: 0 for model in engine.models}
         for replica in self.directory.replicas(service):
             if replica.model in found:
@@ -177,3 +204,10 @@
             if plan.formation.model.name in found:
                 found[plan.formation.model.name] += plan.formation.model.size
         return found
+
+
+def _by_domain(targets: Iterable[Target]) -> dict[str, list[Target]]:
+    domains: dict[str, list[Target]] = {}
+    for target in targets:
+        domains.setdefault(target.domain, []).append(target)
+    return domains
--- a/ferrydock/replicas/_record.py
+++ b/ferrydock/replicas/_record.py
@@ -1,4 +1,8 @@
-"""A hall's placement record in the store: what was planned, and the epochs that follow from it."""
+"""A hall's placement record in the store: what was planned, and the epochs that follow from it.
+
+The record itself lives in the store; this module owns only the revision it was last seen at. The
+stored fields are read by other versions and by people: they keep their names.
+"""
 
 import logging
 import uuid
@@ -21,19 +25,19 @@
 
 
 class PlacementRecord:
-    """Writes plans on condition that nobody else has written since.
+    """Writes plans on condition that no other daemon has written since.
 
     Parameters
     ----------
     store : Store
         Keeps the record.
     hall, holder : str
-        Whose record; who writes.
+        Whose record; name of this daemon.
 
     Notes
     -----
-    The revision of a write is the epoch of the replicas planned by it. Revisions only rise, so a
-    controller that was replaced can never outrank its successor.
+    The revision of a write is the epoch of the replicas planned by it. Revisions only rise, so the
+    orders of a controller that was replaced never outrank those of its successor.
     """
 
     __slots__ = ("_revision", "hall", "holder", "store")
@@ -49,11 +53,12 @@
         self._revision = None
 
     async def read(self) -> bool:
-        """Find out how the record stands; return whether that is known."""
+        """Find out the record's revision; return whether it is known."""
         if self._revision is not None:
             return True
         found = await self.store.range(placement_key(self.hall))
         if not isinstance(found, RangeDone):
+            log_event(_LOG, logging.INFO, "placement_unread", hall=self.hall, why=found.reason)
             return False
         self._revision = found.items[0].mod_revision if found.items else 0
         return True
@@ -64,24 +69,16 @@
         Returns
         -------
         int or None
-            The revision of the write; None if it surely is not in force.
+            The revision of the write; None if it is certainly not in force (the reason is logged).
         """
         key = placement_key(self.hall)
-        rows = [
-            {
-                "name": name,
-                "model": formation.model.name,
-                "members": [member.target_id for member in formation.members],
-            }
-            for name, formation in plans.items()
-        ]
-        fields = {"holder": self.holder, "nonce": uuid.uuid4().hex, "replicas": rows}
-        value = orjson.dumps(fields)
+        value = self._encode(plans)
         txn = Txn((Compare(key, self._revision),), (Put(key, value),), (key,))
         done = await self.store.transact(txn)
         if isinstance(done, Unknown):
             done = await self._settle(key, value)
         if isinstance(done, Unavailable):
+            log_event(_LOG, logging.INFO, "placement_unwritten", hall=self.hall, why=done.reason)
             return None
         if not done.succeeded:
             item = done.reads[0] if done.reads else None
@@ -91,6 +88,18 @@
         self._revision = done.revision
         return done.revision
 
+    def _encode(self, plans: dict[str, Formation]) -> bytes:
+        """Return the stored value; the nonce tells this write from any other."""
+        rows = [
+            {
+                "name": name,
+                "model": formation.model.name,
+                "members": [member.target_id for member in formation.members],
+            }
+            for name, formation in plans.items()
+        ]
+        return orjson.dumps({"holder": self.holder, "nonce": uuid.uuid4().hex, "replicas": rows})
+
     async def _settle(self, key: str, value: bytes) -> TxnDone | Unavailable:
         """Find out whether a write whose answer was lost took effect."""
         found = await self.store.range(key)
--- a/ferrydock/replicas/_staging.py
+++ b/ferrydock/replicas/_staging.py
@@ -1,4 +1,7 @@
-"""Which weights idle workers should have on their hosts, and which are on their way there."""
+"""Rule: which weights idle targets load to their hosts; and which loads are under way.
+
+`choose_stagings` is pure. `StagingProgress` owns the loads that this controller began, in memory.
+"""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -6,12 +9,12 @@
 from ..configuration import EngineSpec, ModelSpec
 from ..targets import Target
 
-__all__ = ["Loading", "StagingProgress", "staging"]
+__all__ = ["Loading", "StagingProgress", "StagingState", "choose_stagings"]
 
 
 @dataclass(frozen=True, slots=True)
 class Loading:
-    """Weights on their way to a worker's host."""
+    """Weights on their way to a target's host; `left_s` seconds more."""
 
     model: str
     left_s: float
@@ -22,16 +25,16 @@
 
     Notes
     -----
-    A worker's entry shows a model as staged while its weights are still on their way; only whoever
-    gave the order knows how long that takes.
+    A target's entry shows a model as staged from the order on, while its weights are still on their
+    way. Only the daemon that gave the order knows how long that takes.
 
     Examples
     --------
-    >>> current = StagingProgress()
-    >>> current.begin("w", "small", 12.0, now_s=100.0)
-    >>> current.loading(now_s=104.0)
-    {'w': Loading(model='small', left_s=8.0)}
-    >>> current.loading(now_s=113.0)
+    >>> progress = StagingProgress()
+    >>> progress.begin("t", "small", 12.0, now_s=100.0)
+    >>> progress.loading(now_s=104.0)
+    {'t': Loading(model='small', left_s=8.0)}
+    >>> progress.loading(now_s=113.0)
     {}
     """
 
@@ -41,7 +44,7 @@
         self._until_s: dict[str, tuple[str, float]] = {}
 
     def begin(self, target_id: str, model: str, load_s: float, now_s: float) -> None:
-        """Note that weights are loaded to a worker's host."""
+        """Note that weights are loaded to a target's host."""
         self._until_s[target_id] = (model, now_s + load_s)
 
     def forget(self, target_id: str) -> None:
@@ -53,105 +56,111 @@
         self._until_s.clear()
 
     def loading(self, now_s: float) -> dict[str, Loading]:
-        """Return the loads under way, by worker."""
+        """Return the loads under way, by target id."""
         for target_id in [i for i, (_, until_s) in self._until_s.items() if until_s <= now_s]:
             del self._until_s[target_id]
         return {i: Loading(model, until_s - now_s) for i, (model, until_s) in self._until_s.items()}
 
 
-def staging(
-    idle: Sequence[Target],
-    missing: Mapping[str, int],
-    in_use: Mapping[str, int],
-    engine: EngineSpec,
-    shares: Mapping[str, float],
-    loading: Mapping[str, Loading],
-    may_restage: bool,
-) -> list[tuple[Target, ModelSpec]]:
-    """Return which idle workers should load which model to their host.
+@dataclass(frozen=True, slots=True)
+class StagingState:
+    """What a domain needs and has, as `choose_stagings` finds it.
 
-    Parameters
+    Attributes
     ----------
-    idle : sequence of Target
-        Idle workers of one domain.
     missing : mapping of str to int
-        Workers of replicas that the domain lacks, by model.
+        Targets of the replicas that the domain lacks, by model.
     in_use : mapping of str to int
-        Workers of the domain in replicas, by model.
+        Targets of the domain in replicas, by model.
     shares : mapping of str to float
         Part of the domain that each model should have.
     loading : mapping of str to Loading
-        Weights under way, by worker.
+        Weights under way, by target id.
     may_restage : bool
         Whether spares of one model may load another that lacks a replica.
+    """
 
-    Notes
-    -----
-    Replicas that are missing come first; what is left becomes spares. The next loss hits a model
-    in proportion to its workers; each spare covers one.
+    missing: Mapping[str, int]
+    in_use: Mapping[str, int]
+    shares: Mapping[str, float]
+    loading: Mapping[str, Loading]
+    may_restage: bool
+
+
+def choose_stagings(
+    idle: Sequence[Target], engine: EngineSpec, state: StagingState
+) -> list[tuple[Target, ModelSpec]]:
+    """Return which idle targets of a domain should load which model to their host.
+
+    Replicas that are missing come first; the other targets become spares. The next loss hits a
+    model in proportion to its targets, and each spare covers one. Measured as a whole in
+    docs/MEASUREMENTS.md, second sitting, "weights staged first".
     """
     pools: dict[str, list[Target]] = {model.name: [] for model in engine.models}
     bare: list[Target] = []
-    for worker in idle:
-        name = _held(worker, loading)
-        pools[name].append(worker) if name in pools else bare.append(worker)
+    for target in idle:
+        name = _held(target, state.loading)
+        pools[name].append(target) if name in pools else bare.append(target)
     orders = []
-    for model in sorted(engine.models, key=lambda m: _lacking(m, missing, pools)):
-        for worker in _helpers(model, missing, pools, bare, loading, may_restage):
-            orders.append((worker, model))
-    for worker in bare:
-        model = max(engine.models, key=lambda m: _use_of_spare(m, missing, in_use, shares, pools))
-        pools[model.name].append(worker)
-        orders.append((worker, model))
+    for model in sorted(engine.models, key=lambda m: _lacking(m, state, pools)):
+        for target in _take_helpers(model, state, pools, bare):
+            orders.append((target, model))
+    for target in bare:
+        model = max(engine.models, key=lambda m: _worth_of_spare(m, state, pools))
+        pools[model.name].append(target)
+        orders.append((target, model))
     return orders
 
 
-def _held(worker: Target, loading: Mapping[str, Loading]) -> str:
-    """Return the model whose weights a worker's host has or is about to have."""
-    if worker.target_id in loading:
-        return loading[worker.target_id].model
-    return worker.staged[0] if worker.staged else ""
+def _held(target: Target, loading: Mapping[str, Loading]) -> str:
+    """Return the model whose weights a target's host has or will have; empty for none."""
+    if target.target_id in loading:
+        return loading[target.target_id].model
+    return target.staged[0] if target.staged else ""
 
 
-def _lacking(model: ModelSpec, missing: Mapping[str, int], pools: Mapping[str, list]) -> int:
-    """Return how many more workers must load a model before its replicas are whole."""
-    return max(0, missing.get(model.name, 0) - len(pools[model.name]))
+def _lacking(model: ModelSpec, state: StagingState, pools: Mapping[str, list]) -> int:
+    """Return how many more targets must load a model before its replicas can be formed."""
+    return max(0, state.missing.get(model.name, 0) - len(pools[model.name]))
 
 
-def _helpers(
+def _take_helpers(
     model: ModelSpec,
-    missing: Mapping[str, int],
+    state: StagingState,
     pools: Mapping[str, list[Target]],
     bare: list[Target],
-    loading: Mapping[str, Loading],
-    may_restage: bool,
 ) -> list[Target]:
-    """Take the workers that shall load a model which lacks replicas out of the others."""
-    lacking = _lacking(model, missing, pools)
+    """Move targets that shall load a model which lacks replicas to its pool; return them.
+
+    Targets without weights go first, then spares of other models. None go unless they are enough
+    for one whole replica.
+    """
+    lacking = _lacking(model, state, pools)
     surplus = []
     for name, pool in pools.items():
-        if may_restage and name != model.name:
-            free = [worker for worker in pool if worker.target_id not in loading]
-            surplus += free[: max(0, len(pool) - missing.get(name, 0))]
+        if state.may_restage and name != model.name:
+            free = [target for target in pool if target.target_id not in state.loading]
+            surplus += free[: max(0, len(pool) - state.missing.get(name, 0))]
     needed_first = model.size - len(pools[model.name]) % model.size
     if not lacking or len(bare) + len(surplus) < min(lacking, needed_first):
         return []
-    found = (bare + surplus)[:lacking]
-    for worker in found:
+    helpers = (bare + surplus)[:lacking]
+    for target in helpers:
         for others in (bare, *pools.values()):
-            if worker in others:
-                others.remove(worker)
-    pools[model.name].extend(found)
-    return found
+            if target in others:
+                others.remove(target)
+    pools[model.name].extend(helpers)
+    return helpers
 
 
-def _use_of_spare(
-    model: ModelSpec,
-    missing: Mapping[str, int],
-    in_use: Mapping[str, int],
-    shares: Mapping[str, float],
-    pools: Mapping[str, list[Target]],
+def _worth_of_spare(
+    model: ModelSpec, state: StagingState, pools: Mapping[str, list[Target]]
 ) -> float:
-    """Return how much one more spare of a model is worth, compared with other models."""
-    spares = max(0, len(pools[model.name]) - missing.get(model.name, 0))
-    return (shares.get(model.name, 0.0) + in_use.get(model.name, 0)) / (1 + 2 * spares)
+    """Return how much one more spare of a model is worth, compared with other models.
+
+    Proportional to the targets that the model has in use; each spare that it has already lowers
+    it (1, 1/3, 1/5 and so on). Chosen, not measured.
+    """
+    spares = max(0, len(pools[model.name]) - state.missing.get(model.name, 0))
+    in_use = state.shares.get(model.name, 0.0) + state.in_use.get(model.name, 0)
+    return in_use / (1 + 2 * spares)
--- a/ferrydock/replicas/tests/hall.py
+++ b/ferrydock/replicas/tests/hall.py
@@ -8,7 +8,7 @@
 from ...standins.fleet import Fleet, FleetControl, FleetList, LoopClock
 from ...store import MemoryStore
 from ...targets import TargetDirectory
-from .. import OrderSender, ReplicaController
+from .. import ControllerSettings, OrderSender, ReplicaController
 from .specs import two_models
 
 ROUND_S = 0.1
@@ -53,16 +53,11 @@
         control = FleetControl(self.fleet, self.rng)
         lease = ControllerLease(self.store, self.clock, "hall-a", holder)
         self.controller = ReplicaController(
-            "hall-a",
-            1,
+            ControllerSettings("hall-a", 1, 5.0, 1.1),
             lease,
             self.store,
             self.current,
-            self.directory,
             OrderSender(control, self.directory, self.clock),
-            self.clock,
-            5.0,
-            1.1,
             self.broken.append,
         )
         self.task = asyncio.ensure_future(self._drive(self.controller))
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -1,9 +1,13 @@
-"""A whole daemon that serves routes."""
+"""One route daemon: its parts, and how it starts and stops.
+
+Owns the parts and the order in which they begin and end. Decides nothing: each rule stands in the
+package of its part. All that a daemon knows is in memory and is lost with its process; what must
+last lies in the store.
+"""
 
 import asyncio
 import logging
 import random
-from collections.abc import Awaitable, Callable
 
 from ..clock import Clock
 from ..configuration import LEADER_MAX_AGE_S, CurrentConfiguration, max_keyed_age_s
@@ -17,12 +21,10 @@
     Upstream,
 )
 from ..hall import ControllerLease
-from ..logs import BoundedHandler, log_event
-from ..outcomes import Invalid
+from ..logs import log_event
 from ..relay import BrokenReplicas, DaemonCounter, RelayClient, RelayServer
-from ..replicas import OrderSender, ReplicaController
+from ..replicas import ControllerSettings, OrderSender, ReplicaController
 from ..reports import RouteMetrics
-from ..requests import RetryBudget
 from ..scheduling import (
     EndpointCatalog,
     HallScheduler,
@@ -33,224 +35,257 @@
 )
 from ..targets import TargetDirectory
 from ._deployment import Deployment
-from ._leadership import OwnHallLeadership, RemoteHallLeadership
+from ._gauges import Gauges
+from ._leadership import HallLeadership, OwnHallLeadership, RemoteHallLeadership
+from ._periodic import PeriodicTasks
+from ._planned_stop import finish_requests
+from ._readiness import Readiness
+from ._replica_failures import ReplicaFailures
+from ._retry_shares import RetryShares
+from ._settings import LiveSettings, RouteDaemonSettings
+from ._site_daemons import SiteDaemons
 from ._status_listener import StatusListener
 from ._store_follower import StoreFollower
+from ._upkeep import Upkeep
 
 __all__ = ["RouteDaemon"]
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
-READY_GONE_S = 3.2
-STOP_MARGIN_S = 0.8
-RATIO_PART = 0.8
-SLACK_PART = 0.8
-START_PART = 0.25
-TIDY_S = 1.0
-STALL_LOOK_S = 0.05
-PACE_S = 0.1
-ELSEWHERE_S = 0.15
-METRICS_PATH = "/metrics"
-GATHER_CONTROLLER_S = 0.2
+
+# Pauses of the periodic work. Chosen, not measured, unless said otherwise.
+TIDY_EVERY_S = 1.0
+# A quarter of the silence after which a replica's members are asked (`forwarding._stalls.QUIET_S`).
+DETECT_STALLS_EVERY_S = 0.05
+SET_GATHER_TIME_EVERY_S = 0.1
+ASSIGN_SLOTS_EVERY_S = 0.1
+# How old the counts of other halls are that the hall scheduler decides by.
+POLL_REMOTE_HALLS_EVERY_S = 0.15
+
+# How long changes of the target list may be gathered before they come as one call of the store:
+# shorter while this daemon forms or dissolves replicas, since each step waits for a change.
+# Measured in docs/MEASUREMENTS.md, second sitting, "changes of the list gathered".
+GATHER_WHILE_CONTROLLING_S = 0.2
 GATHER_S = 0.4
 
+# Width of the random number of the first grant: large enough that two leaders never use the same.
+FIRST_GRANT_BITS = 40
+
+METRICS_PATH = "/metrics"
+
 
 class RouteDaemon:
-    """Composes the parts of a daemon and drives its loops.
+    """Composes the parts of a daemon and runs them.
 
     Parameters
     ----------
     deployment : Deployment
-        The world around.
+        The store, configuration source, target source and target control it runs against.
     clock : Clock
         For all decisions.
+
+    Attributes
+    ----------
+    stopping : asyncio.Event
+        Set once a planned stop has begun.
     """
 
     def __init__(self, deployment: Deployment, clock: Clock):
         self.deployment = deployment
-        self.settings = deployment.settings
         self.clock = clock
         self.rng = random.Random()
-        self.failed = asyncio.Event()
+        self.stopping = asyncio.Event()
+        self.live_settings = LiveSettings(deployment.settings, deployment.reread)
+        self.metrics = RouteMetrics()
+        self.tasks = PeriodicTasks(self.rng)
+        self._build_state()
+        self._build_request_path()
+        self._build_leadership()
+        self._build_scheduling()
+        self._build_upkeep()
+
+    @property
+    def settings(self) -> RouteDaemonSettings:
+        """The settings in force."""
+        return self.live_settings.current
+
+    @property
+    def failed(self) -> asyncio.Event:
+        """Set once a part of the daemon has failed that must not."""
+        return self.tasks.failed
+
+    def _build_state(self) -> None:
+        """What this daemon knows of configuration, targets and peers."""
         self.current = CurrentConfiguration()
         self.directory = TargetDirectory()
         self.catalog = EndpointCatalog(self.directory)
-        self.loads = TargetLoads()
+        self.broken = BrokenReplicas()
         self.daemon_counter = DaemonCounter()
+        self.site_daemons = SiteDaemons(self.live_settings, self.daemon_counter, self.clock)
+
+    def _build_request_path(self) -> None:
+        """From a caller's connection to a target's."""
+        loads = TargetLoads()
         self.selector = HallEndpointSelector(
-            self.catalog, self.loads, self.settings.hall, clock, self.rng, self._daemons
+            self.catalog,
+            loads,
+            self.settings.hall,
+            self.clock,
+            self.rng,
+            self.site_daemons.count,
         )
         self.upstream = Upstream()
-        self.metrics = RouteMetrics()
-        self._budgets: dict[str, RetryBudget] = {}
+        dialect = self.deployment.dialect
         attempts = AttemptRunner(
-            self.selector, self.upstream, self.loads, deployment.dialect, clock, self.metrics
+            self.selector, self.upstream, loads, dialect, self.clock, self.metrics
         )
-        self.forwarder = Forwarder(attempts, self._budget, clock)
+        self.retry_shares = RetryShares(self.live_settings, self.site_daemons.count)
+        forwarder = Forwarder(attempts, self.retry_shares.budget, self.clock)
         self.gateway = RouteGateway(
-            self.current, self.forwarder, deployment.dialect, self._freshness_s, clock, self.rng
+            self.current, forwarder, dialect, self._max_keyed_age_s, self.clock, self.rng
         )
-        self.order_sender = OrderSender(deployment.control, self.directory, clock)
-        self.stalls = StallDetector(attempts, deployment.control, clock)
-        self.stalls.listener = self
-        self.broken = BrokenReplicas(self._on_told_broken)
-        self.relay_server = RelayServer(
-            self.current, self.directory, self._reads_store, clock, self.broken, self.daemon_counter
-        )
-        decode = deployment.configuration_source.decode
+        self.stalls = StallDetector(attempts, self.deployment.control, self.clock)
+
+    def _build_leadership(self) -> None:
+        """Following the store or the hall leader; leading halls and forming their replicas."""
         self.relay_client = RelayClient(
             self.current,
             self.directory,
-            decode,
-            clock,
+            self.deployment.configuration_source.decode,
+            self.clock,
             self.broken,
             self.daemon_counter,
             self.settings.name,
         )
-        self.controllers = [self._controller(hall) for hall in self.settings.halls]
-        self.leaderships = [self._seat(controller) for controller in self.controllers]
-        own = self.settings.halls.index(self.settings.hall)
-        self.leadership: OwnHallLeadership = self.leaderships[own]
-        self.follower = StoreFollower(
-            deployment,
+        self.relay_server = RelayServer(
+            self.current,
+            self.directory,
+            self._reads_store,
+            self.clock,
+            self.broken,
+            self.daemon_counter,
+        )
+        self.order_sender = OrderSender(self.deployment.control, self.directory, self.clock)
+        self.leadership = OwnHallLeadership(
+            *self._leadership_parts(self.settings.hall), relay=self.relay_client
+        )
+        self.remote_leaderships = [
+            RemoteHallLeadership(
+                *self._leadership_parts(hall), is_candidate=self.leadership.holds_lease
+            )
+            for hall in self.settings.halls
+            if hall != self.settings.hall
+        ]
+        self.controllers = [leadership.controller for leadership in self._leaderships()]
+        self.failures = ReplicaFailures(
+            self.stalls, self.broken, self.controllers, self.leadership, self.current, self.clock
+        )
+        self.store_follower = StoreFollower(
+            self.deployment,
             self.current,
             self.directory,
             self.leadership,
-            clock,
             self.rng,
             self.selector.assign_free_slots,
         )
-        self.counts = InFlightCounts(self.rng.getrandbits(40))
+
+    def _leadership_parts(self, hall: str) -> tuple:
+        """Return the arguments that leaderships of all halls have in common."""
+        settings, store = self.settings, self.deployment.store
+        lease = ControllerLease(store, self.clock, hall, settings.name, settings.peer_address)
+        controller = ReplicaController(
+            ControllerSettings(
+                hall, len(settings.halls), settings.load_window_s, settings.load_overshoot
+            ),
+            lease,
+            store,
+            self.current,
+            self.order_sender,
+            self.stalls.replica_given_up,
+            self.metrics,
+        )
+        return controller, store, self.clock, self.rng, self.stopping.is_set
+
+    def _build_scheduling(self) -> None:
+        """The hall scheduler, used while this daemon leads, and the way to the leader's."""
+        counts = InFlightCounts(self.rng.getrandbits(FIRST_GRANT_BITS))
         self.scheduler = HallScheduler(
             self.catalog,
-            self.counts,
+            counts,
             self.settings.hall,
             self.current.service,
-            clock,
+            self.clock,
             self.rng,
         )
-        self.selector.scheduler = SchedulerClient(
+        self.scheduler_client = SchedulerClient(
             self.settings.name,
             self.scheduler,
-            lambda: self.leadership.leader_address,
+            self.leadership.known_leader_address,
             self.settings.peer_address,
-            self.loads.running,
-            clock,
+            self.selector.loads.running,
+            self.clock,
         )
-        self.elsewhere = RemoteHallPoller(self.counts, self._other_leaders, clock)
-        self.ready_listener = StatusListener(self._answer_ready)
-        self.metrics_listener = StatusListener(self._answer_metrics)
-        self.stopping = False
-        self._tasks: list[asyncio.Task] = []
-        self._seen_change = 0
-
-    def _controller(self, hall: str) -> ReplicaController:
-        settings, store = self.settings, self.deployment.store
-        return ReplicaController(
-            hall,
-            len(settings.halls),
-            ControllerLease(store, self.clock, hall, settings.name, settings.peer_address),
-            store,
-            self.current,
+        self.selector.scheduler = self.scheduler_client
+        self.remote_halls = RemoteHallPoller(counts, self._remote_leaders, self.clock)
+
+    def _build_upkeep(self) -> None:
+        """Readiness, metrics and periodic tidying."""
+        self.upkeep = Upkeep(self.gateway, self.directory, self.order_sender, self.live_settings)
+        readiness = Readiness(self.stopping, self.current, self.directory)
+        self.gauges = Gauges(
+            self.metrics,
+            self.gateway,
             self.directory,
-            self.order_sender,
+            self.retry_shares,
+            self.deployment.store_calls,
             self.clock,
-            settings.load_window_s,
-            settings.load_overshoot,
-            self.stalls.replica_given_up,
-            self.metrics,
         )
+        self.ready_listener = StatusListener(readiness.answer)
+        self.metrics_listener = StatusListener(self._answer_metrics)
 
-    def _seat(self, controller: ReplicaController) -> OwnHallLeadership | RemoteHallLeadership:
-        parts = (controller, self.deployment.store, self.clock, self.rng, self._is_stopping)
-        if controller.hall == self.settings.hall:
-            return OwnHallLeadership(*parts, relay=self.relay_client)
-        return RemoteHallLeadership(*parts, is_candidate=lambda: self.leadership.lease.valid)
+    # What the parts ask of each other ---------------------------------------------------------
 
-    def _other_leaders(self) -> dict[str, str]:
-        """Return the addresses of the other halls' dispatchers, as far as they are known."""
-        return {
-            leadership.controller.hall: leadership.leader_address
-            for leadership in self.leaderships
-            if leadership is not self.leadership and leadership.leader_address
-        }
+    def _leaderships(self) -> list[HallLeadership]:
+        return [self.leadership, *self.remote_leaderships]
 
-    async def _hear_elsewhere(self) -> None:
-        """Learn, as this hall's scheduler, what other halls have at its targets."""
-        self.counts.forget_silent(self.clock.now_s())
-        if self.leadership.is_leader:
-            await self.elsewhere.step()
-            self.scheduler.assign_free_slots()
+    def _max_keyed_age_s(self) -> float:
+        return max_keyed_age_s(self.settings.freshness_s)
 
     def _reads_store(self) -> bool:
-        """Whether this daemon is the one of its hall that reads the store, and can."""
+        """Return whether this daemon reads the store for its hall and reached it recently."""
         age_s = self.current.age_s(self.clock.now_s())
-        return self.leadership.lease.valid and age_s < LEADER_MAX_AGE_S
-
-    def _on_told_broken(self, key: tuple[str, int]) -> None:
-        """Take another daemon's word that a replica is broken.
-
-        A follower takes its controller's word. The controller asks the members itself: whoever
-        told it may be cut off from them.
-        """
-        if not self.leadership.lease.valid:
-            self.stalls.break_replica(key, "told")
-            return
-        for service in self._engine_services():
-            for replica in self.directory.replicas(service):
-                if replica.key == key:
-                    self.stalls.check_reported(replica)
-
-    def replica_broken(self, key: tuple[str, int]) -> None:
-        """Report a replica that this daemon found broken to its peers."""
-        self.broken.note(key, self.clock.now_s())
-
-    def targets_dead(self, target_ids: list[str], reason: str) -> None:
-        for target_id in target_ids:
-            target = self.directory.targets.get(target_id)
-            for controller in self.controllers:
-                if target is not None and target.hall == controller.hall:
-                    controller.suspect([target_id], reason)
-
-    def _budget(self, service: str) -> RetryBudget:
-        budget = self._budgets.get(service)
-        if budget is None:
-            part = self._slack_part()
-            budget = RetryBudget(self.settings.retry_ratio * RATIO_PART, part, part * START_PART)
-            self._budgets[service] = budget
-        return budget
-
-    def _daemons(self) -> int:
-        """Return how many daemons the site has, if all halls are as large as this one."""
-        return len(self.settings.halls) * self.daemon_counter.daemons(self.clock.now_s())
-
-    def _slack_part(self) -> float:
-        """Return this daemon's part of the slack in retries, which all daemons share.
-
-        Each hall has the same part of it, and its daemons share that.
-        """
-        return self.settings.retry_slack * SLACK_PART / self._daemons()
-
-    def _freshness_s(self) -> float:
-        return max_keyed_age_s(self.settings.freshness_s)
+        return self.leadership.holds_lease() and age_s < LEADER_MAX_AGE_S
 
-    # Life -----------------------------------------------------------------------------------
+    def _remote_leaders(self) -> dict[str, str]:
+        """Return the known addresses of the other halls' leaders, by hall."""
+        return {
+            leadership.controller.hall: leadership.leader_address
+            for leadership in self.remote_leaderships
+            if leadership.leader_address
+        }
+
+    def _answer_metrics(self, path: str) -> tuple[int, str]:
+        if path != METRICS_PATH:
+            return 404, f"there is only {METRICS_PATH}\n"
+        return 200, self.gauges.text()
+
+    # Start and stop ---------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Listen, and begin all loops."""
+        """Listen, and begin all periodic work."""
         await self.ready_listener.start(self.settings.ready_listen)
         await self.metrics_listener.start(self.settings.metrics_listen)
         await self.gateway.start(self.settings.listen)
-        self._spawn(self.follower.follow_configuration())
-        self._spawn(self.follower.follow_targets())
-        self._spawn(self._every(TIDY_S, self._tidy))
-        self._spawn(self._every(STALL_LOOK_S, self.stalls.step))
-        self._spawn(self._every(PACE_S, self._set_pace))
-        self._spawn(self._every(PACE_S, self._let_waiting_in))
-        self._spawn(self._every(ELSEWHERE_S, self._hear_elsewhere))
+        self.tasks.spawn(self.store_follower.follow_configuration())
+        self.tasks.spawn(self.store_follower.follow_targets())
+        self.tasks.every(TIDY_EVERY_S, self._tidy)
+        self.tasks.every(DETECT_STALLS_EVERY_S, self.stalls.step)
+        self.tasks.every(SET_GATHER_TIME_EVERY_S, self._set_gather_time)
+        self.tasks.every(ASSIGN_SLOTS_EVERY_S, self.upkeep.assign_free_slots)
+        self.tasks.every(POLL_REMOTE_HALLS_EVERY_S, self._poll_remote_halls)
         methods = scheduler_methods(self.scheduler)
         await self.relay_server.start(self.settings.peer_address, methods)
-        for leadership in self.leaderships:
-            self._spawn(leadership.run())
+        for leadership in self._leaderships():
+            self.tasks.spawn(leadership.run())
         log_event(
             _LOG,
             logging.INFO,
@@ -262,136 +297,45 @@
         )
 
     async def stop(self) -> None:
-        """Planned stop: the balancer learns first, then nothing in flight is cut off."""
-        started_s = self.clock.now_s()
-        last_s = started_s + self.settings.stop_within_s - STOP_MARGIN_S
-        self.stopping = True
-        self.gateway.stopping = True
-        log_event(_LOG, logging.INFO, "stopping", in_flight=self.gateway.in_flight)
-        await asyncio.sleep(min(READY_GONE_S, max(0.0, last_s - started_s)))
-        self.gateway.stop_listening()
-        while self.gateway.in_flight and self.clock.now_s() < last_s:
-            await asyncio.sleep(0.05)
-        log_event(_LOG, logging.INFO, "stopped", in_flight=self.gateway.in_flight)
+        """Stop as planned: readiness drops first, then nothing in flight is cut off."""
+        self.stopping.set()
+        await finish_requests(self.gateway, self.settings.stop_within_s, self.clock)
         await self.close()
 
     async def close(self) -> None:
         """End at once."""
-        for task in self._tasks:
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self.tasks.close()
         await self.gateway.close()
         await self.ready_listener.close()
         await self.metrics_listener.close()
-        await self.selector.scheduler.close()
-        await self.elsewhere.close()
+        await self.scheduler_client.close()
+        await self.remote_halls.close()
         await self.relay_client.close()
         await self.relay_server.close()
         await self.upstream.close()
         await self.deployment.control.close()
         await self.deployment.store.close()
 
-    def _spawn(self, coroutine: Awaitable) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        task.add_done_callback(self._on_end)
-        self._tasks.append(task)
-
-    def _on_end(self, task: asyncio.Task) -> None:
-        if not task.cancelled() and task.exception() is not None:
-            error = task.exception()
-            log_event(_LOG, logging.CRITICAL, "loop_failed", why=repr(error))
-            logging.getLogger("ferrydock").error("loop failed", exc_info=error)
-            self.failed.set()
-
-    async def _every(self, pause_s: float, step: Callable[[], Awaitable]) -> None:
-        while True:
-            await asyncio.sleep(pause_s * self.rng.uniform(0.85, 1.15))
-            await step()
-
-    def _is_stopping(self) -> bool:
-        return self.stopping
-
-    def _answer_ready(self, path: str) -> tuple[int, str]:
-        why_not = self._why_not_ready()
-        return (503, why_not) if why_not else (200, "ready\n")
+    def reread_settings(self) -> None:
+        """Put the settings in force as they stand now."""
+        self.live_settings.reread()
 
-    def _answer_metrics(self, path: str) -> tuple[int, str]:
-        if path != METRICS_PATH:
-            return 404, f"there is only {METRICS_PATH}\n"
-        self._set_gauges()
-        return 200, self.metrics.text().decode()
-
-    def _set_gauges(self) -> None:
-        """Bring up to date what is not counted by events."""
-        metrics = self.metrics
-        replicas = [
-            replica.model
-            for service in self._engine_services()
-            for replica in self.directory.replicas(service)
-        ]
-        metrics.set_replicas(replicas)
-        metrics.targets.set(len(self.directory.targets))
-        metrics.in_flight.set(self.gateway.in_flight)
-        metrics.waiting.set(self.selector.waiting)
-        metrics.version.set(self.current.version)
-        metrics.age.set(self.current.age_s(self.clock.now_s()))
-        for service, budget in self._budgets.items():
-            metrics.budget_left.labels(service).set(budget.left)
-        for result, calls in self.deployment.store_calls.items():
-            metrics.store_calls.labels(result).set(calls)
-        handlers = [h for h in logging.getLogger().handlers if isinstance(h, BoundedHandler)]
-        metrics.log_lines_left_out.set(sum(handler.left_out for handler in handlers))
-
-    def _engine_services(self) -> list[str]:
-        if self.current.lookup is None:
-            return []
-        services = self.current.lookup.configuration.services.values()
-        return [service.name for service in services if service.engine is not None]
-
-    def _why_not_ready(self) -> str:
-        if self.stopping:
-            return "stopping"
-        if self.current.lookup is None:
-            return "no configuration yet"
-        return "" if self.directory.loaded else "no targets yet"
-
-    # Loops ----------------------------------------------------------------------------------
-
-    async def _let_waiting_in(self) -> None:
-        """Wake queued requests when the targets have changed."""
-        if self.directory.changes != self._seen_change:
-            self._seen_change = self.directory.changes
-            self.selector.assign_free_slots()
-
-    async def _set_pace(self) -> None:
-        """Let a controller at work hear of its targets at once, and others in larger batches."""
-        acts = any(controller.is_acting for controller in self.controllers)
-        self.deployment.target_source.gather_s = GATHER_CONTROLLER_S if acts else GATHER_S
+    # Periodic work that concerns several parts -----------------------------------------------
 
     async def _tidy(self) -> None:
-        listed = self.directory.targets
-        busy = {target_id for target_id, load in self.loads.items() if load.running}
-        self.upstream.forget_others(listed, busy)
-        self.loads.forget_others(listed)
-        self.order_sender.forget_others(listed)
-        self._share_budgets()
-        self.gateway.enforce_timeouts()
-        self.reread_settings()
-
-    def _share_budgets(self) -> None:
-        """Give each retry budget the part that the hall's number of daemons leaves."""
-        now_s = self.clock.now_s()
-        if self.leadership.lease.valid:
-            self.daemon_counter.receive(self.daemon_counter.count_followers(now_s), now_s)
-        part = self._slack_part()
-        for budget in self._budgets.values():
-            budget.limit(part)
-
-    def reread_settings(self) -> None:
-        """Take the settings as they stand now; unreadable ones leave those in force."""
-        after = self.deployment.reread()
-        if isinstance(after, Invalid):
-            log_event(_LOG, logging.ERROR, "settings_unreadable", why=after.reason)
-        elif after != self.settings:
-            self.settings = after
-            log_event(_LOG, logging.INFO, "settings_changed", name=after.name)
+        self.site_daemons.refresh(self.leadership)
+        self.retry_shares.update()
+        self.upkeep.tidy()
+
+    async def _set_gather_time(self) -> None:
+        """Let a daemon that forms replicas learn of its targets soon, others in larger batches."""
+        is_controlling = any(controller.is_acting for controller in self.controllers)
+        gather_s = GATHER_WHILE_CONTROLLING_S if is_controlling else GATHER_S
+        self.deployment.target_source.gather_s = gather_s
+
+    async def _poll_remote_halls(self) -> None:
+        """Learn, as this hall's scheduler, what other halls have in flight at its targets."""
+        self.scheduler.counts.forget_silent(self.clock.now_s())
+        if self.leadership.is_leader:
+            await self.remote_halls.step()
+            self.scheduler.assign_free_slots()
--- a/ferrydock/route_daemon/_deployment.py
+++ b/ferrydock/route_daemon/_deployment.py
@@ -1,4 +1,8 @@
-"""Kinds of deployment, each filling the ports of a daemon that serves routes."""
+"""The port to a deployment: everything outside a daemon, opened by a registered adapter.
+
+Owns the registry of adapters, which the decorator `register_deployment` fills when an adapter's
+package is imported.
+"""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -20,11 +24,21 @@
     Attributes
     ----------
     settings : RouteDaemonSettings
-        As read.
+        As read at the start.
     reread : callable
         Reads the settings again.
+    store : Store
+        The platform's key-value service.
     store_calls : mapping of str to int
-        Calls made of the store so far, by kind and result.
+        Calls of the store so far, by kind and result.
+    configuration_source : ConfigurationSource
+        Reads and decodes the operator's configuration.
+    target_source : TargetSource
+        Follows the list of targets.
+    control : TargetControl
+        Sends orders to targets and asks for their reports.
+    dialect : RequestDialect
+        Names and formats of headers.
     """
 
     settings: RouteDaemonSettings
@@ -57,5 +71,5 @@
 
 
 def open_deployment(name: str, path: str) -> Deployment | Invalid:
-    """Open the deployment of a registered kind."""
+    """Open a deployment of a registered kind from its settings file."""
     return _FACTORIES[name](path)
--- /dev/null
+++ b/ferrydock/route_daemon/_gauges.py
@@ -0,0 +1,64 @@
+"""Metrics that are read off the daemon's state when they are asked for; owns nothing."""
+
+import logging
+from collections.abc import Mapping
+
+from ..clock import Clock
+from ..forwarding import RouteGateway
+from ..logs import BoundedHandler
+from ..reports import RouteMetrics
+from ..targets import TargetDirectory
+from ._retry_shares import RetryShares
+
+__all__ = ["Gauges"]
+
+
+class Gauges:
+    """Brings the gauges up to date; counters and histograms are counted by events.
+
+    Parameters
+    ----------
+    store_calls : mapping of str to int
+        Calls of the store so far, by kind and result.
+    """
+
+    __slots__ = ("clock", "directory", "gateway", "metrics", "retry_shares", "store_calls")
+
+    def __init__(
+        self,
+        metrics: RouteMetrics,
+        gateway: RouteGateway,
+        directory: TargetDirectory,
+        retry_shares: RetryShares,
+        store_calls: Mapping[str, int],
+        clock: Clock,
+    ):
+        self.metrics = metrics
+        self.gateway = gateway
+        self.directory = directory
+        self.retry_shares = retry_shares
+        self.store_calls = store_calls
+        self.clock = clock
+
+    def text(self) -> str:
+        """Return all metrics in the Prometheus text form."""
+        metrics, current = self.metrics, self.gateway.current
+        services = current.engine_services()
+        replicas = (r for service in services for r in self.directory.replicas(service.name))
+        metrics.set_replicas(replica.model for replica in replicas)
+        metrics.targets.set(len(self.directory.targets))
+        metrics.in_flight.set(self.gateway.in_flight)
+        metrics.waiting.set(self.gateway.forwarder.selector.waiting)
+        metrics.version.set(current.version)
+        metrics.age.set(current.age_s(self.clock.now_s()))
+        for service, budget in self.retry_shares.items():
+            metrics.budget_left.labels(service).set(budget.left)
+        for result, calls in self.store_calls.items():
+            metrics.store_calls.labels(result).set(calls)
+        metrics.log_lines_left_out.set(_log_lines_left_out())
+        return metrics.text().decode()
+
+
+def _log_lines_left_out() -> int:
+    handlers = logging.getLogger().handlers
+    return sum(handler.left_out for handler in handlers if isinstance(handler, BoundedHandler))
--- a/ferrydock/route_daemon/_leadership.py
+++ b/ferrydock/route_daemon/_leadership.py
@@ -1,4 +1,10 @@
-"""Which halls this daemon controls: leases taken, kept and given up; whom it follows else."""
+"""Rule: which daemon leads a hall, for how long, and what a follower may do.
+
+Each hall has at most one leader: the daemon whose lease holds the hall's key in the store. It reads
+the store for the hall, schedules the hall's requests and controls the hall's replicas. This module
+takes, renews and gives up leases, and follows the leader where another daemon has the lease. Owns
+the leader's last known address, in memory; the lease itself lives in the store.
+"""
 
 import asyncio
 import logging
@@ -13,38 +19,116 @@
 from ..replicas import ReplicaController
 from ..store import LeaseGranted, LeaseLost, RangeDone, Store
 
-__all__ = ["HallLeadership", "RemoteHallLeadership", "OwnHallLeadership"]
+__all__ = ["HallLeadership", "OwnHallLeadership", "RemoteHallLeadership"]
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
+
+# Length of a lease: how long a hall is without a leader after its daemon died. Measured in
+# docs/MEASUREMENTS.md, routes, "survivors used at once, lease 1.8 s": the two together.
 LEASE_S = 1.8
-KEEP_EACH_S = 0.5
-ROUND_S = 0.1
-OWN_HALL_JITTER_S = 0.4
-OTHER_HALL_WAIT_S = 6.0
-OTHER_HALL_JITTER_S = 2.0
-LOOK_AGAIN_S = 15.0
-BROKEN_WATCH_S = 0.5
-RELAY_COUNTS_S = 0.8
-BROKEN_PAUSE_S = 0.15
-PULLS_TO_BREAK = 2
-LOOK_FOR_SEAT_S = 0.6
-MOST_LOOKS_LEFT_OUT = 4
+
+# Pause between renewals: two may fail before the lease ends. Chosen, not measured.
+RENEW_EVERY_S = 0.5
+
+# Pause between two rounds of the controller, and its random factor, so that controllers of several
+# halls do not act together. Chosen, not measured.
+CONTROLLER_ROUND_S = 0.1
+ROUND_JITTER = (0.85, 1.15)
+
+# Largest random pause before a daemon tries to lead its own hall. The daemons of a hall notice a
+# free key all at once; the first takes it, the others see that when they read the key again.
+# Measured in docs/MEASUREMENTS.md, second sitting, "a peer is heard first at the start".
+TAKE_JITTER_S = 0.4
+
+# How long a hall must have been without a leader before the leader of another hall takes it over,
+# and the random pause on top. Longer than daemons of the hall itself need (lease, jitter, a lost
+# call), so that a hall is led from inside while one of its daemons reaches the store. Chosen, not
+# measured.
+REMOTE_TAKE_AFTER_S = 6.0
+REMOTE_TAKE_JITTER_S = 2.0
+
+# Pause between two looks at another hall's key while this daemon does or does not lead its own.
+# Chosen, not measured.
+REMOTE_LOOK_S = (0.8, 1.2)
+
+# Longest watch on the key of another hall's leader before it is read again. Chosen, not measured.
+REMOTE_WATCH_S = 15.0
+
+# The same for the own hall, where a follower notices a silent leader by its calls. Chosen, not
+# measured.
+OWN_WATCH_S = (1.0, 2.0)
+
+# Pause after a watch that ended without telling of the key's end. Chosen, not measured.
+BROKEN_WATCH_PAUSE_S = 0.5
+
+# Pause after a failed attempt to take a lease, other than one that another daemon won. Chosen, not
+# measured.
+FAILED_TAKE_PAUSE_S = (0.3, 0.9)
+
+# How long an answer of the leader makes the store unnecessary. A question takes up to 0.6 s
+# (`relay`); the bound that all of these serve: `configuration.LEADER_MAX_AGE_S`.
+RELAY_VALID_S = 0.8
+
+# Failed questions in a row after which a leader is no longer followed, and the pause between them.
+# Chosen, not measured.
+FAILED_PULLS = 2
+FAILED_PULL_PAUSE_S = 0.15
+
+# Pause before the key is read again while the store cannot be reached, its random factor, and how
+# far the pause grows. Measured in docs/MEASUREMENTS.md, second sitting, "a store that is away is
+# left alone".
+STORE_RETRY_S = 0.6
+STORE_RETRY_JITTER = (0.5, 1.5)
+MAX_STORE_RETRY_FACTOR = 4
+
+
+class _LeaseRenewal:
+    """Renews a lease beside the rounds of the controller that acts under it."""
+
+    __slots__ = ("_renewed_s", "_task", "clock", "lease")
+
+    def __init__(self, lease: ControllerLease, clock: Clock):
+        self.lease = lease
+        self.clock = clock
+        self._renewed_s = clock.now_s()
+        self._task: asyncio.Task | None = None
+
+    def step(self) -> bool:
+        """Begin or end a renewal if it is time; return False once the lease is lost."""
+        now_s = self.clock.now_s()
+        if self._task is None and now_s - self._renewed_s >= RENEW_EVERY_S:
+            self._renewed_s = now_s
+            self._task = asyncio.ensure_future(self.lease.keep())
+        if self._task is None or not self._task.done():
+            return True
+        renewed = self._task.result()
+        self._task = None
+        if isinstance(renewed, LeaseLost):
+            return False
+        if not isinstance(renewed, LeaseGranted | HeldLease):
+            self._renewed_s = now_s - RENEW_EVERY_S / 2  # no answer: try again sooner
+        return True
+
+    def cancel(self) -> None:
+        """Stop a renewal that is under way."""
+        if self._task is not None:
+            self._task.cancel()
 
 
 class HallLeadership:
-    """The lease of one hall, and the hall's controller that acts under it.
+    """The lease of one hall, and the hall's controller, which acts while it is held.
 
     Parameters
     ----------
     controller : ReplicaController
         Acts while the lease is held.
-    is_leaving : callable
-        Whether this daemon is about to stop.
+    is_stopping : callable
+        Whether this daemon is about to stop: it then gives its lease back.
 
     Attributes
     ----------
     leader_address : str
-        ``IP:PORT`` of whoever was last known to hold the lease; empty at first.
+        ``IP:PORT`` of the daemon that last held the lease, as far as known; empty at first.
     """
 
     def __init__(
@@ -53,7 +137,7 @@
         store: Store,
         clock: Clock,
         rng: random.Random,
-        is_leaving: Callable[[], bool],
+        is_stopping: Callable[[], bool],
     ):
         self.controller = controller
         self.lease: ControllerLease = controller.lease
@@ -61,30 +145,43 @@
         self.store = store
         self.clock = clock
         self.rng = rng
-        self.is_leaving = is_leaving
+        self.is_stopping = is_stopping
         self.leader_address = ""
 
     @property
     def is_leader(self) -> bool:
-        """Whether this daemon was the last one known to hold the lease."""
+        """Whether this daemon is the last one known to have held the lease."""
         return self.leader_address == self.lease.address
 
-    async def _acquire_and_act(self) -> bool:
-        """Try for the lease, and act under it; return whether it was held."""
+    def holds_lease(self) -> bool:
+        """Return whether this daemon holds the lease right now, by its own clock."""
+        return self.lease.valid
+
+    def known_leader_address(self) -> str:
+        """Return ``IP:PORT`` of the hall's leader; empty if none is known."""
+        return self.leader_address
+
+    async def _take_and_lead(self) -> None:
+        """Try to take the lease; if that succeeds, lead until it ends."""
         taken = await self.lease.acquire(LEASE_S)
         if isinstance(taken, HeldLease):
             self.leader_address = self.lease.address
             log_event(
                 _LOG, logging.INFO, "controller_began", hall=self.controller.hall, term=taken.term
             )
-            await self._act()
-            return True
-        if not isinstance(taken, Conflict):
-            await asyncio.sleep(self.rng.uniform(0.3, 0.9))
-        return False
+            await self._lead()
+        elif not isinstance(taken, Conflict):
+            log_event(
+                _LOG,
+                logging.INFO,
+                "lease_not_taken",
+                hall=self.controller.hall,
+                why=taken.reason,
+            )
+            await asyncio.sleep(self.rng.uniform(*FAILED_TAKE_PAUSE_S))
 
-    async def _wait_for_end(self, revision: int, longest_s: float) -> None:
-        """Wait until the holder's key goes, or the watch breaks."""
+    async def _wait_for_free_key(self, revision: int, longest_s: float) -> None:
+        """Wait until the leader's key is gone, the watch breaks or `longest_s` is over."""
         try:
             async with asyncio.timeout(longest_s):
                 async for batch in self.store.watch(self.key, revision + 1):
@@ -92,30 +189,19 @@
                         return
         except TimeoutError:
             return
-        await asyncio.sleep(BROKEN_WATCH_S)
+        await asyncio.sleep(BROKEN_WATCH_PAUSE_S)
 
-    async def _act(self) -> None:
-        """Drive the controller while the lease holds."""
-        kept_s = self.clock.now_s()
-        keeping: asyncio.Task | None = None
+    async def _lead(self) -> None:
+        """Drive the controller while the lease holds; give the lease back at a planned stop."""
+        renewal = _LeaseRenewal(self.lease, self.clock)
         try:
-            while self.lease.valid and not self.is_leaving():
-                now_s = self.clock.now_s()
-                if keeping is None and now_s - kept_s >= KEEP_EACH_S:
-                    kept_s = now_s
-                    keeping = asyncio.ensure_future(self.lease.keep())
-                if keeping is not None and keeping.done():
-                    kept = keeping.result()
-                    keeping = None
-                    if isinstance(kept, LeaseLost):
-                        break
-                    if not isinstance(kept, LeaseGranted | HeldLease):
-                        kept_s = now_s - KEEP_EACH_S / 2
+            while self.lease.valid and not self.is_stopping():
+                if not renewal.step():
+                    break
                 await self.controller.step()
-                await asyncio.sleep(ROUND_S * self.rng.uniform(0.85, 1.15))
+                await asyncio.sleep(CONTROLLER_ROUND_S * self.rng.uniform(*ROUND_JITTER))
         finally:
-            if keeping is not None:
-                keeping.cancel()
+            renewal.cancel()
             self.controller.stand_down()
             log_event(_LOG, logging.INFO, "controller_ended", hall=self.controller.hall)
         if self.lease.valid:
@@ -123,17 +209,17 @@
 
 
 class OwnHallLeadership(HallLeadership):
-    """The leadership of the daemon's own hall: taken if free, else its holder is followed.
+    """Leadership of the daemon's own hall: taken if it is free, else its leader is followed.
 
     Parameters
     ----------
     relay : RelayClient
-        Follows the holder.
+        Asks the leader for news.
 
     Attributes
     ----------
     relayed_until_s : float
-        Local time up to which the holder's word makes the store needless.
+        Local time up to which the leader's last answer makes the store unnecessary.
     """
 
     def __init__(self, *arguments, relay: RelayClient):
@@ -143,67 +229,72 @@
 
     @property
     def is_relayed(self) -> bool:
-        """Whether another daemon's word is good enough for now."""
+        """Whether this daemon needs no store now, since the hall leader reads it."""
         return self.clock.now_s() < self.relayed_until_s
 
     async def run(self) -> None:
-        """Take the leadership, or follow whoever has it."""
-        away = 0
-        while not self.is_leaving():
-            found = await self.store.range(self.key)
-            if isinstance(found, Unavailable):
-                away += 1
-                times = 1 if self.is_leader else min(away, MOST_LOOKS_LEFT_OUT)
-                await self._leave_store_alone(self.rng.uniform(0.5, 1.5) * LOOK_FOR_SEAT_S * times)
+        """Lead the hall, or follow its leader, until the daemon stops."""
+        failures = 0
+        while not self.is_stopping():
+            read = await self.store.range(self.key)
+            if isinstance(read, Unavailable):
+                failures += 1
+                await self._wait_for_store(failures)
                 continue
-            away = 0
-            if not found.items:
-                await self._try_for_seat()
+            failures = 0
+            if not read.items:
+                await self._try_to_lead()
             else:
-                self.leader_address = controller_address(found.items[0].value)
+                self.leader_address = controller_address(read.items[0].value)
                 await self._follow()
-                await self._wait_for_end(found.revision, self.rng.uniform(1.0, 2.0))
+                await self._wait_for_free_key(read.revision, self.rng.uniform(*OWN_WATCH_S))
 
-    async def _try_for_seat(self) -> None:
-        """Take the free leadership, unless another daemon was quicker.
+    async def _try_to_lead(self) -> None:
+        """Take the free lease, unless another daemon was quicker.
 
-        Daemons of a hall start, and miss a leader, all at once: one read after a drawn pause
-        spares most of them a lease that would be in vain.
+        All daemons of a hall find the key free at once; reading it again after a random pause
+        saves most of them a lease that they could not use.
         """
-        await asyncio.sleep(self.rng.uniform(0, OWN_HALL_JITTER_S))
+        await asyncio.sleep(self.rng.uniform(0, TAKE_JITTER_S))
         again = await self.store.range(self.key)
         if isinstance(again, RangeDone) and not again.items:
-            await self._acquire_and_act()
+            await self._take_and_lead()
+
+    async def _wait_for_store(self, failures: int) -> None:
+        """Leave the store alone for a while after `failures` calls in a row that failed.
 
-    async def _leave_store_alone(self, pause_s: float) -> None:
-        """Hear from the last known leader alone, until it has nothing to tell for a while."""
+        The hall leader asks it again soon, on behalf of all; the others wait ever longer, and ask
+        the leader meanwhile.
+        """
+        factor = 1 if self.is_leader else min(failures, MAX_STORE_RETRY_FACTOR)
+        pause_s = self.rng.uniform(*STORE_RETRY_JITTER) * STORE_RETRY_S * factor
         until_s = self.clock.now_s() + pause_s
-        while self.clock.now_s() < until_s and not self.is_leaving():
+        while self.clock.now_s() < until_s and not self.is_stopping():
             await self._follow()
-            await asyncio.sleep(BROKEN_PAUSE_S)
+            await asyncio.sleep(FAILED_PULL_PAUSE_S)
 
     async def _follow(self) -> None:
-        """Pull from the holder until it fails."""
+        """Ask the leader for news again and again, until it fails."""
         failures = 0
-        while self.leader_address and not self.is_leader and failures < PULLS_TO_BREAK:
-            if self.is_leaving():
+        while self.leader_address and not self.is_leader and failures < FAILED_PULLS:
+            if self.is_stopping():
                 return
             if await self.relay.pull(self.leader_address):
                 failures = 0
-                self.relayed_until_s = self.clock.now_s() + RELAY_COUNTS_S
+                self.relayed_until_s = self.clock.now_s() + RELAY_VALID_S
             else:
                 failures += 1
                 self.relayed_until_s = -1.0  # the store is read from now on, at once
-                await asyncio.sleep(BROKEN_PAUSE_S)
+                await asyncio.sleep(FAILED_PULL_PAUSE_S)
 
 
 class RemoteHallLeadership(HallLeadership):
-    """The leadership of another hall, which only a controller takes, after nobody there has.
+    """Leadership of another hall, taken over only after nobody there has for some seconds.
 
     Parameters
     ----------
     is_candidate : callable
-        Whether this daemon controls its own hall.
+        Whether this daemon leads its own hall; only such a daemon takes over another.
     """
 
     def __init__(self, *arguments, is_candidate: Callable[[], bool]):
@@ -211,19 +302,20 @@
         self.is_candidate = is_candidate
 
     async def run(self) -> None:
-        """Look whether the hall is without a controller for long, and then take its leadership."""
-        while not self.is_leaving():
-            await asyncio.sleep(self.rng.uniform(0.8, 1.2))
+        """Look whether the hall is without a leader for long, and then lead it."""
+        while not self.is_stopping():
+            await asyncio.sleep(self.rng.uniform(*REMOTE_LOOK_S))
             if not self.is_candidate():
                 continue
-            found = await self.store.range(self.key)
-            if isinstance(found, Unavailable):
-                continue
-            if found.items:
-                self.leader_address = controller_address(found.items[0].value)
-                await self._wait_for_end(found.revision, LOOK_AGAIN_S)
+            read = await self.store.range(self.key)
+            if isinstance(read, Unavailable):
+                continue  # the store follower logs that the store is lost
+            if read.items:
+                self.leader_address = controller_address(read.items[0].value)
+                await self._wait_for_free_key(read.revision, REMOTE_WATCH_S)
                 continue
-            await asyncio.sleep(OTHER_HALL_WAIT_S + self.rng.uniform(0, OTHER_HALL_JITTER_S))
+            jitter_s = self.rng.uniform(0, REMOTE_TAKE_JITTER_S)
+            await asyncio.sleep(REMOTE_TAKE_AFTER_S + jitter_s)
             again = await self.store.range(self.key)
             if isinstance(again, RangeDone) and not again.items and self.is_candidate():
-                await self._acquire_and_act()
+                await self._take_and_lead()
--- /dev/null
+++ b/ferrydock/route_daemon/_replica_failures.py
@@ -0,0 +1,85 @@
+"""What a daemon does when a replica or a target turns out to be broken, here or at a peer.
+
+Owns no state: it passes findings on between the stall detector (this daemon's requests), the relay
+(peers) and the controllers (the hall leader's repairs).
+"""
+
+from collections.abc import Sequence
+
+from ..clock import Clock
+from ..configuration import CurrentConfiguration
+from ..forwarding import StallDetector
+from ..relay import BrokenReplicas
+from ..replicas import ReplicaController
+from ..targets import ReplicaView, TargetDirectory
+from ._leadership import OwnHallLeadership
+
+__all__ = ["ReplicaFailures"]
+
+# Reason of an interruption, as in log lines: the hall leader reported the replica as broken.
+REPORTED = "told"
+
+
+class ReplicaFailures:
+    """Passes on findings; registers itself with the stall detector and the relay.
+
+    Parameters
+    ----------
+    broken : BrokenReplicas
+        What is reported to peers, and where their reports come in.
+    controllers : sequence of ReplicaController
+        One for each hall; those that lead act on dead targets.
+    """
+
+    __slots__ = ("broken", "clock", "controllers", "current", "leadership", "stalls")
+
+    def __init__(
+        self,
+        stalls: StallDetector,
+        broken: BrokenReplicas,
+        controllers: Sequence[ReplicaController],
+        leadership: OwnHallLeadership,
+        current: CurrentConfiguration,
+        clock: Clock,
+    ):
+        self.stalls = stalls
+        self.broken = broken
+        self.controllers = controllers
+        self.leadership = leadership
+        self.current = current
+        self.clock = clock
+        stalls.listener = self
+        broken.on_received = self.report_received
+
+    def targets_dead(self, target_ids: list[str], reason: str) -> None:
+        """Tell the controller of their hall that targets did not answer."""
+        for target_id in target_ids:
+            target = self._directory.targets.get(target_id)
+            for controller in self.controllers:
+                if target is not None and target.hall == controller.hall:
+                    controller.suspect([target_id], reason)
+
+    def replica_broken(self, key: tuple[str, int]) -> None:
+        """Report a replica that this daemon found broken to its peers."""
+        self.broken.note(key, self.clock.now_s())
+
+    def report_received(self, key: tuple[str, int]) -> None:
+        """Handle a peer's report that a replica is broken.
+
+        A follower believes its hall leader. The leader asks the members itself: the follower that
+        reported it may be cut off from them.
+        """
+        if not self.leadership.lease.valid:
+            self.stalls.break_replica(key, REPORTED)
+            return
+        for replica in self._replicas_with(key):
+            self.stalls.check_reported(replica)
+
+    def _replicas_with(self, key: tuple[str, int]) -> list[ReplicaView]:
+        services = self.current.engine_services()
+        replicas = (r for service in services for r in self._directory.replicas(service.name))
+        return [replica for replica in replicas if replica.key == key]
+
+    @property
+    def _directory(self) -> TargetDirectory:
+        return self.stalls.catalog.directory
--- a/ferrydock/route_daemon/_settings.py
+++ b/ferrydock/route_daemon/_settings.py
@@ -1,14 +1,23 @@
-"""Settings of a daemon that serves routes, checked in one place."""
+"""Settings of the route daemon: their typed form, their check, and the ones in force now.
+
+Owns the settings in force; they are read again once a second and on SIGHUP. The names by which
+operators know them belong to the deployment's adapter.
+"""
 
 import ipaddress
+import logging
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, fields
 
+from ..logs import log_event
 from ..outcomes import Fault, Invalid
 
-__all__ = ["RouteDaemonSettings", "check_settings"]
+__all__ = ["LiveSettings", "RouteDaemonSettings", "check_settings"]
 
-MOST_PORT = 65535
+_LOG = logging.getLogger("ferrydock.route_daemon")
+MAX_PORT = 65535
+MAX_NAME_LENGTH = 200
+DAY_S = 86400
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,22 +29,24 @@
     name : str
         Of this daemon's machine.
     hall, halls : str, tuple of str
-        Where it stands, and all halls of the site.
+        The daemon's hall, and all halls of the site.
     listen, ready_listen, metrics_listen : str
-        ``IP:PORT`` for callers, for the balancer's questions and for figures.
+        ``IP:PORT`` for callers, for the balancer's readiness checks and for metrics.
     peer_address : str
         ``IP:PORT`` for other daemons.
     store_address : str
         ``IP:PORT`` of the platform's store.
     freshness_s : float
-        Longest age of the configuration's confirmation for a request with a key.
+        Bound on how long a revoked key may still be accepted: no request with a key is served
+        on a configuration that was confirmed longer ago (`configuration.max_keyed_age_s`).
     stop_within_s : float
         Time from the order to stop until the process is killed.
     retry_ratio, retry_slack : float
-        Retries that all daemons together may send to a service within each window of the
-        platform's: the ratio times its requests, plus the slack.
+        Retries that all daemons together may send to a service within each window that the
+        platform counts: the ratio times its requests, plus the slack.
     load_window_s, load_overshoot : float
-        Window and factor in which the loads that begin are counted.
+        Window in which the platform counts the weight loads that begin, and the factor by which
+        they may exceed the configured rate within one window.
     is_first_start : bool
         Whether the whole site starts for the first time, all daemons at once.
     """
@@ -58,7 +69,7 @@
 
 
 def _is_name(value) -> bool:
-    return isinstance(value, str) and 0 < len(value) <= 200
+    return isinstance(value, str) and 0 < len(value) <= MAX_NAME_LENGTH
 
 
 def _is_address(value) -> bool:
@@ -69,7 +80,7 @@
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return port.isdecimal() and 0 < int(port) <= MOST_PORT
+    return port.isdecimal() and 0 < int(port) <= MAX_PORT
 
 
 def _is_within(low: float, high: float) -> Callable[[object], bool]:
@@ -96,13 +107,13 @@
     "metrics_listen": _ADDRESS,
     "peer_address": _ADDRESS,
     "store_address": _ADDRESS,
-    "freshness_s": (_is_within(0, 86400), "0 to 86400 seconds"),
-    "stop_within_s": (_is_within(0, 86400), "0 to 86400 seconds"),
+    "freshness_s": (_is_within(0, DAY_S), "0 to 86400 seconds"),
+    "stop_within_s": (_is_within(0, DAY_S), "0 to 86400 seconds"),
     "retry_ratio": (_is_within(0, 1000), "0 to 1000"),
     "retry_slack": (_is_within(0, 1e9), "0 and more"),
-    "retry_window_s": (_is_within(0.001, 86400), "above 0, to 86400 seconds"),
-    "stall_s": (_is_within(0, 86400), "0 to 86400 seconds"),
-    "load_window_s": (_is_within(0.001, 86400), "above 0, to 86400 seconds"),
+    "retry_window_s": (_is_within(0.001, DAY_S), "above 0, to 86400 seconds"),
+    "stall_s": (_is_within(0, DAY_S), "0 to 86400 seconds"),
+    "load_window_s": (_is_within(0.001, DAY_S), "above 0, to 86400 seconds"),
     "load_overshoot": (_is_within(0, 1000), "0 to 1000"),
     "memory_bytes": (_is_within(1, 1 << 50), "1 and more"),
     "is_first_start": (lambda value: isinstance(value, bool), "true or false"),
@@ -134,3 +145,34 @@
         return Invalid((Fault(place, f"{given['hall']!r} is none of the site's halls"),))
     names = [field.name for field in fields(RouteDaemonSettings)]
     return RouteDaemonSettings(**{name: given[name] for name in names})
+
+
+class LiveSettings:
+    """The settings in force, which may change while the daemon runs.
+
+    Parameters
+    ----------
+    settings : RouteDaemonSettings
+        As read at the start.
+    read : callable
+        Reads them again.
+    """
+
+    __slots__ = ("current", "read")
+
+    def __init__(
+        self,
+        settings: RouteDaemonSettings,
+        read: Callable[[], RouteDaemonSettings | Invalid],
+    ):
+        self.current = settings
+        self.read = read
+
+    def reread(self) -> None:
+        """Put the settings in force as they stand now; unreadable ones change nothing."""
+        after = self.read()
+        if isinstance(after, Invalid):
+            log_event(_LOG, logging.ERROR, "settings_unreadable", why=after.reason)
+        elif after != self.current:
+            self.current = after
+            log_event(_LOG, logging.INFO, "settings_changed", name=after.name)
--- a/ferrydock/route_daemon/_status_listener.py
+++ b/ferrydock/route_daemon/_status_listener.py
@@ -1,4 +1,7 @@
-"""The listener for the balancer's questions, and the one for figures."""
+"""Small listeners that answer with a text: readiness for the balancer, metrics for a scraper.
+
+Owns its listening socket.
+"""
 
 from collections.abc import Callable
 
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -1,4 +1,7 @@
-"""Following the store: the configuration and the list of targets, unless a peer passes them on."""
+"""Following the store: the configuration and the target list, unless the hall leader relays them.
+
+Owns whether the store was reached last. Fills the current configuration and the target directory.
+"""
 
 import asyncio
 import logging
@@ -21,13 +24,32 @@
 __all__ = ["StoreBackoff", "StoreFollower"]
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
-CONFIRM_S = 1.0
-CONFIRM_FOR_OTHERS_S = 0.5
+
+# Pause between two confirmations of the configuration, and the shorter one of a leader, whose
+# followers rely on them. The shorter one belongs to the bound explained at
+# `configuration.LEADER_MAX_AGE_S`; the other leaves room below the revocation bound. Chosen, not
+# measured.
+CONFIRM_EVERY_S = 1.0
+LEADER_CONFIRM_EVERY_S = 0.5
+CONFIRM_JITTER = (0.9, 1.1)
+
+# Pause between two looks whether the leader relays. Chosen, not measured.
 RELAYED_LOOK_S = 0.1
+
+# How long a daemon waits for its hall leader at the first start of a site before it reads the store
+# itself. Measured in docs/MEASUREMENTS.md, second sitting, "a peer is heard first at the start".
 HEAR_PEER_S = 0.8
+
+# Pauses between calls to a store that cannot be reached: the first, the longest, and the longest of
+# a daemon whose hall depends on it. Measured in docs/MEASUREMENTS.md, second sitting, "a store that
+# is away is left alone".
 FIRST_PAUSE_S = 0.4
-LONGEST_PAUSE_S = 2.0
-LONGEST_FOR_OTHERS_S = 0.6
+MAX_PAUSE_S = 2.0
+MAX_URGENT_PAUSE_S = 0.6
+PAUSE_JITTER = (0.8, 1.2)
+
+# Beyond this the doubled pause is above the longest anyway.
+MAX_DOUBLINGS = 8
 
 
 class StoreBackoff:
@@ -35,17 +57,17 @@
 
     Notes
     -----
-    All daemons read the store themselves once nobody passes its word on, so an outage is met by
-    all of them at once, and each call has its price. Who reads for a whole hall asks again soon;
-    the others ask ever less often, and hear from that one first.
+    Once nobody relays, all daemons of a hall read the store, so an outage is met by all of them at
+    once, and the platform charges each call. A daemon that reads for a whole hall asks again soon;
+    the others ask ever less often, and learn from that one first.
 
     Examples
     --------
     >>> backoff = StoreBackoff(random.Random(1))
-    >>> [round(backoff.after_failure(for_others=False) / 0.4) for _ in range(4)]
+    >>> [round(backoff.after_failure(is_urgent=False) / 0.4) for _ in range(4)]
     [1, 2, 4, 5]
     >>> backoff.reset()
-    >>> backoff.after_failure(for_others=True) < 0.6
+    >>> backoff.after_failure(is_urgent=True) < 0.6
     True
     """
 
@@ -59,34 +81,34 @@
         """Note that the store answered."""
         self.failures = 0
 
-    def after_failure(self, for_others: bool) -> float:
+    def after_failure(self, is_urgent: bool) -> float:
         """Return the pause in seconds after one more failure."""
-        longest_s = LONGEST_FOR_OTHERS_S if for_others else LONGEST_PAUSE_S
+        longest_s = MAX_URGENT_PAUSE_S if is_urgent else MAX_PAUSE_S
         pause_s = min(longest_s, FIRST_PAUSE_S * 2**self.failures)
-        self.failures = min(self.failures + 1, 8)
-        return pause_s * self.rng.uniform(0.8, 1.2)
+        self.failures = min(self.failures + 1, MAX_DOUBLINGS)
+        return pause_s * self.rng.uniform(*PAUSE_JITTER)
 
 
 class StoreFollower:
-    """Keeps the current of configurations and the directory of targets up to date.
+    """Keeps the current configuration and the target directory up to date from the store.
 
     Parameters
     ----------
     leadership : OwnHallLeadership
-        Tells whether another daemon's word makes the store needless.
+        Tells whether the hall leader makes the store unnecessary.
     on_change : callable
         Called after a new configuration.
     """
 
     __slots__ = (
-        "_reached",
-        "current",
+        "_is_reached",
         "clock",
+        "current",
         "deployment",
         "directory",
+        "leadership",
         "on_change",
         "rng",
-        "leadership",
     )
 
     def __init__(
@@ -95,7 +117,6 @@
         current: CurrentConfiguration,
         directory: TargetDirectory,
         leadership: OwnHallLeadership,
-        clock: Clock,
         rng: random.Random,
         on_change: Callable[[], None],
     ):
@@ -103,90 +124,80 @@
         self.current = current
         self.directory = directory
         self.leadership = leadership
-        self.clock = clock
+        self.clock: Clock = leadership.clock
         self.rng = rng
         self.on_change = on_change
-        self._reached = True
-
-    def _note_store(self, reached: bool, reason: str = "") -> None:
-        if reached == self._reached:
-            return
-        self._reached = reached
-        event = "store_regained" if reached else "store_lost"
-        log_event(_LOG, logging.WARNING, event, why=reason or None, version=self.current.version)
+        self._is_reached = True
 
     async def follow_configuration(self) -> None:
-        """Read and confirm the configuration, for good."""
+        """Read and confirm the configuration, until the daemon ends."""
         backoff = StoreBackoff(self.rng)
-        await self._hear_peer_first()
+        await self._wait_for_leader()
         while True:
             if self.leadership.is_relayed:
                 backoff.reset()
                 await asyncio.sleep(RELAYED_LOOK_S)
                 continue
             began_s = self.clock.now_s()
-            found = await self.deployment.configuration_source.read()
-            if isinstance(found, Unavailable):
-                self._note_store(self.current.lookup is None, found.reason)
+            read = await self.deployment.configuration_source.read()
+            if isinstance(read, Unavailable):
+                self._note_store(self.current.lookup is None, read.reason)
                 await asyncio.sleep(self._pause_s(backoff))
                 continue
             backoff.reset()
             self._note_store(True)
-            self._take(found, began_s)
-            pause_s = CONFIRM_FOR_OTHERS_S if self.leadership.lease.valid else CONFIRM_S
-            await asyncio.sleep(pause_s * self.rng.uniform(0.9, 1.1))
-
-    def _pause_s(self, backoff: StoreBackoff) -> float:
-        """Return how long to leave the store alone; a daemon without a list has nothing yet."""
-        hurries = (
-            self.leadership.is_leader or self.current.lookup is None or not self.directory.loaded
-        )
-        return backoff.after_failure(hurries)
-
-    def _take(
-        self,
-        found: Configuration | ConfigurationUnchanged | ConfigurationUnreadable,
-        began_s: float,
-    ) -> None:
-        if isinstance(found, Configuration):
-            self.current.offer(found, began_s)
-            self.on_change()
-        elif isinstance(found, ConfigurationUnchanged):
-            self.current.confirm(self.current.version, began_s)
-        else:
-            log_event(_LOG, logging.ERROR, "configuration_unreadable", why=found.reason)
-
-    async def _hear_peer_first(self) -> None:
-        """Give another daemon the time to pass on what it has read; whoever leads reads at once.
-
-        Only where the whole site starts: a daemon that starts anew has callers waiting.
-        """
-        if not self.deployment.settings.is_first_start:
-            return
-        until_s = self.clock.now_s() + HEAR_PEER_S
-        while self.clock.now_s() < until_s:
-            if self.leadership.is_relayed or self.leadership.lease.valid:
-                return
-            await asyncio.sleep(RELAYED_LOOK_S / 2)
+            self._take(read, began_s)
+            is_leader = self.leadership.lease.valid
+            pause_s = LEADER_CONFIRM_EVERY_S if is_leader else CONFIRM_EVERY_S
+            await asyncio.sleep(pause_s * self.rng.uniform(*CONFIRM_JITTER))
 
     async def follow_targets(self) -> None:
-        """Read the list from the store, unless another daemon passes it on."""
+        """Read the target list whenever the hall leader does not relay it."""
         reading: asyncio.Task | None = None
-        await self._hear_peer_first()
+        await self._wait_for_leader()
         try:
             while True:
-                relayed = self.leadership.is_relayed
-                if relayed and reading is not None:
+                is_relayed = self.leadership.is_relayed
+                if is_relayed and reading is not None:
                     reading.cancel()
                     reading = None
-                if not relayed and (reading is None or reading.done()):
+                if not is_relayed and (reading is None or reading.done()):
                     reading = asyncio.ensure_future(self._read_targets())
                 await asyncio.sleep(RELAYED_LOOK_S)
         finally:
             if reading is not None:
                 reading.cancel()
 
+    async def _wait_for_leader(self) -> None:
+        """Give the hall leader time to relay what it has read; the leader does not wait.
+
+        Only at the first start of a site, when all daemons would read the store at once. A daemon
+        that starts later has callers waiting.
+        """
+        if not self.deployment.settings.is_first_start:
+            return
+        until_s = self.clock.now_s() + HEAR_PEER_S
+        while self.clock.now_s() < until_s:
+            if self.leadership.is_relayed or self.leadership.lease.valid:
+                return
+            await asyncio.sleep(RELAYED_LOOK_S / 2)
+
+    def _take(
+        self,
+        read: Configuration | ConfigurationUnchanged | ConfigurationUnreadable,
+        began_s: float,
+    ) -> None:
+        """Put what was read in force; `began_s` is when the call began."""
+        if isinstance(read, Configuration):
+            self.current.offer(read, began_s)
+            self.on_change()
+        elif isinstance(read, ConfigurationUnchanged):
+            self.current.confirm(self.current.version, began_s)
+        else:
+            log_event(_LOG, logging.ERROR, "configuration_unreadable", why=read.reason)
+
     async def _read_targets(self) -> None:
+        """Follow the target source until it ends; the caller starts it again."""
         backoff = StoreBackoff(self.rng)
         async for changes in self.deployment.target_source.follow():
             if isinstance(changes, Unavailable):
@@ -196,3 +207,19 @@
             backoff.reset()
             if changes.revision >= self.directory.revision:
                 self.directory.take(changes)
+
+    def _pause_s(self, backoff: StoreBackoff) -> float:
+        """Return how long to leave the store alone after a failure.
+
+        It is urgent for a hall leader, and for a daemon that has nothing yet to serve with.
+        """
+        has_nothing = self.current.lookup is None or not self.directory.loaded
+        return backoff.after_failure(self.leadership.is_leader or has_nothing)
+
+    def _note_store(self, is_reached: bool, reason: str = "") -> None:
+        """Log when the store is lost and when it is back, not each call."""
+        if is_reached == self._is_reached:
+            return
+        self._is_reached = is_reached
+        event = "store_regained" if is_reached else "store_lost"
+        log_event(_LOG, logging.WARNING, event, why=reason or None, version=self.current.version)
--- /dev/null
+++ b/ferrydock/startup.py
@@ -0,0 +1,112 @@
+"""What both daemons do at their start and end: flags, exit statuses, signals, the event loop.
+
+Stateless. Exit statuses: 0 after a planned stop, 1 after a broken invariant or if the daemon cannot
+listen, 2 for a bad flag or setting.
+"""
+
+import asyncio
+import signal
+import sys
+from collections.abc import Awaitable, Callable, Mapping, Sequence
+
+import aiomisc
+import uvloop
+from absl import flags
+
+from . import __version__
+from .environment import apply_environment
+from .outcomes import Invalid
+
+__all__ = [
+    "EXIT_BAD_SETTING",
+    "EXIT_BROKEN",
+    "asked_for_text",
+    "parse_flags",
+    "refuse_to_start",
+    "run_service",
+    "run_until_stopped",
+]
+
+EXIT_BROKEN = 1
+EXIT_BAD_SETTING = 2
+
+# Threads for calls that block; the daemons make hardly any. Chosen, not measured.
+THREAD_POOL_SIZE = 2
+
+
+def asked_for_text(arguments: Sequence[str], help_text: Callable[[], str]) -> str:
+    """Return what to print for ``--version`` or ``--help``; empty if neither was given."""
+    if "--version" in arguments:
+        return f"ferrydockd {__version__}"
+    return help_text() if "--help" in arguments else ""
+
+
+def parse_flags(
+    values: flags.FlagValues, arguments: Sequence[str], environment: Mapping[str, str]
+) -> str:
+    """Set flags from a command line and an environment; return what is wrong, or ""."""
+    try:
+        rest = values(arguments)
+    except flags.Error as error:
+        return str(error).splitlines()[0]
+    if len(rest) > 1:
+        return f"{rest[1]!r} is not a flag; flags begin with --"
+    wrong = apply_environment(values, environment)
+    return wrong.reason if isinstance(wrong, Invalid) else ""
+
+
+def refuse_to_start(problem: str) -> int:
+    """Say why the daemon does not start; return the exit status."""
+    print(f"ferrydockd: {problem}", file=sys.stderr)
+    return EXIT_BAD_SETTING
+
+
+def run_service(service: aiomisc.Service, work: Callable[[], Awaitable[int]]) -> int:
+    """Start a service under aiomisc and uvloop, run `work`, return the exit status it gives.
+
+    Raises
+    ------
+    OSError
+        If the service cannot listen.
+    """
+    with aiomisc.entrypoint(
+        service,
+        log_config=False,
+        pool_size=THREAD_POOL_SIZE,
+        loop_factory=uvloop.new_event_loop,
+    ) as loop:
+        return loop.run_until_complete(work())
+
+
+async def run_until_stopped(
+    failed: asyncio.Event,
+    stop: Callable[[], Awaitable[None]],
+    close: Callable[[], Awaitable[None]],
+    on_hangup: Callable[[], None] | None = None,
+) -> int:
+    """Wait for SIGTERM, SIGINT or a failure; return the exit status.
+
+    Parameters
+    ----------
+    failed : asyncio.Event
+        Set when an invariant is broken; the daemon then ends at once.
+    stop, close : callable
+        End the daemon as planned, and at once. A second signal changes nothing.
+    on_hangup : callable, optional
+        Called for SIGHUP.
+    """
+    stopping = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stopping.set)
+    if on_hangup is not None:
+        loop.add_signal_handler(signal.SIGHUP, on_hangup)
+    waits = [asyncio.ensure_future(event.wait()) for event in (stopping, failed)]
+    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    for wait in waits:
+        wait.cancel()
+    if failed.is_set():
+        await close()
+        return EXIT_BROKEN
+    await stop()
+    return 0
--- a/tests/test_requirements.py
+++ b/tests/test_requirements.py
@@ -16,4 +16,5 @@
     roles = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]
     for role in roles.values():
         module = role["run"].split()[2]
-        assert (ROOT / (module.replace(".", "/") + ".py")).exists()
+        path = module.replace(".", "/")
+        assert (ROOT / f"{path}.py").exists() or (ROOT / path / "__main__.py").exists()
