--- a/ferrydock/platform/_boot.py
+++ b/ferrydock/platform/_boot.py
@@ -1,4 +1,8 @@
-"""The settings file that the platform lays before a process."""
+"""The settings file that the platform writes for a process, and opening the deployment it names.
+
+Stateless. The names of the file belong to the platform; faults are reported by them, since an
+operator sees the file and not the types here.
+"""
 
 import orjson
 
@@ -12,8 +16,18 @@
 
 __all__ = ["open_platform", "read_boot_file"]
 
-GATHER_S = 0.1
-_WITHOUT_REVOKING_S = 3600.0
+# How long changes of the worker list are gathered until the daemon sets its own times. Chosen, not
+# measured.
+FIRST_GATHER_S = 0.1
+
+# Bound on revoked keys where the file does not ask for strict revoking: an hour, which no outage in
+# service reaches. Chosen, not measured.
+_WITHOUT_STRICT_REVOKING_S = 3600.0
+
+MS_PER_S = 1000
+BYTES_PER_MB = 1e6
+
+# Where each setting stands in the file.
 _FIELDS = {
     "name": "node-name",
     "hall": "zone",
@@ -51,7 +65,10 @@
 
 
 def _translate(fields: dict) -> dict:
-    """Return the product's settings, as far as the file holds them."""
+    """Return the values of the file by the product's names and in its units; None if missing.
+
+    Values of the wrong type are left as they are: `check_settings` names them.
+    """
     found = {name: _at(fields, place) for name, place in _FIELDS.items()}
     if isinstance(found["halls"], dict):
         found["halls"] = tuple(found["halls"])
@@ -59,18 +76,19 @@
     if isinstance(ports, list) and ports:
         found["peer_address"] = f"{fields.get('ip')}:{ports[0]}"
     if not _at(fields, "bounds.strict-revoke"):
-        found["freshness_s"] = _WITHOUT_REVOKING_S
+        found["freshness_s"] = _WITHOUT_STRICT_REVOKING_S
     elif isinstance(found["freshness_s"], int | float):
-        found["freshness_s"] /= 1000
+        found["freshness_s"] /= MS_PER_S
     if found["is_first_start"] is None:
         found["is_first_start"] = False
-    for name, factor in (("stall_s", 1e-3), ("memory_bytes", 1e6)):
+    for name, factor in (("stall_s", 1 / MS_PER_S), ("memory_bytes", BYTES_PER_MB)):
         if isinstance(found[name], int | float):
             found[name] *= factor
     return found
 
 
 def _at(fields: dict, place: str):
+    """Return the value at a dotted place, or None."""
     value = fields
     for part in place.split("."):
         value = value.get(part) if isinstance(value, dict) else None
@@ -79,7 +97,7 @@
 
 @register_deployment("platform")
 def open_platform(path: str) -> Deployment | Invalid:
-    """Open the deployment that a settings file tells of."""
+    """Open the deployment that a settings file describes."""
     settings = read_boot_file(path)
     if isinstance(settings, Invalid):
         return settings
@@ -90,7 +108,7 @@
         store=store,
         store_calls=store.calls,
         configuration_source=PlatformConfigurationSource(store),
-        target_source=PlatformTargetSource(store, GATHER_S),
+        target_source=PlatformTargetSource(store, FIRST_GATHER_S),
         control=PlatformTargetControl(),
         dialect=PlatformDialect(),
     )
--- a/ferrydock/platform/_configuration.py
+++ b/ferrydock/platform/_configuration.py
@@ -1,4 +1,9 @@
-"""The operator's configuration, read from the platform's store."""
+"""The operator's configuration, read from the platform's store and decoded.
+
+Owns the revision of the value that was read last. Names of the platform that mislead: a ``tenant``
+is a team, ``unsafe`` is a route whose requests may run once only, ``latency-goal-ms`` is the
+objective for the first byte, ``warmup-s`` loads weights from the worker's own host.
+"""
 
 from collections.abc import Mapping
 
@@ -19,6 +24,7 @@
 )
 from ..outcomes import Unavailable, Unknown
 from ..store import Compare, Txn
+from ._decoding import assumed
 from ._store import PlatformStore
 
 __all__ = ["PlatformConfigurationSource", "parse_configuration"]
@@ -26,7 +32,16 @@
 _KEY = "op/config"
 _STREAMING = "streaming"
 _SAFE = "safe"
-_USUAL_PRIORITY = 5
+MS_PER_S = 1000
+
+# What is assumed where a configuration does not say; each is logged once. The pages name no
+# defaults. Chosen, not measured.
+_ASSUMED_PRIORITY = 5
+_ASSUMED_ATTEMPTS = 1
+_ASSUMED_CONNECTIONS = 100
+# No limit: more than any site could begin.
+_ASSUMED_LOADS_PER_S = 1e6
+
 # Numbers that no decision reads. They are still checked, so that a configuration with a bad one is
 # refused as a whole and the version in force stays.
 _UNUSED_ROUTE_NUMBERS = ("gap-target-ms",)
@@ -47,9 +62,9 @@
 
     Notes
     -----
-    A transaction that writes nothing and expects the revision that was read last is answered
-    with a few bytes while nothing has changed, and with the new value otherwise. Unlike a watch
-    it also tells that the value was the newest when the call began.
+    A transaction that writes nothing and expects the revision that was read last is answered with
+    a few bytes while nothing has changed, and with the new value otherwise. Unlike a watch it also
+    tells that the value was the newest when the call began.
     """
 
     __slots__ = ("_revision", "_store")
@@ -61,6 +76,7 @@
     async def read(
         self,
     ) -> Configuration | ConfigurationUnchanged | ConfigurationUnreadable | Unavailable:
+        """Read the newest configuration, certainly no older than the start of this call."""
         done = await self._store.transact(Txn((Compare(_KEY, self._revision),), (), (_KEY,)))
         if isinstance(done, Unavailable | Unknown):
             return Unavailable(done.reason)
@@ -73,12 +89,13 @@
             return ConfigurationUnreadable(f"{_KEY} is not there any more")
         if item.mod_revision < self._revision:
             return Unavailable("the store answered with an older revision")
-        found = self.decode(item.value)
-        if isinstance(found, Configuration):
+        decoded = self.decode(item.value)
+        if isinstance(decoded, Configuration):
             self._revision = item.mod_revision
-        return found
+        return decoded
 
     def decode(self, encoded: bytes) -> Configuration | ConfigurationUnreadable:
+        """Decode a stored value, also one that another daemon passed on."""
         try:
             return parse_configuration(encoded)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -86,13 +103,19 @@
 
 
 def parse_configuration(value: bytes) -> Configuration:
-    """Return the configuration in a stored value; raises KeyError, TypeError, ValueError."""
+    """Return the configuration in a stored value.
+
+    Raises
+    ------
+    KeyError, TypeError, ValueError, AttributeError
+        If a field is missing or of the wrong type.
+    """
     fields = orjson.loads(value)
     return Configuration(
         version=int(fields["version"]),
         routes=tuple(_route(route) for route in fields["routes"]),
         services={service["name"]: _service(service) for service in fields["services"]},
-        teams=tuple(_tenant(tenant) for tenant in fields.get("tenants") or ()),
+        teams=tuple(_team(team) for team in fields.get("tenants") or ()),
         limits=_limits(fields.get("limits") or {}),
         encoded=value,
     )
@@ -108,19 +131,20 @@
     _check_unused(fields, _UNUSED_ROUTE_NUMBERS)
     split = fields.get("backends")
     if split:
-        weighted = tuple(WeightedService(part["service"], float(part["weight"])) for part in split)
+        services = tuple(WeightedService(part["service"], float(part["weight"])) for part in split)
     else:
-        weighted = (WeightedService(fields["service"], 1.0),)
+        services = (WeightedService(fields["service"], 1.0),)
+    time_limit_ms = fields["timeout-ms"]
     return Route(
         name=fields["name"],
         host=fields["host"],
         path_prefix=fields["path-prefix"],
         kind=_kind(fields),
-        services=weighted,
-        time_limit_s=fields["timeout-ms"] / 1000,
-        attempts=int(fields.get("max-attempts", 1)),
-        priority=int(fields.get("priority", _USUAL_PRIORITY)),
-        first_answer_s=fields.get("latency-goal-ms", fields["timeout-ms"]) / 1000,
+        services=services,
+        time_limit_s=time_limit_ms / MS_PER_S,
+        attempts=int(assumed("route", fields, "max-attempts", _ASSUMED_ATTEMPTS)),
+        priority=int(assumed("route", fields, "priority", _ASSUMED_PRIORITY)),
+        first_answer_s=assumed("route", fields, "latency-goal-ms", time_limit_ms) / MS_PER_S,
         public=bool(fields.get("public", False)),
     )
 
@@ -133,19 +157,21 @@
 
 def _service(fields: Mapping) -> ServiceSpec:
     engine = fields.get("engine")
+    connections = assumed("service", fields, "max-conns", _ASSUMED_CONNECTIONS)
     return ServiceSpec(
         name=fields["name"],
-        max_connections=int(fields.get("max-conns") or 100),
+        max_connections=int(connections or _ASSUMED_CONNECTIONS),
         engine=_engine(engine) if engine else None,
     )
 
 
 def _engine(fields: Mapping) -> EngineSpec:
-    int(fields["kv-capacity"])
+    int(fields["kv-capacity"])  # unused, but a configuration without it is refused
     _check_unused(fields, _UNUSED_ENGINE_NUMBERS)
+    loads_per_s = assumed("engine", fields, "loads-per-s", _ASSUMED_LOADS_PER_S)
     return EngineSpec(
         slots=int(fields["slots"]),
-        loads_per_s=float(fields.get("loads-per-s") or 1e6),
+        loads_per_s=float(loads_per_s or _ASSUMED_LOADS_PER_S),
         models=tuple(_model(model) for model in fields.get("models") or ()),
     )
 
@@ -154,26 +180,28 @@
     _check_unused(fields, _UNUSED_MODEL_NUMBERS)
     return ModelSpec(
         name=fields["name"],
-        size=int(fields.get("size", 1)),
-        share=float(fields.get("share", 1.0)),
-        load_s=float(fields.get("load-s", 0)),
-        warm_s=float(fields.get("warmup-s", 0)),
+        size=int(assumed("model", fields, "size", 1)),
+        share=float(assumed("model", fields, "share", 1.0)),
+        load_s=float(assumed("model", fields, "load-s", 0)),
+        warm_s=float(assumed("model", fields, "warmup-s", 0)),
     )
 
 
-def _tenant(fields: Mapping) -> Team:
+def _team(fields: Mapping) -> Team:
     return Team(
         fields["name"],
         frozenset(fields.get("api-keys") or ()),
-        int(fields.get("priority", _USUAL_PRIORITY)),
+        int(assumed("tenant", fields, "priority", _ASSUMED_PRIORITY)),
     )
 
 
 def _limits(fields: Mapping) -> IngressLimits:
     usual = IngressLimits()
+    header_ms = fields.get("header-timeout-ms", usual.header_timeout_s * MS_PER_S)
+    idle_ms = fields.get("idle-timeout-ms", usual.idle_timeout_s * MS_PER_S)
     return IngressLimits(
         header_bytes=int(fields.get("max-header-bytes", usual.header_bytes)),
         body_bytes=int(fields.get("max-body-bytes", usual.body_bytes)),
-        header_timeout_s=fields.get("header-timeout-ms", usual.header_timeout_s * 1000) / 1000,
-        idle_timeout_s=fields.get("idle-timeout-ms", usual.idle_timeout_s * 1000) / 1000,
+        header_timeout_s=header_ms / MS_PER_S,
+        idle_timeout_s=idle_ms / MS_PER_S,
     )
--- a/ferrydock/platform/_store.py
+++ b/ferrydock/platform/_store.py
@@ -1,48 +1,79 @@
-"""The platform's store behind ferrydock's port to a key-value service."""
+"""The platform's store behind ferrydock's port to a key-value service.
+
+Owns the connections to the store and the count of calls; what is stored belongs to the platform.
+"""
 
 import asyncio
-import base64
-from collections.abc import AsyncIterator
+import logging
+from collections.abc import AsyncIterator, Callable, Mapping
 from dataclasses import dataclass
+from typing import TypeVar
 
 import aiohttp
 import orjson
 
+from ..http_client import open_session
+from ..logs import log_event
 from ..outcomes import Unavailable, Unknown
 from ..store import (
-    Compare,
-    Delete,
     KeyValue,
     LeaseGranted,
     LeaseLost,
-    Put,
     RangeDone,
     Txn,
     TxnDone,
     WatchBatch,
 )
+from ._store_messages import (
+    WatchAnswer,
+    decode_committed,
+    decode_kept,
+    decode_key,
+    decode_lease,
+    decode_missing_key,
+    decode_page,
+    decode_refused,
+    decode_watch,
+    encode_lease,
+    encode_txn,
+    page_query,
+    watch_query,
+)
+
+__all__ = ["HistoryGone", "PlatformStore"]
 
-__all__ = ["HistoryGone", "PlatformStore", "Watched"]
+_LOG = logging.getLogger("ferrydock.platform")
 
+# How long a call may take, and connecting within it. A transaction without an answer may still be
+# done, so a short limit costs reads to settle it. Chosen, not measured.
 CALL_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.7
-LONGEST_WAIT_MS = 20000
-WAIT_SLACK_S = 1.5
-_JSON = {"Content-Type": "application/json"}
 
+# How long a connection is kept without a call; renewals come every 0.5 s. Chosen, not measured.
+KEEP_IDLE_S = 10.0
 
-@dataclass(frozen=True, slots=True)
-class _Answer:
-    status: int
-    body: dict
+# How long a watch waits at the store, and how much later an answer may come. Chosen, not measured.
+MAX_WATCH_MS = 20000
+WATCH_SLACK_S = 1.5
+
+OK = 200
+NOT_FOUND = 404
+CONDITION_FAILED = 412
+HISTORY_GONE = 410
+
+# The store turned the call away before doing anything.
+_TURNED_AWAY = (429, 503)
+_JSON = {"Content-Type": "application/json"}
+
+Decoded = TypeVar("Decoded")
 
 
 @dataclass(frozen=True, slots=True)
-class Watched:
-    """Changes under a prefix; `value` None means removed. Continue from `revision`."""
+class _Answer:
+    """Status and decoded JSON of an answer."""
 
-    changes: tuple[tuple[str, bytes | None], ...]
-    revision: int
+    status: int
+    fields: object
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,179 +102,189 @@
         self._session: aiohttp.ClientSession | None = None
         self.calls: dict[str, int] = {}
 
-    def _open(self) -> aiohttp.ClientSession:
-        if self._session is None:
-            timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
-            connector = aiohttp.TCPConnector(limit=0, use_dns_cache=False, keepalive_timeout=10)
-            self._session = aiohttp.ClientSession(timeout=timeout, connector=connector)
-            self._session._retry_connection = False
-        return self._session
-
-    async def _call(
-        self, method: str, path: str, query=None, body=None, timeout_s: float = CALL_TIMEOUT_S
-    ) -> _Answer | Unavailable | Unknown:
-        """Make one call. `Unknown` if it may have been done, `Unavailable` if surely not."""
-        data = orjson.dumps(body) if body is not None else None
-        kind = path.split("/")[1]
-        try:
-            async with (
-                asyncio.timeout(timeout_s),
-                self._open().request(
-                    method, self._base + path, params=query, data=data, headers=_JSON
-                ) as response,
-            ):
-                raw = await response.read()
-                fields = orjson.loads(raw) if raw else {}
-        except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            self._count(kind, "unreached")
-            return Unavailable(f"the store was not reached: {type(error).__name__}")
-        except (
-            TimeoutError,
-            aiohttp.ClientError,
-            ConnectionError,
-            orjson.JSONDecodeError,
-        ) as error:
-            self._count(kind, "unanswered")
-            return Unknown(f"no answer of the store: {type(error).__name__}")
-        self._count(kind, str(response.status))
-        if response.status in (429, 503):
-            return Unavailable(f"the store answered {response.status}")
-        return _Answer(response.status, fields if isinstance(fields, dict) else {})
-
-    def _count(self, kind: str, result: str) -> None:
-        name = f"{kind}_{result}"
-        self.calls[name] = self.calls.get(name, 0) + 1
-
     # The port ---------------------------------------------------------------------------------
 
     async def range(self, key: str, range_end: str = "") -> RangeDone | Unavailable:
-        if not range_end:
-            answer = await self._call("GET", "/kv-key", {"key": key})
-            if isinstance(answer, Unavailable | Unknown):
-                return Unavailable(answer.reason)
-            if answer.status == 404:
-                return RangeDone((), answer.body.get("store-revision", 0))
-            if answer.status != 200:
-                return Unavailable(f"the store answered {answer.status}")
-            return RangeDone((_item(answer.body),), answer.body["store-revision"])
-        return await self._pages(key)
-
-    async def _pages(self, prefix: str) -> RangeDone | Unavailable:
+        """Read one key, or with `range_end` all keys that begin with `key`."""
+        if range_end:
+            return await self._read_pages(key)
+        answer = await self._call("GET", "/kv-key", {"key": key})
+        if isinstance(answer, Unavailable | Unknown):
+            return Unavailable(answer.reason)
+        decode = decode_missing_key if answer.status == NOT_FOUND else decode_key
+        if answer.status not in (OK, NOT_FOUND):
+            return _unexpected(answer)
+        found = _decode(decode, answer)
+        if isinstance(found, Unavailable):
+            return found
+        return RangeDone(found.items, found.revision)
+
+    async def _read_pages(self, prefix: str) -> RangeDone | Unavailable:
+        """Read all pages of a range; the revision is that of the first, so no change is missed."""
         items: list[KeyValue] = []
-        query = {"path-prefix": prefix}
-        revision = None
+        revision: int | None = None
         while True:
-            answer = await self._call("GET", "/kv-range", query)
+            after_key = items[-1].key if items else None
+            answer = await self._call("GET", "/kv-range", page_query(prefix, after_key))
             if isinstance(answer, Unavailable | Unknown):
                 return Unavailable(answer.reason)
-            if answer.status != 200:
-                return Unavailable(f"the store answered {answer.status}")
-            items += [_item(entry) for entry in answer.body["entries"]]
-            if revision is None:
-                revision = answer.body["store-revision"]
-            if not answer.body.get("truncated") or not items:
+            if answer.status != OK:
+                return _unexpected(answer)
+            page = _decode(decode_page, answer)
+            if isinstance(page, Unavailable):
+                return page
+            items += page.items
+            revision = page.revision if revision is None else revision
+            if page.is_last:
                 return RangeDone(tuple(items), revision)
-            query["since-revision"] = items[-1].key
 
     async def transact(self, txn: Txn) -> TxnDone | Unavailable | Unknown:
-        writes = [
-            {
-                "key": put.key,
-                "value": base64.b64encode(put.value).decode(),
-                "lease": put.lease_id,
-            }
-            for put in txn.success
-            if isinstance(put, Put)
-        ]
-        remove = [delete.key for delete in txn.success if isinstance(delete, Delete)]
-        body = {
-            "expected-revision": [_row(compare) for compare in txn.compares],
-            "writes": writes,
-            "remove": remove,
-        }
-        answer = await self._call("POST", "/kv-txn", body=body)
+        """Write on conditions. `Unknown`: it may have been done, or may be done later."""
+        answer = await self._call("POST", "/kv-txn", body=encode_txn(txn))
         if isinstance(answer, Unavailable | Unknown):
             return answer
-        if answer.status == 200:
-            return TxnDone(True, answer.body["revision"])
-        if answer.status == 412:
-            found = {entry["key"]: _item(entry) for entry in answer.body.get("entries", ())}
-            reads = tuple(found.get(key) for key in txn.failure_reads)
-            return TxnDone(False, answer.body.get("store-revision", 0), reads)
-        return Unavailable(f"the store answered {answer.status}")
+        if answer.status == OK:
+            revision = _decode(decode_committed, answer)
+            if isinstance(revision, Unavailable):
+                return Unknown(revision.reason)
+            return TxnDone(True, revision)
+        if answer.status == CONDITION_FAILED:
+            refused = _decode(decode_refused, answer)
+            if isinstance(refused, Unavailable):
+                return refused
+            reads = tuple(refused.items.get(key) for key in txn.failure_reads)
+            return TxnDone(False, refused.revision, reads)
+        return _unexpected(answer)
 
     async def grant_lease(self, ttl_s: float) -> LeaseGranted | Unavailable | Unknown:
-        answer = await self._call("POST", "/kv-lease", body={"ttl-ms": int(ttl_s * 1000)})
+        """Ask for a lease."""
+        answer = await self._call("POST", "/kv-lease", body=encode_lease(ttl_s))
         if isinstance(answer, Unavailable | Unknown):
             return answer
-        if answer.status != 200:
-            return Unavailable(f"the store answered {answer.status}")
-        return LeaseGranted(answer.body["lease"], answer.body["ttl-ms"] / 1000)
+        if answer.status != OK:
+            return _unexpected(answer)
+        lease = _decode(decode_lease, answer)
+        if isinstance(lease, Unavailable):
+            return lease
+        return LeaseGranted(lease.lease_id, lease.ttl_s)
 
     async def keep_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
+        """Renew a lease."""
         answer = await self._call("POST", f"/kv-keep/{lease_id}")
         if isinstance(answer, Unavailable | Unknown):
             return Unavailable(answer.reason)
-        if answer.status == 404:
+        if answer.status == NOT_FOUND:
             return LeaseLost(lease_id)
-        if answer.status != 200:
-            return Unavailable(f"the store answered {answer.status}")
-        return LeaseGranted(lease_id, answer.body["ttl-ms"] / 1000)
+        if answer.status != OK:
+            return _unexpected(answer)
+        ttl_s = _decode(decode_kept, answer)
+        if isinstance(ttl_s, Unavailable):
+            return ttl_s
+        return LeaseGranted(lease_id, ttl_s)
 
     async def revoke_lease(self, lease_id: int) -> LeaseLost | Unavailable | Unknown:
+        """End a lease."""
         answer = await self._call("DELETE", f"/kv-lease-end/{lease_id}")
         if isinstance(answer, Unavailable | Unknown):
             return answer
         return LeaseLost(lease_id)
 
     async def watch(self, prefix: str, from_revision: int) -> AsyncIterator[WatchBatch]:
+        """Yield changes from a revision on; ends when they can no longer be heard."""
         since = from_revision - 1
         while True:
-            news = await self.watch_once(prefix, since)
-            if not isinstance(news, Watched):
-                return
-            since = news.revision
-            if news.changes:
-                yield WatchBatch(news.revision, news.changes)
+            watched = await self.watch_once(prefix, since)
+            if not isinstance(watched, WatchAnswer):
+                return  # the caller reads the key again
+            since = watched.revision
+            if watched.changes:
+                yield WatchBatch(watched.revision, watched.changes)
 
     async def close(self) -> None:
+        """Close the connections."""
         if self._session is not None:
             await self._session.close()
 
-    # Beyond the port, for the adapter's own sources ----------------------------------------------
+    # Beyond the port, for the adapter's own sources -------------------------------------------
 
     async def watch_once(
-        self, prefix: str, since: int, wait_ms: int = LONGEST_WAIT_MS
-    ) -> Watched | HistoryGone | Unavailable:
-        """Wait for changes under `prefix` after revision `since`."""
-        query = {"path-prefix": prefix, "since-revision": str(since), "wait-ms": str(wait_ms)}
-        answer = await self._call(
-            "GET", "/kv-watch", query, timeout_s=wait_ms / 1000 + WAIT_SLACK_S
-        )
+        self, prefix: str, since: int, wait_ms: int = MAX_WATCH_MS
+    ) -> WatchAnswer | HistoryGone | Unavailable:
+        """Wait for changes under `prefix` after revision `since`, for at most `wait_ms`."""
+        query = watch_query(prefix, since, wait_ms)
+        timeout_s = wait_ms / 1000 + WATCH_SLACK_S
+        answer = await self._call("GET", "/kv-watch", query, timeout_s=timeout_s)
         if isinstance(answer, Unavailable | Unknown):
             return Unavailable(answer.reason)
-        if answer.status == 410:
+        if answer.status == HISTORY_GONE:
             return HistoryGone()
-        if answer.status != 200:
-            return Unavailable(f"the store answered {answer.status}")
-        changes = tuple(_change(event) for event in answer.body.get("events", ()))
-        return Watched(changes, answer.body["store-revision"])
+        if answer.status != OK:
+            return _unexpected(answer)
+        return _decode(decode_watch, answer)
+
+    # Calls ------------------------------------------------------------------------------------
+
+    def _open(self) -> aiohttp.ClientSession:
+        if self._session is None:
+            self._session = open_session(CONNECT_TIMEOUT_S, keep_idle_s=KEEP_IDLE_S)
+        return self._session
 
+    async def _call(
+        self,
+        method: str,
+        path: str,
+        query: Mapping[str, str] | None = None,
+        body: dict | None = None,
+        timeout_s: float = CALL_TIMEOUT_S,
+    ) -> _Answer | Unavailable | Unknown:
+        """Make one call. `Unknown` if it may have been done, `Unavailable` if certainly not."""
+        data = orjson.dumps(body) if body is not None else None
+        kind = path.split("/")[1]
+        try:
+            async with (
+                asyncio.timeout(timeout_s),
+                self._open().request(
+                    method, self._base + path, params=query, data=data, headers=_JSON
+                ) as response,
+            ):
+                raw = await response.read()
+                fields = orjson.loads(raw) if raw else {}
+        except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
+            self._count(kind, "unreached")
+            return Unavailable(f"the store was not reached: {type(error).__name__}")
+        except (
+            TimeoutError,
+            aiohttp.ClientError,
+            ConnectionError,
+            orjson.JSONDecodeError,
+        ) as error:
+            self._count(kind, "unanswered")
+            return Unknown(f"no answer of the store: {type(error).__name__}")
+        self._count(kind, str(response.status))
+        if response.status in _TURNED_AWAY:
+            return Unavailable(f"the store answered {response.status}")
+        return _Answer(response.status, fields)
 
-def _row(compare: Compare) -> dict:
-    return {"key": compare.key, "revision": compare.revision}
+    def _count(self, kind: str, result: str) -> None:
+        name = f"{kind}_{result}"
+        self.calls[name] = self.calls.get(name, 0) + 1
 
 
-def _item(entry: dict) -> KeyValue:
-    return KeyValue(
-        entry["key"],
-        base64.b64decode(entry["value"]),
-        entry["created"],
-        entry["revision"],
-        entry.get("lease", 0),
-    )
+def _unexpected(answer: _Answer) -> Unavailable:
+    return Unavailable(f"the store answered {answer.status}")
 
 
-def _change(event: dict) -> tuple[str, bytes | None]:
-    value = None if event.get("tombstone") else base64.b64decode(event["value"])
-    return event["key"], value
+def _decode(decode: Callable[[object], Decoded], answer: _Answer) -> Decoded | Unavailable:
+    """Return a decoded answer; one that cannot be decoded is logged and counts as none."""
+    try:
+        return decode(answer.fields)
+    except ValueError as error:  # BadMessage, or a value that is not base64
+        log_event(
+            _LOG,
+            logging.ERROR,
+            "store_answer_unreadable",
+            message=decode.__name__,
+            status=answer.status,
+            why=str(error),
+        )
+        return Unavailable(f"the store's answer cannot be decoded: {error}")
--- /dev/null
+++ b/ferrydock/platform/_store_messages.py
@@ -0,0 +1,187 @@
+"""Messages of the platform's store, each decoded once into a typed value; stateless.
+
+Names of the platform that mislead:
+
+- ``since-revision`` of a range call is no revision: it is the last key of the page before, and the
+  answer begins after it. In a watch call it is a revision.
+- ``path-prefix`` is the beginning of a key; nothing in the store is a path.
+- ``expected-revision`` of a transaction is a list of conditions.
+- ``store-revision`` is the store's, ``revision`` is a key's last change, ``created`` its first.
+"""
+
+import base64
+from dataclasses import dataclass
+
+from ..store import Compare, Delete, KeyValue, Put, Txn
+from ._decoding import required
+
+__all__ = [
+    "KeyAnswer",
+    "LeaseAnswer",
+    "RangePage",
+    "TxnRefused",
+    "WatchAnswer",
+    "decode_committed",
+    "decode_kept",
+    "decode_key",
+    "decode_lease",
+    "decode_missing_key",
+    "decode_page",
+    "decode_refused",
+    "decode_watch",
+    "encode_lease",
+    "encode_txn",
+    "page_query",
+    "watch_query",
+]
+
+MS_PER_S = 1000
+
+
+@dataclass(frozen=True, slots=True)
+class KeyAnswer:
+    """One key, or none; `revision` is the store's."""
+
+    items: tuple[KeyValue, ...]
+    revision: int
+
+
+@dataclass(frozen=True, slots=True)
+class RangePage:
+    """Some of the keys with a prefix.
+
+    Attributes
+    ----------
+    revision : int
+        The store's, when the page was read.
+    is_last : bool
+        Whether there are no more keys.
+    """
+
+    items: tuple[KeyValue, ...]
+    revision: int
+    is_last: bool
+
+
+@dataclass(frozen=True, slots=True)
+class TxnRefused:
+    """A transaction whose condition did not hold, with the keys of its conditions."""
+
+    items: dict[str, KeyValue]
+    revision: int
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseAnswer:
+    """A lease that was granted."""
+
+    lease_id: int
+    ttl_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class WatchAnswer:
+    """Changes under a prefix up to `revision`; a value of None means removed."""
+
+    changes: tuple[tuple[str, bytes | None], ...]
+    revision: int
+
+
+def decode_key(fields: object) -> KeyAnswer:
+    """Return a key that is there; all decoders raise BadMessage."""
+    return KeyAnswer((_item(fields),), required(fields, "store-revision", int))
+
+
+def decode_missing_key(fields: object) -> KeyAnswer:
+    """Return the answer for a key that is not there; the store's revision may be left out."""
+    has_revision = isinstance(fields, dict) and "store-revision" in fields
+    return KeyAnswer((), required(fields, "store-revision", int) if has_revision else 0)
+
+
+def page_query(prefix: str, after_key: str | None) -> dict[str, str]:
+    """Return the query of a range call; `after_key` is None for the first page."""
+    query = {"path-prefix": prefix}
+    if after_key is not None:
+        query["since-revision"] = after_key
+    return query
+
+
+def decode_page(fields: object) -> RangePage:
+    """Return a page of a range."""
+    items = tuple(_item(entry) for entry in required(fields, "entries", list))
+    is_last = not fields.get("truncated") or not items
+    return RangePage(items, required(fields, "store-revision", int), is_last)
+
+
+def watch_query(prefix: str, since: int, wait_ms: int) -> dict[str, str]:
+    """Return the query of a watch for changes after revision `since`."""
+    return {"path-prefix": prefix, "since-revision": str(since), "wait-ms": str(wait_ms)}
+
+
+def decode_watch(fields: object) -> WatchAnswer:
+    """Return the changes that a watch brought; none if its time was over."""
+    revision = required(fields, "store-revision", int)
+    return WatchAnswer(tuple(_change(event) for event in fields.get("events", ())), revision)
+
+
+def encode_txn(txn: Txn) -> dict:
+    """Return the body of a transaction."""
+    return {
+        "expected-revision": [_condition(compare) for compare in txn.compares],
+        "writes": [_write(put) for put in txn.success if isinstance(put, Put)],
+        "remove": [delete.key for delete in txn.success if isinstance(delete, Delete)],
+    }
+
+
+def decode_committed(fields: object) -> int:
+    """Return the revision of a transaction that was carried out."""
+    return required(fields, "revision", int)
+
+
+def decode_refused(fields: object) -> TxnRefused:
+    """Return what a refused transaction brought; both parts may be left out."""
+    entries = fields.get("entries", ()) if isinstance(fields, dict) else ()
+    revision = fields.get("store-revision", 0) if isinstance(fields, dict) else 0
+    items = (_item(entry) for entry in entries)
+    return TxnRefused({item.key: item for item in items}, revision)
+
+
+def encode_lease(ttl_s: float) -> dict:
+    """Return the body of a request for a lease."""
+    return {"ttl-ms": int(ttl_s * MS_PER_S)}
+
+
+def decode_lease(fields: object) -> LeaseAnswer:
+    """Return a lease that was granted."""
+    return LeaseAnswer(required(fields, "lease", int), decode_kept(fields))
+
+
+def decode_kept(fields: object) -> float:
+    """Return for how many seconds a lease holds."""
+    return required(fields, "ttl-ms", (int, float)) / MS_PER_S
+
+
+def _condition(compare: Compare) -> dict:
+    return {"key": compare.key, "revision": compare.revision}
+
+
+def _write(put: Put) -> dict:
+    value = base64.b64encode(put.value).decode()
+    return {"key": put.key, "value": value, "lease": put.lease_id}
+
+
+def _item(entry: object) -> KeyValue:
+    return KeyValue(
+        key=required(entry, "key", str),
+        value=base64.b64decode(required(entry, "value", str)),
+        create_revision=required(entry, "created", int),
+        mod_revision=required(entry, "revision", int),
+        lease_id=entry.get("lease", 0),
+    )
+
+
+def _change(event: object) -> tuple[str, bytes | None]:
+    key = required(event, "key", str)
+    if event.get("tombstone"):
+        return key, None
+    return key, base64.b64decode(required(event, "value", str))
--- a/ferrydock/platform/_targets.py
+++ b/ferrydock/platform/_targets.py
@@ -1,8 +1,12 @@
-"""The platform's list of workers as a source of targets."""
+"""The platform's list of workers as a source of targets.
+
+Owns the revision up to which the list was followed, while it is followed. The platform says worker
+and group where ferrydock says target and replica, and zone where it says hall.
+"""
 
 import asyncio
 import logging
-from collections.abc import AsyncIterator, Mapping
+from collections.abc import AsyncIterator, Iterable, Mapping
 
 import orjson
 
@@ -10,14 +14,19 @@
 from ..outcomes import Unavailable
 from ..store import prefix_end
 from ..targets import Membership, ReplicaState, Target, TargetChanges
-from ._store import HistoryGone, PlatformStore, Watched
+from ._decoding import assumed
+from ._store import HistoryGone, PlatformStore
+from ._store_messages import WatchAnswer
 
-__all__ = ["PlatformTargetSource", "parse_target"]
+__all__ = ["PlatformTargetSource", "parse_membership", "parse_target"]
 
 _LOG = logging.getLogger("ferrydock.platform")
 _PREFIX = "servers/"
 _DRAINING = "draining"
 
+# What is assumed of a worker that does not say how many requests it takes at a time.
+_ASSUMED_SLOTS = 1
+
 
 class PlatformTargetSource:
     """Follows ``servers/``: the whole list once, then its changes.
@@ -37,6 +46,7 @@
         self.gather_s = gather_s
 
     async def follow(self) -> AsyncIterator[TargetChanges | Unavailable]:
+        """Yield the whole list, then changes; read the list again where history was dropped."""
         revision = None
         while True:
             if revision is None:
@@ -45,25 +55,25 @@
                     yield listed
                     continue
                 revision = listed.revision
-                entries = [_read(item.key, item.value) for item in listed.items]
-                known = tuple(entry for entry in entries if entry)
-                yield TargetChanges(True, known, (), revision)
+                entries = (_read(item.key, item.value) for item in listed.items)
+                yield TargetChanges(True, tuple(e for e in entries if e), (), revision)
             await asyncio.sleep(self.gather_s)
-            news = await self._store.watch_once(_PREFIX, revision)
-            if isinstance(news, Watched):
-                revision = news.revision
-                if news.changes:
-                    yield _changes(news)
-            elif isinstance(news, HistoryGone):
+            watched = await self._store.watch_once(_PREFIX, revision)
+            if isinstance(watched, WatchAnswer):
+                revision = watched.revision
+                if watched.changes:
+                    yield _changes(watched)
+            elif isinstance(watched, HistoryGone):
                 revision = None
             else:
-                yield news
+                yield watched
 
 
-def _changes(news: Watched) -> TargetChanges:
+def _changes(watched: WatchAnswer) -> TargetChanges:
+    """Return the last change of each worker; one that was removed and is back counts as both."""
     entries: dict[str, Target] = {}
     removed: list[str] = []
-    for key, value in news.changes:
+    for key, value in watched.changes:
         target_id = key[len(_PREFIX) :]
         if value is None:
             entries.pop(target_id, None)
@@ -72,10 +82,11 @@
         target = _read(key, value)
         if target is not None:
             entries[target_id] = target
-    return TargetChanges(False, tuple(entries.values()), tuple(removed), news.revision)
+    return TargetChanges(False, tuple(entries.values()), tuple(removed), watched.revision)
 
 
 def _read(key: str, value: bytes) -> Target | None:
+    """Return the target of an entry; one that cannot be read is logged and left out."""
     try:
         return parse_target(key[len(_PREFIX) :], orjson.loads(value))
     except (KeyError, TypeError, ValueError) as error:
@@ -84,23 +95,31 @@
 
 
 def parse_target(target_id: str, fields: Mapping) -> Target:
-    """Return the target of an entry; raises KeyError, TypeError, ValueError."""
+    """Return the target of an entry.
+
+    ``state`` is the worker's own (ready or draining); the state of its group stands in ``group``.
+
+    Raises
+    ------
+    KeyError, TypeError, ValueError
+        If a field is missing or of the wrong type.
+    """
     return Target(
         target_id=target_id,
         service=fields["service"],
         address=fields["address"],
-        hall=fields.get("zone", ""),
-        slots=int(fields.get("slots", 1)),
+        hall=assumed("worker", fields, "zone", ""),
+        slots=int(assumed("worker", fields, "slots", _ASSUMED_SLOTS)),
         draining=fields.get("state") == _DRAINING,
         domain=str(fields.get("domain", "")),
-        staged=tuple(_names(fields.get("staged"))),
-        models=tuple(_names(fields.get("models"))),
+        staged=_names(fields.get("staged")),
+        models=_names(fields.get("models")),
         membership=parse_membership(fields.get("group")),
     )
 
 
 def parse_membership(fields: Mapping | None) -> Membership | None:
-    """Return a worker's place in a group, or None if it has none."""
+    """Return a worker's place in a group, or None if it belongs to none."""
     if not fields or not fields.get("name"):
         return None
     return Membership(
@@ -111,5 +130,6 @@
     )
 
 
-def _names(models) -> list[str]:
-    return [model if isinstance(model, str) else model["name"] for model in models or ()]
+def _names(models: Iterable | None) -> tuple[str, ...]:
+    """Return names of models, which come as texts or as objects with more about each."""
+    return tuple(model if isinstance(model, str) else model["name"] for model in models or ())
