--- a/ferrydock/forwarding/_attempts.py
+++ b/ferrydock/forwarding/_attempts.py
@@ -22,6 +22,7 @@
 
 __all__ = ["AttemptRunner"]
 
+# Answers below this status are successes (RFC 9110, section 15.3); streams come only with these.
 FIRST_ERROR_STATUS = 300
 _NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 _BROKEN = (aiohttp.ClientError, ConnectionError, OSError)
--- a/ferrydock/forwarding/_gateway.py
+++ b/ferrydock/forwarding/_gateway.py
@@ -60,11 +60,14 @@
 # configuration, which may change while connections are open.
 IDLE_ENFORCED_HERE_S = 86400.0
 
+# Connections that may wait to be accepted; how long the rest of a body that nobody reads is drained
+# before its connection closes, in seconds; how long `close` waits for open connections, in seconds.
+# Chosen, not measured.
 LISTEN_BACKLOG = 1024
 LINGERING_S = 1.0
 SHUTDOWN_S = 0.2
 
-# Status of a caller that left before its answer; never sent, by custom of other gateways.
+# HTTP statuses (RFC 9110). The first is for a caller that left before its answer: it is never sent.
 CALLER_LEFT_STATUS = 499
 BAD_REQUEST = 400
 UNAUTHORIZED = 401
--- a/ferrydock/forwarding/_headers.py
+++ b/ferrydock/forwarding/_headers.py
@@ -1,4 +1,7 @@
-"""Headers that concern one connection only (RFC 9110, section 7.6.1); stateless."""
+"""Headers that concern one connection only, and are not passed on (RFC 9110, section 7.6.1).
+
+Stateless; used for requests on their way to a target and for answers on their way back.
+"""
 
 from collections.abc import Iterable
 
--- a/ferrydock/forwarding/_listener.py
+++ b/ferrydock/forwarding/_listener.py
@@ -16,6 +16,8 @@
 __all__ = ["HEADERS_TOO_LARGE", "CallerConnection", "Listener"]
 
 _LOG = logging.getLogger("ferrydock.forwarding")
+
+# HTTP statuses (RFC 9110, RFC 6585).
 HEADERS_TOO_LARGE = 431
 REQUEST_TIMEOUT = 408
 
--- a/ferrydock/forwarding/_request_log.py
+++ b/ferrydock/forwarding/_request_log.py
@@ -15,6 +15,8 @@
 __all__ = ["RequestLog"]
 
 _LOG = logging.getLogger("ferrydock.forwarding")
+
+# Log lines give times in milliseconds.
 MS_PER_S = 1000
 
 
--- a/ferrydock/platform/_boot.py
+++ b/ferrydock/platform/_boot.py
@@ -24,6 +24,7 @@
 # service reaches. Chosen, not measured.
 _WITHOUT_STRICT_REVOKING_S = 3600.0
 
+# Units of the file.
 MS_PER_S = 1000
 BYTES_PER_MB = 1e6
 
--- a/ferrydock/platform/_configuration.py
+++ b/ferrydock/platform/_configuration.py
@@ -32,6 +32,8 @@
 _KEY = "op/config"
 _STREAMING = "streaming"
 _SAFE = "safe"
+
+# The platform gives times in milliseconds.
 MS_PER_S = 1000
 
 # What is assumed where a configuration does not say; each is logged once. The pages name no
--- a/ferrydock/platform/_control.py
+++ b/ferrydock/platform/_control.py
@@ -37,6 +37,7 @@
 ORDER_TIMEOUT_S = 0.7
 CONNECT_TIMEOUT_S = 0.5
 
+# HTTP statuses, and what a refusal of an order means by them (protocol of the platform).
 OK = 200
 ACCEPTED = 202
 _REFUSALS = {400: "invalid", 409: "state", 412: "epoch", 421: "other_target"}
--- a/ferrydock/platform/_dialect.py
+++ b/ferrydock/platform/_dialect.py
@@ -1,4 +1,7 @@
-"""The platform's headers; stateless."""
+"""The platform's headers, read and written for the port `forwarding.RequestDialect`.
+
+Stateless. The platform says tenant for a team.
+"""
 
 from collections.abc import Iterable, Mapping
 
@@ -9,6 +12,7 @@
 
 __all__ = ["PlatformDialect"]
 
+# HTTP status (RFC 9110) and units.
 MISDIRECTED = 421
 MS_PER_S = 1000
 _BEARER = "Bearer "
--- a/ferrydock/platform/_store.py
+++ b/ferrydock/platform/_store.py
@@ -56,6 +56,7 @@
 MAX_WATCH_MS = 20000
 WATCH_SLACK_S = 1.5
 
+# HTTP statuses, as the store's protocol uses them.
 OK = 200
 NOT_FOUND = 404
 CONDITION_FAILED = 412
@@ -190,7 +191,7 @@
         return LeaseLost(lease_id)
 
     async def watch(self, prefix: str, from_revision: int) -> AsyncIterator[WatchBatch]:
-        """Yield changes from a revision on; ends when they can no longer be heard."""
+        """Yield changes from a revision on; ends when a call fails or the history is gone."""
         since = from_revision - 1
         while True:
             watched = await self.watch_once(prefix, since)
--- a/ferrydock/platform/_store_messages.py
+++ b/ferrydock/platform/_store_messages.py
@@ -35,6 +35,7 @@
     "watch_query",
 ]
 
+# The store gives the length of a lease in milliseconds.
 MS_PER_S = 1000
 
 
--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -323,7 +323,7 @@
             for node in site.nodes:
                 node.retry_shares.budget("records")
                 node.retry_shares.update()
-            parts = [node.retry_shares.budget("records").most_saved for node in site.nodes]
+            parts = [node.retry_shares.budget("records").max_saved for node in site.nodes]
             slack = site.nodes[0].settings.retry_slack
             assert slack * 0.7 < sum(parts) <= slack * 0.9
 
--- a/ferrydock/relay/_peers.py
+++ b/ferrydock/relay/_peers.py
@@ -73,7 +73,11 @@
         except asyncio.CancelledError:
             if asyncio.current_task().cancelling():
                 raise
-            return None  # another call has closed the connection under this one
+            # Another call has closed the connection under this one.
+            log_event(
+                _LOG, logging.INFO, "call_failed", address=address, method=method, why="CLOSED"
+            )
+            return None
         self._timeouts.pop(address, None)
         return answer
 
--- a/ferrydock/requests/_budget.py
+++ b/ferrydock/requests/_budget.py
@@ -1,13 +1,20 @@
-"""A budget that keeps retries a small part of the first attempts."""
+"""A budget that keeps retries a small part of the first attempts.
+
+Owns the retries saved up, in memory. Both programs use it: the table's daemon with one budget for
+all requests, the route daemon with one for each service (`route_daemon.RetryShares`).
+"""
 
 import random
 
 __all__ = ["RetryBudget", "backoff_s"]
 
-MOST_SAVED = 20.0
+# Retries that may be saved up, and that a new budget starts with. Chosen, not measured.
+MAX_SAVED = 20.0
 START = 5.0
+
+# Pause before the first retry and the longest pause before a later one. Chosen, not measured.
 BACKOFF_START_S = 0.05
-BACKOFF_MOST_S = 1.0
+BACKOFF_MAX_S = 1.0
 
 
 class RetryBudget:
@@ -17,8 +24,8 @@
     ----------
     ratio : float
         Retries as a part of the first attempts, over time.
-    most_saved : float, default=MOST_SAVED
-        Most retries that may be saved up.
+    max_saved : float, default=MAX_SAVED
+        How many retries may be saved up.
     start : float, default=START
         Retries that may be spent before any first attempt.
 
@@ -32,11 +39,11 @@
     (True, False)
     """
 
-    __slots__ = ("_saved", "most_saved", "ratio", "refused", "spent")
+    __slots__ = ("_saved", "max_saved", "ratio", "refused", "spent")
 
-    def __init__(self, ratio: float, most_saved: float = MOST_SAVED, start: float = START):
+    def __init__(self, ratio: float, max_saved: float = MAX_SAVED, start: float = START):
         self.ratio = ratio
-        self.most_saved = most_saved
+        self.max_saved = max_saved
         self._saved = start
         self.spent = 0
         self.refused = 0
@@ -48,12 +55,12 @@
 
     def first_attempt(self) -> None:
         """Note a first attempt."""
-        self._saved = min(self.most_saved, self._saved + self.ratio)
+        self._saved = min(self.max_saved, self._saved + self.ratio)
 
-    def limit(self, most_saved: float) -> None:
+    def limit(self, max_saved: float) -> None:
         """Change how many retries may be saved up."""
-        self.most_saved = most_saved
-        self._saved = min(self._saved, most_saved)
+        self.max_saved = max_saved
+        self._saved = min(self._saved, max_saved)
 
     def spend(self) -> bool:
         """Pay for one retry, if there is enough."""
@@ -67,5 +74,5 @@
 
 def backoff_s(attempt: int, random_source: random.Random) -> float:
     """Return a pause before retry number `attempt` (from 1), exponential with full jitter."""
-    most_s = min(BACKOFF_MOST_S, BACKOFF_START_S * 2 ** (attempt - 1))
-    return random_source.uniform(0, most_s)
+    max_s = min(BACKOFF_MAX_S, BACKOFF_START_S * 2 ** (attempt - 1))
+    return random_source.uniform(0, max_s)
--- a/ferrydock/route_daemon/_readiness.py
+++ b/ferrydock/route_daemon/_readiness.py
@@ -1,4 +1,7 @@
-"""Rule: when a daemon calls itself ready for callers; owns nothing."""
+"""Rule: when a daemon calls itself ready for callers.
+
+Owns nothing; reads the configuration in force, the target list and whether a stop has begun.
+"""
 
 import asyncio
 
--- a/ferrydock/route_daemon/_settings.py
+++ b/ferrydock/route_daemon/_settings.py
@@ -15,6 +15,9 @@
 __all__ = ["LiveSettings", "RouteDaemonSettings", "check_settings"]
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
+
+# Bounds of what a setting may be: the range of ports, a name that fits a log line, a day as the
+# longest time that makes sense. Chosen, not measured.
 MAX_PORT = 65535
 MAX_NAME_LENGTH = 200
 DAY_S = 86400
@@ -95,6 +98,7 @@
     return isinstance(value, tuple) and bool(value) and all(_is_name(name) for name in value)
 
 
+# What is checked of each setting, and how it is named to an operator.
 _ADDRESS = (_is_address, "IP:PORT with a port of 1 to 65535")
 # `retry_window_s`, `stall_s` and `memory_bytes` are checked, so that a bad value is named at the
 # start, but no decision of the daemon reads them.
@@ -130,7 +134,7 @@
     given : mapping
         Values by the names of `RouteDaemonSettings`; a missing one is a fault.
     shown : mapping
-        Names by which whoever wrote the settings knows the fields.
+        Names by which operators know the fields.
     """
     faults = []
     for name, (check, allowed) in _CONSTRAINTS.items():
--- a/ferrydock/targets/_directory.py
+++ b/ferrydock/targets/_directory.py
@@ -1,4 +1,8 @@
-"""All targets known to this process, and the replicas they form."""
+"""All targets known to this process, and the replicas they form.
+
+Owns the target list in memory; it is filled from the store (`route_daemon.StoreFollower`), from the
+hall leader (`relay.RelayClient`), or from the operators' table (`gateway.TableRoutes`).
+"""
 
 from collections import deque
 from collections.abc import Iterable
@@ -9,13 +13,17 @@
 
 __all__ = ["ReplicaView", "TargetDirectory"]
 
+# Replicas whose members are remembered after their entries have gone, so that a new leader can ask
+# them. Bounds the memory; a hall has some dozens at a time. Chosen, not measured.
 REPLICAS_REMEMBERED = 1000
+
+# Changes that a follower may lag behind before it gets the whole list. Chosen, not measured.
 CHANGES_REMEMBERED = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaView:
-    """An open replica, as the reports of its members show it.
+    """An open replica, as the entries of its members show it.
 
     Attributes
     ----------
@@ -33,7 +41,7 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Name and epoch: what tells this replica from any other."""
+        """Name and epoch: together they name this replica and no other, ever."""
         return self.name, self.epoch
 
 
@@ -47,7 +55,7 @@
     changes : int
         Rises with every change.
     revision : int
-        Revision of the source that the list stands for at least.
+        Revision of the source that the list corresponds to at least.
     """
 
     __slots__ = (
@@ -70,14 +78,14 @@
         self._replicas: dict[str, list[ReplicaView]] | None = None
 
     def replace(self, targets: Iterable[Target]) -> None:
-        """Take a whole list."""
+        """Replace the whole list."""
         self.targets = {target.target_id: self._remembering(target) for target in targets}
         self.loaded = True
         self._changed_ids.clear()
         self._changed()
 
     def take(self, changes: TargetChanges) -> None:
-        """Take what a source tells."""
+        """Apply a change that a source reports."""
         if changes.whole:
             self.replace(changes.entries)
         for target_id in changes.removed:
@@ -88,7 +96,7 @@
         self.revision = max(self.revision, changes.revision)
 
     def changed_since(self, change: int) -> tuple[str, ...] | None:
-        """Return the ids that changed after change number `change`; None if not known."""
+        """Return the ids that changed after change number `change`; None if it is too long ago."""
         behind = self.changes - change
         if behind < 0 or behind > len(self._changed_ids):
             return None
@@ -102,7 +110,7 @@
         self._changed()
 
     def _remembering(self, target: Target) -> Target:
-        """Return an entry that still knows the model of the target's latest replica."""
+        """Return the entry with the model of the target's latest replica, which it may lack now."""
         if target.membership is not None:
             self._note_member(target)
         if target.models:
@@ -143,21 +151,21 @@
         return self._replicas.get(service, [])
 
     def _collect(self) -> dict[str, list[ReplicaView]]:
-        members: dict[tuple[str, str, int], list[Target]] = {}
+        by_replica: dict[tuple[str, str, int], list[Target]] = {}
         for target in self.targets.values():
             if target.membership is not None:
                 key = (target.service, target.membership.replica, target.membership.epoch)
-                members.setdefault(key, []).append(target)
+                by_replica.setdefault(key, []).append(target)
         found: dict[str, list[ReplicaView]] = {}
-        for (service, name, epoch), group in members.items():
-            group.sort(key=lambda target: target.membership.rank)
-            head = group[0]
+        for (service, name, epoch), members in by_replica.items():
+            members.sort(key=lambda target: target.membership.rank)
+            head = members[0]
             if head.membership.rank != 0 or head.membership.state is not ReplicaState.OPEN:
                 continue
-            if any(t.draining or t.membership.state is ReplicaState.BROKEN for t in group):
+            if any(t.draining or t.membership.state is ReplicaState.BROKEN for t in members):
                 continue
             if not head.models:
                 continue
-            view = ReplicaView(name, epoch, head.models[0], head, tuple(group))
+            view = ReplicaView(name, epoch, head.models[0], head, tuple(members))
             found.setdefault(service, []).append(view)
         return found
--- a/ferrydock/targets/_ports.py
+++ b/ferrydock/targets/_ports.py
@@ -1,4 +1,4 @@
-"""Ports to the list of targets and to the targets' control."""
+"""Ports to the list of targets and to the targets' control; an adapter fills both."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -25,12 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetChanges:
-    """What became of the list: `whole` replaces all, else entries and removed ids.
+    """A change of the target list.
 
     Attributes
     ----------
+    whole : bool
+        Whether `entries` is the whole list rather than what changed.
+    removed : tuple of str
+        Ids of targets that are gone; one that is also in `entries` is back.
     revision : int
-        Revision of the source that the list stands for after this.
+        Revision of the source that the list corresponds to after this change.
     """
 
     whole: bool
@@ -40,20 +44,20 @@
 
 
 class TargetSource(Protocol):
-    """Tells which targets there are.
+    """Reports which targets there are.
 
     Attributes
     ----------
     gather_s : float
-        How long changes may be gathered before they are told together.
+        How long changes may be gathered before they are reported together.
     """
 
     gather_s: float
 
     def follow(self) -> AsyncIterator[TargetChanges | Unavailable]:
-        """Yield the whole list, then changes; begins anew by itself where history was lost.
+        """Yield the whole list, then its changes; the whole list again after history was lost.
 
-        It ends where the changes can no longer be heard: the caller decides what to do.
+        `Unavailable` for each call that failed; the next is made when the caller goes on.
         """
 
 
@@ -69,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenOrder:
-    """Begin to serve; for a head that is ready."""
+    """Begin to serve; only a head that is ready takes it."""
 
     replica: str
     epoch: int
@@ -77,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseOrder:
-    """Stop serving and be ready again; `cut` ends running requests, else they are waited for."""
+    """Stop serving and be ready again; `cut` ends requests in flight, else they are finished."""
 
     replica: str
     epoch: int
@@ -94,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageOrder:
-    """Load a model's weights to the host, beside everything else."""
+    """Load a model's weights to the host, beside everything else that the target does."""
 
     model: str
 
@@ -104,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderDone:
-    """The order was begun, or holds already (`already`)."""
+    """The order was begun; with `already`, what it asks for holds already."""
 
     already: bool
 
@@ -118,7 +122,7 @@
     reason : str
         ``state`` (it does not fit the target's state or its number of orders), ``epoch`` (the
         target has seen a higher one), ``other_target``, ``invalid``, or ``elsewhere`` (it was not
-        given: the target reports that it belongs to another replica).
+        sent: the target reports that it belongs to another replica).
     """
 
     reason: str
@@ -126,7 +130,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What a target tells of itself when asked."""
+    """What a target reports of itself when asked.
+
+    Attributes
+    ----------
+    orders : int
+        Orders that it has taken since its start.
+    replica : str or None
+        Name of the replica that it belongs to; None for none.
+    epoch : int
+        The replica's epoch; 0 without one.
+    state : str or None
+        A `ReplicaState`; None without a replica.
+    """
 
     orders: int
     replica: str | None = None
@@ -135,15 +151,15 @@
 
 
 class TargetControl(Protocol):
-    """Gives orders to targets and reads their reports."""
+    """Sends orders to targets and asks for their reports."""
 
     async def order(
         self, target: Target, order: Order, expected_orders: int | None
     ) -> OrderDone | OrderRefused | Unavailable | Unknown:
-        """Give an order. `Unknown`: it may be carried out, now or much later."""
+        """Send an order once. `Unknown`: it may be carried out, now or much later."""
 
     async def report(self, target: Target, timeout_s: float) -> TargetReport | Unavailable:
-        """Ask a target how it is."""
+        """Ask a target for its report."""
 
     async def close(self) -> None:
-        """Give up the connections."""
+        """Close the connections."""
--- a/ferrydock/targets/_target.py
+++ b/ferrydock/targets/_target.py
@@ -1,4 +1,4 @@
-"""Targets as their source tells of them."""
+"""The typed entry of a target, as its source reports it; data only."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -18,7 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """A target's place in a replica; rank 0 is the head, which takes the requests."""
+    """That a target belongs to a replica.
+
+    Attributes
+    ----------
+    replica, epoch : str, int
+        Name and epoch, which together are never used again.
+    rank : int
+        0 for the head, which takes the requests.
+    state : ReplicaState
+        The replica's state as this member reports it.
+    """
 
     replica: str
     epoch: int
@@ -36,18 +46,20 @@
         Names this incarnation; the next one has another.
     address : str
         ``IP:PORT``; it may later belong to another target.
+    slots : int
+        Requests that it works on at a time.
     draining : bool
         Whether it has said that it will leave.
     domain : str
-        Fabric domain; replicas do not span two.
+        Fabric domain; replicas do not span two. Empty for plain targets.
     staged : tuple of str
         Models whose weights lie on its host.
     models : tuple of str
         Models that it holds.
     last_model : str
-        Model of its latest replica since its start, as far as this process has seen.
+        Model of its latest replica that this process has seen; empty for none.
     membership : Membership or None
-        Its place in a replica.
+        The replica that it belongs to.
     """
 
     target_id: str
@@ -64,5 +76,5 @@
 
     @property
     def is_fresh(self) -> bool:
-        """Whether it has nothing yet, so that it surely has taken no order."""
+        """Whether it has nothing yet, so that it has certainly taken no order."""
         return not (self.staged or self.models or self.membership)
