--- a/ferrydock/scheduling/_waiting_queue.py
+++ b/ferrydock/scheduling/_waiting_queue.py
@@ -71,7 +71,9 @@
             async with asyncio.timeout(timeout_s):
                 return await waiter.future
         except TimeoutError:
-            return None
+            # A slot may have been assigned in the very turn in which the time was over.
+            is_assigned = waiter.future.done() and not waiter.future.cancelled()
+            return waiter.future.result() if is_assigned else None
         except asyncio.CancelledError:
             if waiter.future.done() and not waiter.future.cancelled():
                 give_back(waiter.future.result())
--- /dev/null
+++ b/ferrydock/scheduling/tests/test_waiting_queue.py
@@ -0,0 +1,84 @@
+"""The queue shared by the hall scheduler and a daemon that decides alone."""
+
+import asyncio
+
+import pytest
+
+from ...standins.fleet import run_virtually
+from .. import WaitingQueue
+
+
+def play(scenario):
+    return asyncio.run(scenario())
+
+
+def test_the_smallest_rank_is_first_then_the_oldest():
+    async def scenario():
+        queue, served = WaitingQueue(), []
+
+        async def wait(name, rank):
+            served.append(await queue.wait((rank,), "x", name, 5.0))
+
+        tasks = [
+            asyncio.ensure_future(wait(name, rank)) for name, rank in (("b", 2), ("c", 2), ("a", 1))
+        ]
+        await asyncio.sleep(0)
+        queue.assign_free_slots(lambda name: name)
+        await asyncio.gather(*tasks)
+        assert served == ["a", "b", "c"] and len(queue) == 0
+
+    play(scenario)
+
+
+def test_a_full_service_does_not_hold_up_another():
+    async def scenario():
+        queue = WaitingQueue()
+        full = asyncio.ensure_future(queue.wait((1,), "full", "f", 0.2))
+        free = asyncio.ensure_future(queue.wait((2,), "free", "g", 5.0))
+        await asyncio.sleep(0)
+        queue.assign_free_slots(lambda name: None if name == "f" else "slot")
+        assert await free == "slot"
+        assert await full is None
+
+    play(scenario)
+
+
+def test_a_newcomer_waits_behind_those_of_its_own_need_and_rank():
+    async def scenario():
+        queue = WaitingQueue()
+        waiting = asyncio.ensure_future(queue.wait((1, 5.0), "x", "w", 5.0))
+        await asyncio.sleep(0)
+        assert queue.must_wait((1, 5.0), "x") and queue.must_wait((1, 6.0), "x")
+        assert not queue.must_wait((1, 4.0), "x") and not queue.must_wait((1, 9.0), "y")
+        queue.assign_free_slots(lambda name: "slot")
+        assert await waiting == "slot"
+
+    play(scenario)
+
+
+def test_a_slot_assigned_as_the_time_is_over_is_not_lost():
+    async def scenario():
+        queue, given_back = WaitingQueue(), []
+        loop = asyncio.get_running_loop()
+        # Both timers are due at the same moment: the slot is assigned first, then the time is over.
+        loop.call_at(loop.time() + 5.0, queue.assign_free_slots, lambda request: "slot")
+        got = await queue.wait((1,), "x", "r", 5.0, give_back=given_back.append)
+        assert [got, *given_back] in (["slot"], [None, "slot"])
+
+    run_virtually(scenario())
+
+
+def test_a_slot_assigned_to_a_caller_that_leaves_is_given_back():
+    async def scenario():
+        queue, given_back = WaitingQueue(), []
+        waiting = asyncio.ensure_future(
+            queue.wait((1,), "x", "r", 5.0, give_back=given_back.append)
+        )
+        await asyncio.sleep(0)
+        queue.assign_free_slots(lambda r: "slot")
+        waiting.cancel()
+        with pytest.raises(asyncio.CancelledError):
+            await waiting
+        assert given_back == ["slot"]
+
+    play(scenario)
