--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -503,7 +503,7 @@
     play(scenario)
 
 
-def test_a_daemon_opens_no_more_connections_to_a_target_than_its_part():
+def test_a_daemon_opens_no_more_connections_to_a_target_than_its_share():
     async def scenario():
         release = asyncio.Event()
 
@@ -554,7 +554,7 @@
     play(scenario)
 
 
-def test_who_finds_no_room_is_told_within_a_quarter_of_the_objective_when_to_come_back():
+def test_a_request_that_gets_no_slot_is_refused_within_a_quarter_of_the_objective():
     async def scenario():
         release = asyncio.Event()
 
@@ -585,7 +585,7 @@
 
 
 @pytest.mark.parametrize("waited_s", [0.0, 0.05, 0.09])
-def test_the_wait_for_a_first_place_ends_within_a_quarter_of_the_objective(waited_s):
+def test_the_wait_for_a_first_slot_ends_within_a_quarter_of_the_objective(waited_s):
     exchange = SimpleNamespace(
         route=route(first_answer_s=0.4),
         attempts=0,
--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -66,7 +66,7 @@
 
 
 class RecordingCounts:
-    """A counts that notes who was given places."""
+    """In-flight counts that note which daemons were granted slots."""
 
     def __init__(self, counts, granted):
         self.counts = counts
@@ -208,7 +208,7 @@
     play(scenario)
 
 
-def test_a_follower_serves_by_its_controllers_word_and_alone_after_it(tmp_path):
+def test_a_follower_serves_by_its_leaders_news_and_alone_after_it(tmp_path):
     async def scenario():
         async with Site(tmp_path) as site:
             first = await site.daemon("one")
@@ -304,7 +304,7 @@
     assert "cannot be read" in open_platform(str(tmp_path / "none")).reason
 
 
-def test_the_parts_of_all_daemons_in_the_slack_of_retries_stay_within_it(tmp_path):
+def test_the_shares_of_all_daemons_in_the_retry_slack_stay_within_it(tmp_path):
     async def scenario():
         halls = ("hall-a", "hall-b")
         async with Site(tmp_path, halls) as site:
@@ -330,7 +330,7 @@
     play(scenario)
 
 
-def test_daemons_of_a_hall_place_their_requests_together(tmp_path):
+def test_one_scheduler_places_the_requests_of_all_daemons_of_a_hall(tmp_path):
     async def scenario():
         async with Site(tmp_path) as site:
             nodes = [await site.daemon(f"d{number}") for number in range(3)]
@@ -352,7 +352,7 @@
     play(scenario)
 
 
-def test_a_hall_goes_on_when_its_dispatcher_dies(tmp_path):
+def test_a_hall_goes_on_when_its_leader_dies(tmp_path):
     async def scenario():
         async with Site(tmp_path) as site:
             nodes = [await site.daemon(f"d{number}") for number in range(3)]
@@ -401,7 +401,7 @@
 
 
 @pytest.mark.parametrize("is_first_start", [True, False])
-def test_a_first_start_hears_a_peer_and_a_later_one_reads_the_store_at_once(
+def test_a_first_start_waits_for_a_peer_and_a_later_one_reads_the_store_at_once(
     tmp_path, monkeypatch, is_first_start
 ):
     monkeypatch.setattr(
--- a/ferrydock/relay/tests/test_relay.py
+++ b/ferrydock/relay/tests/test_relay.py
@@ -89,7 +89,7 @@
     play(scenario)
 
 
-def test_who_does_not_read_the_store_or_is_gone_is_not_followed():
+def test_a_daemon_that_does_not_read_the_store_is_not_followed():
     async def scenario():
         async with Pair() as pair:
             pair.serves = False
@@ -114,7 +114,7 @@
     assert isinstance(other, NewsAnswer)
 
 
-def test_broken_replicas_are_told_both_ways_and_end_a_held_question():
+def test_broken_replicas_are_reported_both_ways_and_end_a_held_question():
     async def scenario():
         async with Pair() as pair:
             heard, heard_back = [], []
--- a/ferrydock/replicas/tests/test_controller.py
+++ b/ferrydock/replicas/tests/test_controller.py
@@ -107,7 +107,7 @@
     play(scenario)
 
 
-def test_a_controller_that_is_new_to_the_seat_dissolves_nothing_that_lives():
+def test_a_new_leader_dissolves_nothing_that_lives():
     async def scenario():
         hall = await formed(Hall(9))
         await asyncio.sleep(20.0)
@@ -254,7 +254,7 @@
     hall.controller.suspect([worker_id], "test")
 
 
-def test_a_survivor_is_not_tied_to_a_worker_that_must_first_load():
+def test_a_survivor_is_not_tied_to_a_target_that_must_first_load():
     async def scenario():
         hall = await formed(Hall(14))
         await asyncio.sleep(30.0)
--- a/ferrydock/route_daemon/_retry_shares.py
+++ b/ferrydock/route_daemon/_retry_shares.py
@@ -17,8 +17,8 @@
 RATIO_FRACTION = 0.8
 
 # Part of the configured slack that all daemons share. Room for one daemon more in five than were
-# counted. Set in commit 16068df; held by the test "...slack of retries stay within it"; chosen, not
-# measured.
+# counted. Set in commit 16068df and held by a test ("the shares of all daemons in the retry slack
+# stay within it"); chosen, not measured.
 SLACK_FRACTION = 0.8
 
 # Part of its share of the slack that a new process starts with. It does not know what the one that
--- a/ferrydock/scheduling/tests/test_scheduler.py
+++ b/ferrydock/scheduling/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The hall's scheduler: exact counts, its queue, and how it is reached."""
+"""The hall scheduler: exact counts, its queue, and how it is reached."""
 
 import asyncio
 import random
@@ -56,13 +56,13 @@
         seen = tuple(self.seen.setdefault(sender, []))
         return SlotRequest(sender, dict(running), seen, **fields)
 
-    def take(self, sender, placed):
+    def take(self, sender, reply):
         """Let a daemon act on an answer."""
-        if placed.target_id:
+        if reply.target_id:
             running = self.running[sender]
-            running[placed.target_id] = running.get(placed.target_id, 0) + 1
-            self.seen[sender].append(placed.grant)
-        return placed.target_id
+            running[reply.target_id] = running.get(reply.target_id, 0) + 1
+            self.seen[sender].append(reply.grant)
+        return reply.target_id
 
     async def ask(self, sender="d1", **options):
         return self.take(sender, await self.scheduler.acquire(self.request(sender, **options)))
@@ -118,8 +118,8 @@
     async def scenario():
         hall = Hall(head("a"))
         request = hall.request("d1")  # all are sent before any answer is seen
-        placed = [await hall.scheduler.acquire(request) for _ in range(SLOTS + 1)]
-        assert [bool(p.target_id) for p in placed] == [True] * SLOTS + [False]
+        reply = [await hall.scheduler.acquire(request) for _ in range(SLOTS + 1)]
+        assert [bool(p.target_id) for p in reply] == [True] * SLOTS + [False]
         hall.clock.advance(0.6)  # their daemon has them not: the answers were lost
         assert (await hall.scheduler.acquire(request)).target_id == "a"
 
@@ -158,8 +158,8 @@
         hall.catalog.broken.add(("g-a", 1))
         assert {await hall.ask(avoid=("b",)) for _ in range(5)} == {"c"}
         hall.catalog.broken |= {("g-b", 1), ("g-c", 1)}
-        placed = await hall.scheduler.acquire(hall.request())
-        assert placed.target_id == "" and placed.candidates == 0
+        reply = await hall.scheduler.acquire(hall.request())
+        assert reply.target_id == "" and reply.candidates == 0
 
     play(scenario)
 
@@ -175,7 +175,7 @@
     play(scenario)
 
 
-def test_the_most_urgent_of_all_daemons_is_let_in_first():
+def test_the_highest_priority_of_all_daemons_is_served_first():
     async def scenario():
         hall = Hall(head("a"))
         for _ in range(SLOTS):
@@ -203,7 +203,7 @@
     play(scenario)
 
 
-def test_who_comes_later_does_not_pass_those_who_wait():
+def test_a_later_request_does_not_overtake_waiting_ones():
     async def scenario():
         hall = Hall(head("a"))
         for _ in range(SLOTS):
@@ -217,7 +217,7 @@
     play(scenario)
 
 
-def test_who_waits_in_vain_is_told_so_and_leaves_nothing_behind():
+def test_a_wait_that_ends_without_a_slot_leaves_nothing_behind():
     async def scenario():
         hall = Hall(head("a"))
         for _ in range(SLOTS):
@@ -255,12 +255,12 @@
         await self.server.close()
 
 
-def test_a_place_is_had_by_the_protocol_and_its_end_is_told():
+def test_a_slot_is_granted_over_the_wire_and_its_end_is_reported():
     async def scenario():
         async with Served() as served:
             request = SlotRequest("", service="engines", model="large", hold_s=2.0)
-            placed = await served.client.ask(request)
-            assert placed.target_id in ("a", "b") and placed.candidates == 2
+            reply = await served.client.ask(request)
+            assert reply.target_id in ("a", "b") and reply.candidates == 2
             served.running = {}
             served.client.report_end()
             async with asyncio.timeout(5.0):
@@ -270,7 +270,7 @@
     play(scenario)
 
 
-def test_without_a_dispatcher_there_is_no_answer_and_it_is_not_asked_again_at_once():
+def test_an_unreachable_scheduler_is_not_asked_again_at_once():
     async def scenario():
         async with Served() as served:
             await served.server.close()
