--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements that are run by hand: ``python -m benchmarks.NAME``; figures go to docs/."""
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -100,6 +100,7 @@
 
 
 def main() -> int:
+    """Run the benchmark, print its rows and checks; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer histories")
     arguments = parser.parse_args()
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -73,6 +73,7 @@
 
 
 def main() -> int:
+    """Run the benchmark, print its rows and checks; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="only the hall of 9")
     arguments = parser.parse_args()
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -143,6 +143,7 @@
 
 
 def main() -> int:
+    """Run the benchmark, print its rows and checks; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer and shorter rounds")
     arguments = parser.parse_args()
@@ -159,6 +160,7 @@
 
 
 async def run(daemon: Program, bare: Program, rounds: int, tokens: int) -> None:
+    """Fill the table, then measure the daemon beside a bare pass-through."""
     await fill(daemon.url)
     await measure(daemon, bare, rounds, tokens)
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -55,6 +55,7 @@
 
 
 def main() -> int:
+    """Run the benchmark, print its rows and checks; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="shorter traces")
     arguments = parser.parse_args()
--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -57,6 +57,7 @@
 
 
 def main() -> int:
+    """Run the benchmark, print its rows and checks; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer edits, no large hall")
     arguments = parser.parse_args()
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -66,6 +66,7 @@
 
 
 def main() -> int:
+    """Run the benchmark, print its rows and checks; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer deaths")
     arguments = parser.parse_args()
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -48,6 +48,7 @@
 
 
 def main() -> int:
+    """Run the benchmark, print its rows and checks; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="shorter, fewer loads")
     arguments = parser.parse_args()
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -162,6 +162,7 @@
 
 
 def main() -> int:
+    """Run the benchmark, print its rows and checks; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="the same; it is quick")
     parser.parse_args()
--- a/ferrydock/clock.py
+++ b/ferrydock/clock.py
@@ -31,9 +31,11 @@
         self._clock_id = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
     def now_s(self) -> float:
+        """Return seconds since the machine was booted."""
         return time.clock_gettime(self._clock_id)
 
     def wall_s(self) -> float:
+        """Return seconds since the Unix epoch."""
         return time.time()
 
 
@@ -54,9 +56,11 @@
         self._now_s = now_s
 
     def now_s(self) -> float:
+        """Return the time that was set."""
         return self._now_s
 
     def wall_s(self) -> float:
+        """Return the same time."""
         return self._now_s
 
     def advance(self, seconds: float) -> None:
--- a/ferrydock/daemon.py
+++ b/ferrydock/daemon.py
@@ -53,6 +53,7 @@
     node: Node
 
     async def start(self) -> None:
+        """Compose the node and start it, as aiomisc asks."""
         clock = SystemClock()
         if self.settings.embedded:
             platform = await embedded_platform(self.settings.hall, clock, self.settings.seed)
@@ -62,7 +63,7 @@
         await self.node.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        return None  # the node has been stopped by `run_until_stopped`
+        """Do nothing: the node was stopped by `run_until_stopped`."""
 
     async def run(self) -> int:
         """Serve until the daemon is told to stop; return the exit status."""
--- a/ferrydock/emulator/_run.py
+++ b/ferrydock/emulator/_run.py
@@ -19,6 +19,8 @@
 SHOWN_EVERYWHERE_S = 1.2
 RESTART_AFTER_S = 0.3
 MOST_KILLED_PER_DOMAIN = 0.4
+# Statuses that promise that a request did not run.
+PROMISES_NOT_RUN = (429, 503, 408, 421)
 PROMISES = (
     "no replica serves while a member is missing, no worker is in two",
     "an answer that looks whole is whole, and its own",
@@ -309,17 +311,12 @@
     # Promises ---------------------------------------------------------------------------------
 
     def _judge(self) -> None:
+        """Note which promises did not hold."""
         result, record = self.result, self.site.record
         broken = result.broken
         broken += [f"{v.rule}: {v.worker} {v.detail}" for v in self.site.fleet.violations]
         for call in result.calls:
-            runs = record.runs.get(call.request_id, 0)
-            if call.fault:
-                broken.append(f"answer: {call.request_id} {call.kind} {call.fault}")
-            if call.kind == "file" and runs > 1:
-                broken.append(f"once: {call.request_id} ran {runs} times")
-            if call.kind == "file" and call.status in (429, 503, 408, 421) and runs:
-                broken.append(f"refusal: {call.request_id} got {call.status} and ran")
+            self._judge_call(call, record.runs.get(call.request_id, 0))
         if record.keys_seen:
             broken.append(f"key: {record.keys_seen} requests brought a key to a worker")
         strangers = {name for name in record.tenants.values() if name != "acme"}
@@ -333,3 +330,13 @@
         for face in self.site.stores:
             for kind, count in face.calls.items():
                 result.store_calls[kind] = result.store_calls.get(kind, 0) + count
+
+    def _judge_call(self, call: Call, runs: int) -> None:
+        """Note what is wrong with one call, which ran `runs` times at workers."""
+        broken = self.result.broken
+        if call.fault:
+            broken.append(f"answer: {call.request_id} {call.kind} {call.fault}")
+        if call.kind == "file" and runs > 1:
+            broken.append(f"once: {call.request_id} ran {runs} times")
+        if call.kind == "file" and call.status in PROMISES_NOT_RUN and runs:
+            broken.append(f"refusal: {call.request_id} got {call.status} and ran")
--- a/ferrydock/outcomes.py
+++ b/ferrydock/outcomes.py
@@ -59,6 +59,7 @@
 
     @property
     def reason(self) -> str:
+        """All faults in one line."""
         return "; ".join(str(fault) for fault in self.faults)
 
 
--- a/ferrydock/route_daemon/__main__.py
+++ b/ferrydock/route_daemon/__main__.py
@@ -46,11 +46,12 @@
     daemon: RouteDaemon
 
     async def start(self) -> None:
+        """Compose the daemon and start it, as aiomisc asks."""
         self.daemon = RouteDaemon(self.deployment, SystemClock())
         await self.daemon.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        return None  # the daemon has been stopped by `run_until_stopped`
+        """Do nothing: the daemon was stopped by `run_until_stopped`."""
 
     async def run(self) -> int:
         """Serve until the daemon is told to stop; return the exit status."""
--- a/ferrydock/standins/__main__.py
+++ b/ferrydock/standins/__main__.py
@@ -40,6 +40,7 @@
 
 
 def main(argv) -> int:
+    """Serve until a signal; return the exit status."""
     configure("info")
     uvloop.run(_serve())
     return 0
--- a/ferrydock/standins/fleet/_workers.py
+++ b/ferrydock/standins/fleet/_workers.py
@@ -189,24 +189,21 @@
             return None
         if expected is not None and expected != worker.orders:
             return OrderRefused("state")
-        match order:
-            case JoinOrder():
-                answer = self._join(worker, order)
-            case OpenOrder():
-                answer = self._open(worker, order)
-            case CloseOrder():
-                answer = self._close(worker, order)
-            case LeaveOrder():
-                answer = self._leave(worker, order)
-            case StageOrder():
-                answer = self._stage(worker, order)
-        if isinstance(answer, OrderDone) and not answer.already:
+        carry_out = {
+            JoinOrder: self._join,
+            OpenOrder: self._open,
+            CloseOrder: self._close,
+            LeaveOrder: self._leave,
+            StageOrder: self._stage,
+        }
+        answer = carry_out[type(order)](worker, order)
+        if not isinstance(answer, OrderDone):
+            return answer
+        if not answer.already:
             worker.orders += 1
-        if isinstance(answer, OrderDone):
-            self.on_change(worker)
-        if isinstance(order, LeaveOrder) and isinstance(answer, OrderDone):
-            return OrderDone(already=True)  # it acts at once, and counts all the same
-        return answer
+        self.on_change(worker)
+        # A leave acts at once, and counts all the same.
+        return OrderDone(already=True) if isinstance(order, LeaveOrder) else answer
 
     def _join(self, worker: Worker, order: JoinOrder) -> OrderDone | OrderRefused:
         if order.epoch < worker.top_epoch:
