--- a/benchmarks/_engines.py
+++ b/benchmarks/_engines.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 
 from ferrydock.engines import CacheEvent, CacheEvents, Fence
-from ferrydock.hall import Attestation, AttestationBook
+from ferrydock.hall import Attestation, Attestations
 from ferrydock.placement import Member, Replica, ReplicaPhase
-from ferrydock.routing import RouteBook, RouteRequest, make_routing_policy
+from ferrydock.routing import ReplicaLoads, RouteRequest, make_routing_policy
 
 STEP_S = 0.02
 PREFILL_BLOCKS = 8
@@ -133,9 +133,9 @@
         self.lag_s, self.loss = lag_s, loss
         self.engines = [_Engine() for _ in range(replicas)]
         self.replicas = [_replica(number) for number in range(replicas)]
-        self.books = []
+        self.loads_of = []
         for _ in range(daemons):
-            self.books.append(RouteBook(AttestationBook(1e9)))
+            self.loads_of.append(ReplicaLoads(Attestations(1e9)))
         make = make_routing_policy
         self.policies = [make(policy, self.source, **parameters) for _ in range(daemons)]
         self.loads: deque = deque()
@@ -164,9 +164,9 @@
                 first, ended = engine.step()
                 for job in first:
                     outcome.first_token_s.append(now_s - job.arrival.at_s)
-                    self.books[job.daemon].first_token(job.flight, now_s)
+                    self.loads_of[job.daemon].first_token(job.flight, now_s)
                 for job in ended:
-                    self.books[job.daemon].ended(job.flight)
+                    self.loads_of[job.daemon].ended(job.flight)
         return outcome
 
     def _kill(self, dying, now_s: float, outcome: Outcome) -> None:
@@ -176,7 +176,7 @@
             jobs = [*engine.running, *engine.waiting]
             engine.running, engine.waiting = [], deque()
             for job in jobs:
-                self.books[job.daemon].ended(job.flight)
+                self.loads_of[job.daemon].ended(job.flight)
                 if not job.started:
                     self._route(job.arrival, now_s, outcome)
 
@@ -186,25 +186,25 @@
         while len(self.loads) > 1 and self.loads[1][0] <= now_s - self.lag_s:
             self.loads.popleft()
         _, shown = self.loads[0]
-        for book in self.books:
+        for loads in self.loads_of:
             for replica, (running, waiting) in zip(self.replicas, shown, strict=True):
-                book.attestations.accept(
+                loads.attestations.accept(
                     Attestation(replica.replica_id, replica.generation, now_s, running, waiting)
                 )
         for engine, replica in zip(self.engines, self.replicas, strict=True):
             due = [e for at_s, e in engine.events if at_s <= now_s - self.lag_s]
             engine.events = [x for x in engine.events if x[0] > now_s - self.lag_s]
             kept = tuple(e for e in due if self.source.random() >= self.loss)
-            for book in self.books:
-                book.take_events(replica.replica_id, CacheEvents("one", kept))
+            for loads in self.loads_of:
+                loads.take_events(replica.replica_id, CacheEvents("one", kept))
 
     def _route(self, arrival: Arrival, now_s: float, outcome: Outcome) -> None:
-        book = self.books[arrival.daemon]
+        loads = self.loads_of[arrival.daemon]
         alive = [r for r, e in zip(self.replicas, self.engines, strict=True) if not e.dead]
-        candidates = book.candidates(alive, arrival.blocks, now_s, len(self.books))
+        candidates = loads.candidates(alive, arrival.blocks, now_s, len(self.loads_of))
         request = RouteRequest("draft", arrival.blocks)
         chosen = self.policies[arrival.daemon].choose(candidates, request)
-        flight = book.sent(chosen.replica, arrival.blocks, now_s)
+        flight = loads.sent(chosen.replica, arrival.blocks, now_s)
         job = _Job(arrival, 0, arrival.tokens, flight, arrival.daemon)
         engine = self.engines[self.replicas.index(chosen.replica)]
         outcome.reused += engine.accept(job, now_s)
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -10,8 +10,8 @@
     GROUP_WAIT_S,
     RELAYED_WAIT_S,
     Claim,
-    ClaimBook,
     ClaimEnd,
+    ClaimStore,
     ClaimUnwritten,
     ClaimWriter,
 )
@@ -50,7 +50,7 @@
         store.down = source.random() < 0.1
         store.lose_answers = source.choice((0, 0, 1))
         store.lose_writes = source.choice((0, 0, 0, 1, 9))
-        daemon = ClaimBook(store, ClaimWriter(store), ManualClock(), 3600.0, "d")
+        daemon = ClaimStore(store, ClaimWriter(store), ManualClock(), 3600.0, "d")
         runs_before = self.runs.get(key, 0)
         found = await daemon.open("team", key, 0.0)
         fate = source.random()
@@ -87,7 +87,7 @@
     memory = MemoryStore()
     store = FaultyStore(memory)
     writer = ClaimWriter(store, wait_s)
-    book = ClaimBook(store, writer, memory.clock, 3600.0, "d")
+    book = ClaimStore(store, writer, memory.clock, 3600.0, "d")
     count = max(20, int(rate_per_s * seconds))
 
     async def one(number: int) -> None:
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -9,7 +9,7 @@
 import time
 
 from ferrydock.engines import BoxPhase, BoxState, Fence
-from ferrydock.hall import Attestation, AttestationBook
+from ferrydock.hall import Attestation, Attestations
 from ferrydock.membership import DaemonInfo, SharedState, apply_digest, build_digest
 from ferrydock.placement import (
     HallPlacement,
@@ -111,14 +111,14 @@
 def shared_state(name: str, members: int, replicas: int) -> SharedState:
     """Return what a daemon of a hall knows."""
     own = DaemonInfo(name, "hall-a", "10.0.0.1:7170", "http://10.0.0.1:7070")
-    state = SharedState(own, TableKeeper(), AttestationBook(2.0), random.Random(1))
+    state = SharedState(own, TableKeeper(), Attestations(2.0), random.Random(1))
     for number in range(members - 1):
         peer = f"hall-a-{number:08x}"
         info = DaemonInfo(peer, "hall-a", "10.0.0.2:7170", "http://10.0.0.2:7070")
         state.members.merge(info, 0.0)
     state.offer_placement(placement_of(replicas))
     for replica in state.placement.replicas.values():
-        state.book.accept(Attestation(replica.replica_id, replica.generation, 99.5, 3, 0))
+        state.attestations.accept(Attestation(replica.replica_id, replica.generation, 99.5, 3, 0))
     return state
 
 
--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -18,13 +18,13 @@
     Answered,
     CallerLeft,
     Claim,
-    ClaimBook,
     ClaimEnd,
+    ClaimStore,
     ClaimUnwritten,
-    Dispatcher,
     Ended,
     GaveUp,
     ModelRequest,
+    RequestExecutor,
     RequestLife,
     error_event,
     parse_model_request,
@@ -57,11 +57,11 @@
         Finds teams.
     limits : LimitBook
         Admits.
-    dispatcher : Dispatcher
+    executor : RequestExecutor
         Runs requests here.
     spill : Spill
         Runs requests in other halls.
-    claims : ClaimBook
+    claims : ClaimStore
         Keeps not-repeatable requests from running twice.
     recorder : Recorder
         Counts and measures.
@@ -76,9 +76,9 @@
     state: SharedState
     callers: Callers
     limits: LimitBook
-    dispatcher: Dispatcher
+    executor: RequestExecutor
     spill: Spill
-    claims: ClaimBook
+    claims: ClaimStore
     recorder: Recorder
     clock: Clock
     body_timeout_s: float
@@ -184,7 +184,7 @@
     def _should_spill(self, wanted: ModelRequest) -> bool:
         if wanted.hops >= MOST_HOPS or not self.state.halls:
             return False
-        if self.dispatcher.gate.has_room(wanted.model):
+        if self.executor.gate.has_room(wanted.model):
             return False
         return bool(self.spill.halls_with_room(wanted.model))
 
@@ -201,7 +201,7 @@
         life = RequestLife(wanted.repeatable)
         caller = StreamCaller(request, wanted, self.clock)
         try:
-            outcome = await self.dispatcher.run(wanted, caller, life, share.weight)
+            outcome = await self.executor.run(wanted, caller, life, share.weight)
         except CallerLeft:
             self.recorder.left(wanted)
             return caller.response
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -10,7 +10,7 @@
 from ..clock import Clock
 from ..logs import log_event
 from ..outcomes import NotRun, Run
-from ..requests import Answered, Claim, ClaimBook, RequestLife, RetryBudget
+from ..requests import Answered, Claim, ClaimStore, RequestLife, RetryBudget
 from ..table import TableKeeper, Target
 from ._callers import Callers
 from ._errors import error_response, not_run_response
@@ -34,7 +34,7 @@
         Names the services.
     callers : Callers
         Finds teams.
-    claims : ClaimBook
+    claims : ClaimStore
         Keeps calls with a key from running twice.
     clock : Clock
         For time-outs.
@@ -59,7 +59,7 @@
         self,
         keeper: TableKeeper,
         callers: Callers,
-        claims: ClaimBook,
+        claims: ClaimStore,
         clock: Clock,
         body_timeout_s: float,
     ):
--- a/ferrydock/gateway/tests/test_gateway.py
+++ b/ferrydock/gateway/tests/test_gateway.py
@@ -60,7 +60,7 @@
 
 async def in_flight(node, model="draft-large"):
     replica = replica_of(node, model)
-    assert await until(lambda: node.route_book.own_in_flight(replica.replica_id) > 0)
+    assert await until(lambda: node.replica_loads.own_in_flight(replica.replica_id) > 0)
     return replica
 
 
--- a/ferrydock/hall/__init__.py
+++ b/ferrydock/hall/__init__.py
@@ -1,6 +1,6 @@
 """One hall: its controller, lease, attestations, isolation and rejoin."""
 
-from ._attestation import Attestation, AttestationBook
+from ._attestation import Attestation, Attestations
 from ._controller import ControllerMode, HallController
 from ._lease import ControllerLease, HeldLease, controller_address, controller_key
 from ._observer import HallObserver
@@ -9,7 +9,7 @@
 
 __all__ = [
     "Attestation",
-    "AttestationBook",
+    "Attestations",
     "ControllerLease",
     "ControllerMode",
     "HallController",
--- a/ferrydock/hall/_attestation.py
+++ b/ferrydock/hall/_attestation.py
@@ -5,7 +5,7 @@
 from ..engines import Fence
 from ..placement import Replica
 
-__all__ = ["Attestation", "AttestationBook"]
+__all__ = ["Attestation", "Attestations"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     waiting: int = 0
 
 
-class AttestationBook:
+class Attestations:
     """The newest statement on each replica.
 
     Parameters
@@ -41,11 +41,11 @@
 
     Examples
     --------
-    >>> book = AttestationBook(ttl_s=2.0)
-    >>> book.accept(Attestation("r1", Fence(1, 0, 1), probed_s=10.0))
+    >>> attestations = Attestations(ttl_s=2.0)
+    >>> attestations.accept(Attestation("r1", Fence(1, 0, 1), probed_s=10.0))
     True
-    >>> book.fresh("r1", Fence(1, 0, 1), now_s=11.9), book.fresh("r1", Fence(1, 0, 1), now_s=12.1)
-    (True, False)
+    >>> [attestations.fresh("r1", Fence(1, 0, 1), now_s) for now_s in (11.9, 12.1)]
+    [True, False]
     """
 
     __slots__ = ("_newest", "ttl_s")
--- a/ferrydock/hall/_controller.py
+++ b/ferrydock/hall/_controller.py
@@ -162,7 +162,7 @@
         if since_s is None or now_s - since_s > NOTE_GAP_S:
             return
         replicas = self.placement.replicas.values()
-        whole = [r for r in replicas if self.observer.book.whole(r, now_s)]
+        whole = [r for r in replicas if self.observer.attestations.whole(r, now_s)]
         wanted = sum(m.replicas_in(self.hall) for m in view.models.values())
         present = sum(1 for seen in boxes.values() if seen.present)
         busy = sum(len(r.members) for r in whole)
--- a/ferrydock/hall/_observer.py
+++ b/ferrydock/hall/_observer.py
@@ -14,7 +14,7 @@
 from ..placement import Absence, AbsenceModel, HallPlacement, ObservedBox, Replica, ReplicaPhase
 from ..store import Box, BoxList
 from ..table import TableView
-from ._attestation import AttestationBook
+from ._attestation import Attestations
 
 __all__ = ["HallObserver"]
 
@@ -46,7 +46,7 @@
         The platform's list; it lags, so a box that answers counts whatever the list says.
     control : EngineControl
         Reaches the boxes.
-    book : AttestationBook
+    attestations : Attestations
         Statements of all daemons of the hall.
     absences : AbsenceModel
         Is told how long absences lasted.
@@ -59,7 +59,7 @@
         "_list_read_s",
         "_sightings",
         "absences",
-        "book",
+        "attestations",
         "box_list",
         "clock",
         "control",
@@ -74,14 +74,14 @@
         hall: str,
         box_list: BoxList,
         control: EngineControl,
-        book: AttestationBook,
+        attestations: Attestations,
         absences: AbsenceModel,
         clock: Clock,
     ):
         self.hall = hall
         self.box_list = box_list
         self.control = control
-        self.book = book
+        self.attestations = attestations
         self.absences = absences
         self.clock = clock
         self.probes = 0
@@ -134,9 +134,9 @@
     def _take_attested(self, placement: HallPlacement) -> None:
         now_s = self.clock.now_s()
         for replica in placement.replicas.values():
-            if not self.book.whole(replica, now_s):
+            if not self.attestations.whole(replica, now_s):
                 continue
-            statement = self.book.get(replica.replica_id)
+            statement = self.attestations.get(replica.replica_id)
             for member in replica.members:
                 sighting = self._sightings.get(member.box)
                 if sighting is not None and statement.probed_s > sighting.heard_s:
@@ -148,7 +148,7 @@
         attested = {
             box
             for replica in placement.replicas.values()
-            if replica.phase is ReplicaPhase.SERVING and self.book.whole(replica, now_s)
+            if replica.phase is ReplicaPhase.SERVING and self.attestations.whole(replica, now_s)
             for box in replica.boxes
         }
         placed = {box for replica in placement.replicas.values() for box in replica.boxes}
--- a/ferrydock/hall/_prober.py
+++ b/ferrydock/hall/_prober.py
@@ -5,7 +5,7 @@
 from ..clock import Clock
 from ..engines import BoxPhase, BoxState, EngineControl
 from ..placement import HallPlacement, Member, Replica
-from ._attestation import Attestation, AttestationBook
+from ._attestation import Attestation, Attestations
 
 __all__ = ["Prober", "attest", "member_reports"]
 
@@ -39,17 +39,17 @@
     ----------
     control : EngineControl
         Reaches the boxes.
-    book : AttestationBook
+    attestations : Attestations
         Where statements go.
     clock : Clock
         Dates the statements.
     """
 
-    __slots__ = ("book", "clock", "control", "probes")
+    __slots__ = ("attestations", "clock", "control", "probes")
 
-    def __init__(self, control: EngineControl, book: AttestationBook, clock: Clock):
+    def __init__(self, control: EngineControl, attestations: Attestations, clock: Clock):
         self.control = control
-        self.book = book
+        self.attestations = attestations
         self.clock = clock
         self.probes = 0
 
@@ -66,7 +66,7 @@
         )
         statement = attest(replica, list(states), probed_s)
         if statement is not None:
-            self.book.accept(statement)
+            self.attestations.accept(statement)
         elif any(isinstance(state, BoxState) for state in states):
             self._revoke_if_contradicted(replica, states)
 
@@ -74,4 +74,4 @@
         """Take a statement back at once where a member says something else."""
         for member, state in zip(replica.members, states, strict=True):
             if isinstance(state, BoxState) and not member_reports(replica, member, state):
-                self.book.revoke(replica.replica_id, replica.generation)
+                self.attestations.revoke(replica.replica_id, replica.generation)
--- a/ferrydock/hall/tests/test_machine.py
+++ b/ferrydock/hall/tests/test_machine.py
@@ -191,7 +191,7 @@
             return
         for daemon in self.world.daemons:
             for replica in daemon.placement.replicas.values():
-                statement = daemon.book.get(replica.replica_id)
+                statement = daemon.attestations.get(replica.replica_id)
                 if statement is None or statement.generation != replica.generation:
                     continue
                 self.check_no_return(replica, statement)
--- a/ferrydock/hall/tests/world.py
+++ b/ferrydock/hall/tests/world.py
@@ -15,7 +15,7 @@
 )
 from ...store import MemoryStore
 from ...table import RowKey, Table
-from .. import AttestationBook, HallController, HallObserver, Prober
+from .. import Attestations, HallController, HallObserver, Prober
 
 TTL_S = 2.0
 LEASE_S = 4.0
@@ -49,13 +49,13 @@
         self.name = name
         self.store = FaultyStore(world.store)
         self.control = LocalControl(world.fleet)
-        self.book = AttestationBook(TTL_S)
+        self.attestations = Attestations(TTL_S)
         self.box_list = LocalBoxList(world.fleet)
         absences = AbsenceModel()
         self.observer = HallObserver(
-            hall, self.box_list, self.control, self.book, absences, world.clock
+            hall, self.box_list, self.control, self.attestations, absences, world.clock
         )
-        self.prober = Prober(self.control, self.book, world.clock)
+        self.prober = Prober(self.control, self.attestations, world.clock)
         self.placement = HallPlacement(hall)
         self.controller = HallController(
             hall,
@@ -76,7 +76,7 @@
     def learn(self, placement):
         if placement.fence > self.placement.fence:
             self.placement = placement
-            self.book.keep_only(set(placement.replicas))
+            self.attestations.keep_only(set(placement.replicas))
             self.controller.learn(placement)
 
     async def step(self, candidate=True, first_choice=True):
@@ -88,7 +88,7 @@
     def whole(self):
         now_s = self.world.clock.now_s()
         replicas = self.placement.replicas.values()
-        return [r for r in replicas if r.phase == "serving" and self.book.whole(r, now_s)]
+        return [r for r in replicas if r.phase == "serving" and self.attestations.whole(r, now_s)]
 
 
 class World:
--- a/ferrydock/membership/_digest.py
+++ b/ferrydock/membership/_digest.py
@@ -163,7 +163,7 @@
     ages, running, waiting = bytearray(), bytearray(), bytearray()
     for replica_id in sorted(state.placement.replicas):
         replica = state.placement.replicas[replica_id]
-        statement = state.book.get(replica_id)
+        statement = state.attestations.get(replica_id)
         known = statement is not None and statement.generation == replica.generation
         age = _age_steps(now_s - statement.probed_s) if known else NO_STATEMENT
         ages.append(age)
--- a/ferrydock/membership/_state.py
+++ b/ferrydock/membership/_state.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass, field
 
-from ..hall import Attestation, AttestationBook
+from ..hall import Attestation, Attestations
 from ..placement import HallPlacement, ReplicaPhase
 from ..table import TableKeeper, TableView
 from ._members import DaemonInfo, MemberTable
@@ -115,7 +115,7 @@
         This daemon.
     keeper : TableKeeper
         The table in force.
-    book : AttestationBook
+    attestations : Attestations
         Which replicas are whole.
     random_source : random.Random
         Draws what of the neighbours' demand goes into a digest.
@@ -124,7 +124,7 @@
     __slots__ = (
         "_placement_listeners",
         "_summary_taken_s",
-        "book",
+        "attestations",
         "controller",
         "demands",
         "halls",
@@ -139,12 +139,12 @@
         self,
         own: DaemonInfo,
         keeper: TableKeeper,
-        book: AttestationBook,
+        attestations: Attestations,
         random_source: random.Random,
     ):
         self.members = MemberTable(own)
         self.keeper = keeper
-        self.book = book
+        self.attestations = attestations
         self.random_source = random_source
         self.placement = HallPlacement(own.hall)
         self.controller: ControllerNews | None = None
@@ -168,7 +168,7 @@
         if placement.fence <= self.placement.fence:
             return False
         self.placement = placement
-        self.book.keep_only(set(placement.replicas))
+        self.attestations.keep_only(set(placement.replicas))
         for listener in self._placement_listeners:
             listener(placement)
         return True
@@ -220,7 +220,7 @@
     def offer_attestations(self, statements: tuple[Attestation, ...]) -> None:
         """Take statements that replicas are whole."""
         for statement in statements:
-            self.book.accept(statement)
+            self.attestations.accept(statement)
 
     def tick(self, now_s: float) -> None:
         """Forget demands that nobody renews."""
@@ -248,7 +248,9 @@
             controller=controller,
             store_away=self.store_away,
             wanted=_wanted(view, self.hall),
-            serving=sum(1 for r in self.placement.replicas.values() if self.book.whole(r, now_s)),
+            serving=sum(
+                1 for r in self.placement.replicas.values() if self.attestations.whole(r, now_s)
+            ),
             demands=self._hall_demands(),
         )
 
@@ -256,9 +258,9 @@
         loads: dict[str, list[int]] = {}
         for replica in self.placement.replicas.values():
             serving = replica.phase is ReplicaPhase.SERVING
-            if not serving or not self.book.whole(replica, now_s):
+            if not serving or not self.attestations.whole(replica, now_s):
                 continue
-            statement = self.book.get(replica.replica_id)
+            statement = self.attestations.get(replica.replica_id)
             load = loads.setdefault(replica.model, [0, 0, 0])
             load[0] += 1
             load[1] += replica.slots
--- a/ferrydock/membership/tests/test_membership.py
+++ b/ferrydock/membership/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 from ...clock import ManualClock
 from ...engines import Fence
-from ...hall import Attestation, AttestationBook
+from ...hall import Attestation, Attestations
 from ...outcomes import Unavailable
 from ...placement import HallPlacement, Member, Replica, ReplicaPhase
 from ...table import AcceptedEdit, Change, RowKey, Table, TableCopy, TableKeeper, next_lineage
@@ -35,7 +35,7 @@
 
 def state(name, hall="hall-a"):
     own = DaemonInfo(name, hall, f"{name}:1", f"http://{name}")
-    return SharedState(own, TableKeeper(), AttestationBook(2.0), random.Random(name))
+    return SharedState(own, TableKeeper(), Attestations(2.0), random.Random(name))
 
 
 def test_suspicion_comes_before_death_and_can_be_refuted():
@@ -133,22 +133,22 @@
     one, two = state("a"), state("b")
     for each in (one, two):
         each.offer_placement(placement())
-    one.book.accept(Attestation("r", Fence(1, 0, 2), 9.0, 3, 1))
+    one.attestations.accept(Attestation("r", Fence(1, 0, 2), 9.0, 3, 1))
     exchange(one, two, 10.0, transit_s=0.25)
-    got = two.book.get("r")
+    got = two.attestations.get("r")
     assert 8.7 <= got.probed_s <= 8.75
     assert (got.running, got.waiting) == (3, 1)
     exchange(two, one, 10.0)
-    assert one.book.get("r").probed_s == 9.0
+    assert one.attestations.get("r").probed_s == 9.0
 
 
 def test_statements_on_another_record_are_not_taken():
     one, two = state("a"), state("b")
     one.offer_placement(placement())
-    one.book.accept(Attestation("r", Fence(1, 0, 2), 9.0))
+    one.attestations.accept(Attestation("r", Fence(1, 0, 2), 9.0))
     needs = exchange(one, two)
     assert needs.placement
-    assert two.book.get("r") is None
+    assert two.attestations.get("r") is None
 
 
 def test_controller_demand_and_revisions_travel():
@@ -168,7 +168,7 @@
 def test_other_halls_get_a_summary_and_nothing_else():
     one, two = state("a"), state("z", "hall-b")
     one.offer_placement(placement())
-    one.book.accept(Attestation("r", Fence(1, 0, 2), 9.0))
+    one.attestations.accept(Attestation("r", Fence(1, 0, 2), 9.0))
     digest = build_digest(one, 10.0, "hall-b", True)
     assert len(digest.members) == 0
     exchange(one, two)
@@ -186,7 +186,7 @@
         name = f"hall-a-r100-{number}"
         generation = Fence(100, 0, number + 1)
         replicas[name] = Replica(name, "draft", "1", generation, members, 8, ReplicaPhase.SERVING)
-        one.book.accept(Attestation(name, generation, 99.9, 5, 0))
+        one.attestations.accept(Attestation(name, generation, 99.9, 5, 0))
     one.offer_placement(HallPlacement("hall-a", Fence(100, 0, 99), replicas))
     for number in range(75):
         one.offer_demand(DemandNews(f"daemon-{number:04d}", 99.0, {"lanyu-draft": 3.0}))
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -17,7 +17,7 @@
     Spill,
     TableRoutes,
 )
-from ..hall import AttestationBook, HallController, HallObserver, Prober
+from ..hall import Attestations, HallController, HallObserver, Prober
 from ..logs import log_event
 from ..membership import (
     BurnGatherer,
@@ -35,14 +35,14 @@
     GROUP_WAIT_S,
     RELAY_FROM_DAEMONS,
     RELAYED_WAIT_S,
-    ClaimBook,
+    ClaimStore,
     ClaimWriter,
-    Dispatcher,
     EngineClient,
     RelayingClaimWriter,
     ReplicaGate,
+    RequestExecutor,
 )
-from ..routing import RouteBook, make_routing_policy
+from ..routing import ReplicaLoads, make_routing_policy
 from ..store import BoxList, Store, WeightStore
 from ..table import TableKeeper, TableRepository, TableView, TableWatcher
 from ..teams import LimitBook, Neighbourhood
@@ -110,7 +110,7 @@
         settings, clock, store = self.settings, self.clock, self.platform.store
         own = DaemonInfo(self.name, settings.hall, settings.peer_advertise, "")
         self.keeper = TableKeeper(self._on_table)
-        self.attestations = AttestationBook(ttl_s=2.0)
+        self.attestations = Attestations(ttl_s=2.0)
         self.state = SharedState(own, self.keeper, self.attestations, self.random_source)
         self.state.listen_placement(self._on_placement)
         self.repository = TableRepository(store, clock, self.random_source)
@@ -147,14 +147,14 @@
         )
         self.exchange_server.on_burn = self.burn_gatherer.reply
         self.limits = LimitBook()
-        self.route_book = RouteBook(self.attestations)
+        self.replica_loads = ReplicaLoads(self.attestations)
         policy = make_routing_policy("prefix_affinity", self.random_source)
-        self.gate = ReplicaGate(self.state, self.route_book, policy, clock)
+        self.gate = ReplicaGate(self.state, self.replica_loads, policy, clock)
         self.engine_client = EngineClient()
-        self.dispatcher = Dispatcher(
+        self.executor = RequestExecutor(
             self.state,
             self.gate,
-            self.route_book,
+            self.replica_loads,
             self.engine_client,
             self.control,
             clock,
@@ -165,7 +165,7 @@
         writer = RelayingClaimWriter(
             self.claim_writer, self._claim_address, self.exchange_client.write_claim
         )
-        self.claims = ClaimBook(self.platform.store, writer, clock, 86400.0, self.name)
+        self.claims = ClaimStore(self.platform.store, writer, clock, 86400.0, self.name)
         refused = frozenset() if settings.store == "embedded" else DEMO_DIGESTS
         self.callers = Callers(self.keeper, settings.operator_key_digests, refused)
         self.spill = Spill(self.state, clock)
@@ -173,7 +173,7 @@
             state=self.state,
             callers=self.callers,
             limits=self.limits,
-            dispatcher=self.dispatcher,
+            executor=self.executor,
             spill=self.spill,
             claims=self.claims,
             recorder=self.recorder,
@@ -263,7 +263,7 @@
         await self.gossip.close()
         await self.exchange_server.close()
         await self.exchange_client.close()
-        await self.dispatcher.close()
+        await self.executor.close()
         for part in (self.engine_client, self.control, self.spill, self.services, self.platform):
             await part.close()
 
@@ -279,7 +279,7 @@
         self.table_routes.take(view, self.clock.now_s())
         self.attestations.ttl_s = view.site.attestation_ttl_s
         self.claims.retention_s = view.site.claim_retention_s
-        self.dispatcher.budget.ratio = view.site.retry_budget_ratio
+        self.executor.budget.ratio = view.site.retry_budget_ratio
         self.services.budget.ratio = view.site.retry_budget_ratio
         self.update_limits()
         if self.settings.store != "embedded":
@@ -303,7 +303,7 @@
 
     def _on_placement(self, placement: HallPlacement) -> None:
         self.controller.learn(placement)
-        self.route_book.keep_only(placement)
+        self.replica_loads.keep_only(placement)
 
     # Requests -----------------------------------------------------------------------------
 
--- a/ferrydock/node/_rounds.py
+++ b/ferrydock/node/_rounds.py
@@ -71,7 +71,7 @@
         """Begin all loops."""
         node = self.node
         self._spawn(node.gossip.run())
-        self._spawn(node.dispatcher.watch())
+        self._spawn(node.executor.watch())
         self._spawn(self._follow_store())
         self._spawn(self._every(CONTROL_ROUND_S, self._control_round))
         self._spawn(self._probe_rounds())
@@ -192,11 +192,11 @@
         while True:
             recorded = node.state.placement.replicas.values()
             since_s = node.clock.now_s() - EVENTS_OF_INTEREST_S
-            replicas = [r for r in recorded if node.route_book.used_since(r.replica_id, since_s)]
+            replicas = [r for r in recorded if node.replica_loads.used_since(r.replica_id, since_s)]
             for replica in replicas:
-                after = node.route_book.last_sequence(replica.replica_id)
+                after = node.replica_loads.last_sequence(replica.replica_id)
                 news = await node.control.cache_events(replica.head.url, after)
                 if not isinstance(news, Unavailable):
-                    node.route_book.take_events(replica.replica_id, news)
+                    node.replica_loads.take_events(replica.replica_id, news)
                 await asyncio.sleep(1 / EVENT_POLLS_PER_S)
             await asyncio.sleep(max(0.0, 1.0 - len(replicas) / EVENT_POLLS_PER_S))
--- a/ferrydock/node/_status.py
+++ b/ferrydock/node/_status.py
@@ -120,7 +120,7 @@
         "orders_refused": node.controller.counters.refused,
         "record_writes": node.controller.counters.writes,
         "claim_writes": node.claim_writer.groups,
-        "retries": node.dispatcher.budget.spent,
+        "retries": node.executor.budget.spent,
         "in_flight": node.gateway.in_flight,
         "box_list_reads": node.observer.list_reads,
         "connections": node.gateway.connection_counts(),
--- a/ferrydock/node/tests/test_tls.py
+++ b/ferrydock/node/tests/test_tls.py
@@ -12,7 +12,7 @@
 from cryptography.x509.oid import NameOID
 
 from ...clock import ManualClock
-from ...hall import AttestationBook
+from ...hall import Attestations
 from ...membership import (
     DaemonInfo,
     ExchangeClient,
@@ -76,7 +76,7 @@
 
 def state(name):
     own = DaemonInfo(name, "hall-a", f"{name}:1", "")
-    return SharedState(own, TableKeeper(), AttestationBook(2.0), random.Random(1))
+    return SharedState(own, TableKeeper(), Attestations(2.0), random.Random(1))
 
 
 def test_a_peer_without_a_certificate_of_the_authority_gets_nothing(tmp_path):
--- a/ferrydock/requests/__init__.py
+++ b/ferrydock/requests/__init__.py
@@ -11,9 +11,9 @@
     RelayingClaimWriter,
     WritesClaims,
 )
-from ._claims import Claim, ClaimBook, ClaimEnd, ClaimUnfinished, ClaimUnwritten, claim_key
-from ._dispatcher import Dispatcher, Ended, GaveUp
+from ._claims import Claim, ClaimEnd, ClaimStore, ClaimUnfinished, ClaimUnwritten, claim_key
 from ._events import EventRelay, error_event, text_so_far
+from ._executor import Ended, GaveUp, RequestExecutor
 from ._lifecycle import RequestLife, RequestPhase
 from ._model_request import ModelRequest, parse_model_request, prompt_blocks
 
@@ -27,12 +27,12 @@
     "Caller",
     "CallerLeft",
     "Claim",
-    "ClaimBook",
+    "ClaimStore",
     "ClaimEnd",
     "ClaimUnfinished",
     "ClaimUnwritten",
     "ClaimWriter",
-    "Dispatcher",
+    "RequestExecutor",
     "Ended",
     "EngineClient",
     "EventRelay",
--- a/ferrydock/requests/_admission.py
+++ b/ferrydock/requests/_admission.py
@@ -7,7 +7,7 @@
 from ..membership import SharedState
 from ..outcomes import NotRun
 from ..placement import Replica
-from ..routing import Candidate, RouteBook, RouteRequest, RoutingPolicy
+from ..routing import Candidate, ReplicaLoads, RouteRequest, RoutingPolicy
 from ..teams import FairQueue, Waiting
 from ._model_request import ModelRequest
 
@@ -35,7 +35,7 @@
     ----------
     state : SharedState
         Placement, attestations and the table.
-    book : RouteBook
+    loads : ReplicaLoads
         What is remembered of the replicas.
     policy : RoutingPolicy
         Chooses.
@@ -43,11 +43,13 @@
         For deadlines.
     """
 
-    __slots__ = ("_pump", "_queues", "book", "clock", "policy", "service_s", "state")
+    __slots__ = ("_pump", "_queues", "loads", "clock", "policy", "service_s", "state")
 
-    def __init__(self, state: SharedState, book: RouteBook, policy: RoutingPolicy, clock: Clock):
+    def __init__(
+        self, state: SharedState, loads: ReplicaLoads, policy: RoutingPolicy, clock: Clock
+    ):
         self.state = state
-        self.book = book
+        self.loads = loads
         self.policy = policy
         self.clock = clock
         self.service_s: dict[str, float] = {}
@@ -67,10 +69,10 @@
         """Return a replica with room, or None."""
         view = self.state.keeper.view
         now_s = self.clock.now_s()
-        serving = self.book.serving(self.state.placement, view, request.model, now_s)
+        serving = self.loads.serving(self.state.placement, view, request.model, now_s)
         open_to_it = [r for r in serving if r.generation not in excluded]
         daemons = max(1, len(self.state.members.working()))
-        candidates = self.book.candidates(open_to_it, request.blocks, now_s, daemons)
+        candidates = self.loads.candidates(open_to_it, request.blocks, now_s, daemons)
         with_room = [c for c in candidates if _has_room(c)]
         route = RouteRequest(request.model, request.blocks, request.priority)
         return self.policy.choose(with_room, route)
@@ -79,11 +81,11 @@
         """Return whether a request for `model` would find a replica here without waiting."""
         view = self.state.keeper.view
         now_s = self.clock.now_s()
-        serving = self.book.serving(self.state.placement, view, model, now_s)
+        serving = self.loads.serving(self.state.placement, view, model, now_s)
         return any(self._replica_has_room(replica, now_s) for replica in serving)
 
     def _replica_has_room(self, replica: Replica, now_s: float) -> bool:
-        (candidate,) = self.book.candidates((replica,), (), now_s)
+        (candidate,) = self.loads.candidates((replica,), (), now_s)
         return _has_room(candidate)
 
     async def choose(
@@ -155,7 +157,7 @@
     def _slots(self, model: str) -> int:
         view = self.state.keeper.view
         now_s = self.clock.now_s()
-        serving = self.book.serving(self.state.placement, view, model, now_s)
+        serving = self.loads.serving(self.state.placement, view, model, now_s)
         return sum(replica.slots for replica in serving)
 
     def note_service(self, model: str, took_s: float) -> None:
--- a/ferrydock/requests/_claim_writer.py
+++ b/ferrydock/requests/_claim_writer.py
@@ -32,7 +32,7 @@
 
 
 class WritesClaims(Protocol):
-    """What a `ClaimBook` needs for writing."""
+    """What a `ClaimStore` needs for writing."""
 
     async def write(self, txn: Txn) -> Outcome:
         """Apply one claim's transaction."""
--- a/ferrydock/requests/_claims.py
+++ b/ferrydock/requests/_claims.py
@@ -34,7 +34,7 @@
 )
 from ._claim_writer import WritesClaims
 
-__all__ = ["Claim", "ClaimBook", "ClaimEnd", "ClaimUnfinished", "ClaimUnwritten", "claim_key"]
+__all__ = ["Claim", "ClaimStore", "ClaimEnd", "ClaimUnfinished", "ClaimUnwritten", "claim_key"]
 
 _LOG = logging.getLogger("ferrydock.requests")
 RECORDED_BODY_BYTES = 65536
@@ -94,7 +94,7 @@
     reason: str
 
 
-class ClaimBook:
+class ClaimStore:
     """Creates, reads back and ends claims.
 
     Parameters
--- a/ferrydock/requests/_dispatcher.py
+++ b/ferrydock/requests/_executor.py
@@ -13,7 +13,7 @@
 from ..membership import SharedState
 from ..outcomes import NotRun, Run
 from ..placement import Replica
-from ..routing import Candidate, Flight, RouteBook
+from ..routing import Candidate, Flight, ReplicaLoads
 from ._admission import ReplicaGate
 from ._attempt import Answered, Attempt, Broken, Caller, CallerLeft, EngineClient, Refused, Streamed
 from ._budget import RetryBudget, backoff_s
@@ -21,7 +21,7 @@
 from ._lifecycle import RequestLife
 from ._model_request import ModelRequest
 
-__all__ = ["Dispatcher", "Ended", "GaveUp"]
+__all__ = ["RequestExecutor", "Ended", "GaveUp"]
 
 _LOG = logging.getLogger("ferrydock.requests")
 MOST_ATTEMPTS = 6
@@ -57,7 +57,7 @@
     broken_since_s: float | None = None
 
 
-class Dispatcher:
+class RequestExecutor:
     """Runs model requests on this hall's replicas.
 
     Parameters
@@ -66,7 +66,7 @@
         Placement, attestations and the table.
     gate : ReplicaGate
         Chooses replicas.
-    book : RouteBook
+    loads : ReplicaLoads
         Is told what happens.
     client : EngineClient
         Data side of the engines.
@@ -81,7 +81,7 @@
     __slots__ = (
         "_tasks",
         "_watched",
-        "book",
+        "loads",
         "budget",
         "client",
         "clock",
@@ -95,7 +95,7 @@
         self,
         state: SharedState,
         gate: ReplicaGate,
-        book: RouteBook,
+        loads: ReplicaLoads,
         client: EngineClient,
         control: EngineControl,
         clock: Clock,
@@ -103,7 +103,7 @@
     ):
         self.state = state
         self.gate = gate
-        self.book = book
+        self.loads = loads
         self.client = client
         self.control = control
         self.clock = clock
@@ -155,7 +155,7 @@
         """Check every attempt once."""
         for watched in list(self._watched):
             replica = watched.attempt.replica
-            if self.state.book.whole(replica, now_s):
+            if self.state.attestations.whole(replica, now_s):
                 watched.broken_since_s = None
             elif watched.broken_since_s is None:
                 watched.broken_since_s = now_s
@@ -195,7 +195,7 @@
         "attempts",
         "body",
         "caller",
-        "dispatcher",
+        "executor",
         "excluded",
         "life",
         "relay",
@@ -205,8 +205,8 @@
         "weight",
     )
 
-    def __init__(self, dispatcher, request, caller, life, weight):
-        self.dispatcher: Dispatcher = dispatcher
+    def __init__(self, executor, request, caller, life, weight):
+        self.executor: RequestExecutor = executor
         self.request: ModelRequest = request
         self.caller: Caller = caller
         self.life: RequestLife = life
@@ -216,11 +216,11 @@
         self.attempts = 0
         self.body: bytes | None = None
         self.replica: Replica | None = None
-        self.started_s = dispatcher.clock.now_s()
+        self.started_s = executor.clock.now_s()
 
     async def to_end(self) -> Ended | NotRun | GaveUp:
         """Attempt until there is a whole answer, or nothing more may be done."""
-        self.dispatcher.budget.first_attempt()
+        self.executor.budget.first_attempt()
         while True:
             self.life.queue()
             chosen = await self._choose()
@@ -246,10 +246,10 @@
                 return stop
 
     async def _choose(self) -> Candidate | NotRun:
-        wait_s = self.dispatcher.state.keeper.view.site.queue_wait_s
+        wait_s = self.executor.state.keeper.view.site.queue_wait_s
         if self.relay.events:
             wait_s = max(wait_s, CONTINUE_WAIT_S)
-        return await self.dispatcher.gate.choose(self.request, self.excluded, self.weight, wait_s)
+        return await self.executor.gate.choose(self.request, self.excluded, self.weight, wait_s)
 
     def _no_replica(self, refusal: NotRun) -> NotRun | GaveUp:
         run = self.life.give_up()
@@ -261,10 +261,10 @@
 
     async def _attempt(self, chosen: Candidate) -> Answered | Streamed | Refused | Broken:
         """Send to one replica; resume there as long as the engine goes on."""
-        dispatcher = self.dispatcher
+        executor = self.executor
         self.attempts += 1
         self.replica = chosen.replica
-        flight = dispatcher.book.sent(chosen.replica, self.request.blocks, dispatcher.clock.now_s())
+        flight = executor.loads.sent(chosen.replica, self.request.blocks, executor.clock.now_s())
         self.caller.on_first = lambda: self._first_event(flight)
         try:
             self.life.dispatch()
@@ -272,7 +272,7 @@
             for _ in range(RESUMES):
                 if not isinstance(outcome, Broken) or not self.request.stream:
                     break
-                if not dispatcher.state.book.whole(chosen.replica, dispatcher.clock.now_s()):
+                if not executor.state.attestations.whole(chosen.replica, executor.clock.now_s()):
                     break
                 self.life.resume()
                 resumed = await self._send(chosen.replica, resume=True)
@@ -281,37 +281,39 @@
                 outcome = resumed
             return outcome
         finally:
-            dispatcher.book.ended(flight)
-            dispatcher.gate.wake(self.request.model)
+            executor.loads.ended(flight)
+            executor.gate.wake(self.request.model)
 
     def _first_event(self, flight: Flight) -> None:
         self.life.first_byte()
-        self.dispatcher.book.first_token(flight, self.dispatcher.clock.now_s())
+        self.executor.loads.first_token(flight, self.executor.clock.now_s())
 
     async def _send(self, replica: Replica, resume: bool):
-        dispatcher = self.dispatcher
+        executor = self.executor
         attempt = Attempt(replica)
         patience_s = BROKEN_AFTER_S if self.request.repeatable else PATIENCE_S
-        watched = dispatcher.watch_attempt(attempt, patience_s)
+        watched = executor.watch_attempt(attempt, patience_s)
         body = None if resume else self.body
         try:
-            return await dispatcher.client.send(
+            return await executor.client.send(
                 self.request, attempt, self.relay, self.caller, resume, body
             )
         finally:
-            dispatcher.unwatch(watched)
+            executor.unwatch(watched)
 
     def _finished(self, outcome: Answered | Streamed, chosen: Candidate) -> Ended:
         self.life.finish()
-        took_s = self.dispatcher.clock.now_s() - self.started_s
-        self.dispatcher.gate.note_service(self.request.model, took_s)
+        took_s = self.executor.clock.now_s() - self.started_s
+        self.executor.gate.note_service(self.request.model, took_s)
         return Ended(outcome, chosen.replica.replica_id)
 
     def _take_back(self, refused: Refused, chosen: Candidate) -> None:
         self.life.take_back()
         self.excluded.add(chosen.replica.generation)
         if refused.stale or not refused.connected:
-            self.dispatcher.state.book.revoke(chosen.replica.replica_id, chosen.replica.generation)
+            self.executor.state.attestations.revoke(
+                chosen.replica.replica_id, chosen.replica.generation
+            )
 
     async def _before_retry(self, outcome: Refused | Broken) -> NotRun | GaveUp | None:
         """Decide whether another attempt may follow; prepare it, or end."""
@@ -319,17 +321,17 @@
             return GaveUp(outcome.reason, self.life.give_up())
         if isinstance(outcome, Broken) and self.relay.events and not self._continue_elsewhere():
             return GaveUp(outcome.reason, self.life.give_up())
-        late = self.dispatcher.clock.now_s() >= self.request.deadline_s
-        if late or self.attempts >= MOST_ATTEMPTS or not self.dispatcher.budget.spend():
+        late = self.executor.clock.now_s() >= self.request.deadline_s
+        if late or self.attempts >= MOST_ATTEMPTS or not self.executor.budget.spend():
             run = self.life.give_up()
             if run is Run.NOT_RUN:
-                after_s = self.dispatcher.gate.retry_after_s(
+                after_s = self.executor.gate.retry_after_s(
                     self.request.model, self.request.priority
                 )
                 return NotRun("refused_by_target", outcome.reason, after_s)
             return GaveUp(outcome.reason, run)
         if isinstance(outcome, Broken) or self.attempts > 1:
-            await asyncio.sleep(backoff_s(self.attempts, self.dispatcher.random_source))
+            await asyncio.sleep(backoff_s(self.attempts, self.executor.random_source))
         return None
 
     def _continue_elsewhere(self) -> bool:
@@ -346,4 +348,4 @@
     def cancel_at_engine(self) -> None:
         """Free the engine's slot: the caller has left."""
         if self.replica is not None:
-            self.dispatcher.cancel_later(self.replica, self.request.request_id)
+            self.executor.cancel_later(self.replica, self.request.request_id)
--- a/ferrydock/requests/tests/test_life_and_claims.py
+++ b/ferrydock/requests/tests/test_life_and_claims.py
@@ -19,8 +19,8 @@
 from ...store import MemoryStore
 from .. import (
     Claim,
-    ClaimBook,
     ClaimEnd,
+    ClaimStore,
     ClaimUnfinished,
     ClaimUnwritten,
     ClaimWriter,
@@ -131,8 +131,8 @@
 # Claims ---------------------------------------------------------------------------------------
 
 
-def book(store, name="d"):
-    return ClaimBook(store, ClaimWriter(store), ManualClock(), 3600.0, name)
+def loads(store, name="d"):
+    return ClaimStore(store, ClaimWriter(store), ManualClock(), 3600.0, name)
 
 
 def run(check):
@@ -142,11 +142,11 @@
 def test_the_second_try_gets_the_recorded_end():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
-        claim = await book(store).open("t", "k", 9.0)
+        claim = await loads(store).open("t", "k", 9.0)
         assert isinstance(claim, Claim)
-        assert isinstance(await book(store).open("t", "k", 9.0), ClaimUnfinished)
-        assert await book(store).end(claim, 201, "text/plain", b"filed")
-        again = await book(store).open("t", "k", 9.0)
+        assert isinstance(await loads(store).open("t", "k", 9.0), ClaimUnfinished)
+        assert await loads(store).end(claim, 201, "text/plain", b"filed")
+        again = await loads(store).open("t", "k", 9.0)
         assert isinstance(again, ClaimEnd)
         assert (again.status, again.body) == (201, b"filed")
 
@@ -156,7 +156,7 @@
 def test_two_daemons_with_the_same_key_at_once_give_one_claim():
     async def check():
         store = MemoryStore(ManualClock())
-        books = [book(FaultyStore(store), f"d{i}") for i in range(5)]
+        books = [loads(FaultyStore(store), f"d{i}") for i in range(5)]
         found = await asyncio.gather(*(b.open("t", "k", 9.0) for b in books))
         assert sum(isinstance(f, Claim) for f in found) == 1
 
@@ -167,7 +167,7 @@
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
         store.lose_answers = 1
-        assert isinstance(await book(store).open("t", "k", 9.0), Claim)
+        assert isinstance(await loads(store).open("t", "k", 9.0), Claim)
 
     run(check)
 
@@ -176,7 +176,7 @@
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
         store.down = True
-        assert isinstance(await book(store).open("t", "k", 9.0), ClaimUnwritten)
+        assert isinstance(await loads(store).open("t", "k", 9.0), ClaimUnwritten)
 
     run(check)
 
@@ -184,14 +184,14 @@
 def test_a_claim_that_lands_after_it_was_given_up_is_withdrawn():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
-        mine = book(store)
+        mine = loads(store)
         store.lose_writes = 100
         assert isinstance(await mine.open("t", "k", 9.0), ClaimUnwritten)
         store.lose_writes = 0
         await store.deliver_late()
-        assert isinstance(await book(store).open("t", "k", 9.0), ClaimUnfinished)
+        assert isinstance(await loads(store).open("t", "k", 9.0), ClaimUnfinished)
         await mine.tidy()
-        assert isinstance(await book(store).open("t", "k", 9.0), Claim)
+        assert isinstance(await loads(store).open("t", "k", 9.0), Claim)
 
     run(check)
 
@@ -199,7 +199,7 @@
 def test_claims_that_come_together_share_a_write():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
-        mine = book(store)
+        mine = loads(store)
         found = await asyncio.gather(*(mine.open("t", f"k{i}", 9.0) for i in range(40)))
         assert all(isinstance(f, Claim) for f in found)
         assert mine.writer.groups <= 2
@@ -214,7 +214,7 @@
         )
 
     writer = RelayingClaimWriter(ClaimWriter(store), lambda: "hall", send or hand_over)
-    return ClaimBook(store, writer, ManualClock(), 3600.0, "d")
+    return ClaimStore(store, writer, ManualClock(), 3600.0, "d")
 
 
 def test_daemons_of_a_hall_share_writes_through_one_of_them():
@@ -284,7 +284,7 @@
         store.down = source.random() < 0.15
         store.lose_answers = source.choice((0, 0, 0, 1))
         store.lose_writes = source.choice((0, 0, 0, 1, 9))
-        daemon = book(store)
+        daemon = loads(store)
         found = await daemon.open("t", key, 0.0)
         crash = source.random()
         if isinstance(found, Claim) and crash > 0.1:
--- a/ferrydock/routing/__init__.py
+++ b/ferrydock/routing/__init__.py
@@ -1,6 +1,5 @@
 """Which replica takes a request: candidates, what is remembered of them, and the policies."""
 
-from ._book import Flight, RouteBook
 from ._candidate import Candidate, RouteRequest
 from ._policies import (
     LeastOutstanding,
@@ -11,6 +10,7 @@
     register_routing_policy,
     routing_policies,
 )
+from ._replica_loads import Flight, ReplicaLoads
 
 __all__ = [
     "Candidate",
@@ -18,7 +18,7 @@
     "LeastOutstanding",
     "PrefixAffinity",
     "RoundRobin",
-    "RouteBook",
+    "ReplicaLoads",
     "RouteRequest",
     "RoutingPolicy",
     "make_routing_policy",
--- a/ferrydock/routing/_book.py
+++ b/ferrydock/routing/_replica_loads.py
@@ -6,12 +6,12 @@
 from itertools import takewhile
 
 from ..engines import CacheEvents
-from ..hall import AttestationBook
+from ..hall import Attestations
 from ..placement import HallPlacement, Replica, ReplicaPhase
 from ..table import TableView
 from ._candidate import Candidate
 
-__all__ = ["Flight", "RouteBook"]
+__all__ = ["Flight", "ReplicaLoads"]
 
 LATENCY_WEIGHT = 0.2
 LATENCY_FORGET_S = 30.0
@@ -43,18 +43,18 @@
     gaps: int = 0
 
 
-class RouteBook:
+class ReplicaLoads:
     """Keeps what routing needs beside the placement record.
 
     Parameters
     ----------
-    attestations : AttestationBook
+    attestations : Attestations
         Only attested replicas are candidates.
     """
 
     __slots__ = ("_memories", "_placement", "_serving", "_view", "attestations")
 
-    def __init__(self, attestations: AttestationBook):
+    def __init__(self, attestations: Attestations):
         self.attestations = attestations
         self._memories: dict[str, _Memory] = {}
         self._placement: HallPlacement | None = None
--- a/ferrydock/routing/tests/test_routing.py
+++ b/ferrydock/routing/tests/test_routing.py
@@ -5,10 +5,10 @@
 import pytest
 
 from ...engines import CacheEvent, CacheEvents, Fence
-from ...hall import Attestation, AttestationBook
+from ...hall import Attestation, Attestations
 from ...placement import HallPlacement, Member, Replica, ReplicaPhase
 from ...table import RowKey, Table
-from .. import Candidate, RouteBook, RouteRequest, make_routing_policy, routing_policies
+from .. import Candidate, ReplicaLoads, RouteRequest, make_routing_policy, routing_policies
 
 
 def replica(name, slots=10, phase=ReplicaPhase.SERVING, number=1):
@@ -70,32 +70,32 @@
 
 
 def test_only_serving_attested_replicas_get_work():
-    book = AttestationBook(2.0)
-    routes = RouteBook(book)
+    loads = Attestations(2.0)
+    routes = ReplicaLoads(loads)
     good, draining = replica("good"), replica("draining", phase=ReplicaPhase.DRAINING, number=2)
     unknown = replica("unknown", number=3)
     placement = HallPlacement(
         "h", Fence(1, 0, 4), {r.replica_id: r for r in (good, draining, unknown)}
     )
     for known in (good, draining):
-        book.accept(Attestation(known.replica_id, known.generation, 10.0))
+        loads.accept(Attestation(known.replica_id, known.generation, 10.0))
     assert routes.serving(placement, VIEW, "draft", 11.0) == [good]
     assert routes.serving(placement, VIEW, "draft", 12.1) == []
 
 
 def test_a_box_that_operators_mark_as_leaving_takes_its_replica_out_at_once():
-    book = AttestationBook(2.0)
+    loads = Attestations(2.0)
     good = replica("good")
-    book.accept(Attestation("good", good.generation, 10.0))
+    loads.accept(Attestation("good", good.generation, 10.0))
     cells = {"kind": "model_engine", "boxes": "good-2", "leaving": "true"}
     view = Table({RowKey("models", "draft"): {}, RowKey("targets", "t"): cells}, 2).view()
     placement = HallPlacement("h", Fence(1, 0, 4), {"good": good})
-    assert RouteBook(book).serving(placement, VIEW, "draft", 10.5) == [good]
-    assert RouteBook(book).serving(placement, view, "draft", 10.5) == []
+    assert ReplicaLoads(loads).serving(placement, VIEW, "draft", 10.5) == [good]
+    assert ReplicaLoads(loads).serving(placement, view, "draft", 10.5) == []
 
 
 def test_events_with_gaps_and_of_a_new_cache():
-    routes = RouteBook(AttestationBook(2.0))
+    routes = ReplicaLoads(Attestations(2.0))
     good = replica("good")
 
     def cached(blocks):
