--- a/ferrydock/gateway/__init__.py
+++ b/ferrydock/gateway/__init__.py
@@ -1,4 +1,9 @@
-"""HTTP towards callers and operators."""
+"""HTTP of the table's daemon towards callers and operators.
+
+One module for each kind of route: models, plain services, routes of the table (through
+`ferrydock.forwarding`), operators; `_app` listens. What does not belong here: running a model
+request (`ferrydock.requests`), limits of teams (`ferrydock.teams`), the table (`ferrydock.table`).
+"""
 
 from ._app import Gateway
 from ._callers import Callers
--- a/ferrydock/gateway/_app.py
+++ b/ferrydock/gateway/_app.py
@@ -1,4 +1,7 @@
-"""The HTTP application: routes, bounds, health, and the count of what is under way."""
+"""The HTTP application of the table's daemon: routes, bounds, health, requests under way.
+
+Owns the listening socket and the count of requests under way.
+"""
 
 import asyncio
 import logging
@@ -15,10 +18,19 @@
 __all__ = ["Gateway"]
 
 _LOG = logging.getLogger("ferrydock.gateway")
-LARGEST_BODY_BYTES = 4 * 2**20
-LONGEST_HEAD_BYTES = 16384
+
+# Largest body and longest line of a head that a caller may send. Chosen, not measured.
+MAX_BODY_BYTES = 4 * 2**20
+MAX_HEAD_BYTES = 16384
+
+# Pause between two looks whether requests are left; connections that may wait to be accepted; how
+# long closing waits for open ones. Chosen, not measured.
 DRAIN_LOOK_S = 0.05
-CALLER_LEFT_STATUS = 499  # nobody reads it; the usual status for that
+LISTEN_BACKLOG = 1024
+SHUTDOWN_S = 1.0
+
+# Status of a caller that left before its answer, which is never sent.
+CALLER_LEFT_STATUS = 499
 
 
 class Gateway:
@@ -29,8 +41,8 @@
     routes : list of web.RouteDef
         What is served.
     ready : callable
-        Says why the daemon is not ready, or returns an empty text.
-    most_connections : int
+        Returns why the daemon is not ready; empty if it is.
+    max_connections : int
         Connections at a time.
     first_request_s : float
         How long a new connection may take to send its first request's head.
@@ -52,7 +64,7 @@
         self,
         routes: list[web.RouteDef],
         ready: Callable[[], str],
-        most_connections: int,
+        max_connections: int,
         first_request_s: float,
     ):
         self.ready = ready
@@ -61,7 +73,7 @@
         self.address = ""
         self._guard: ConnectionGuard | None = None
         self._server: asyncio.Server | None = None
-        self._app = web.Application(client_max_size=LARGEST_BODY_BYTES)
+        self._app = web.Application(client_max_size=MAX_BODY_BYTES)
         health = [web.get("/healthz", self._healthz), web.get("/readyz", self._readyz)]
         anything_else = web.route("*", "/{path:.*}", self._no_such_path)
         for route in (*routes, *health, anything_else):
@@ -70,27 +82,27 @@
             self._app,
             access_log=None,
             handler_cancellation=True,
-            max_line_size=LONGEST_HEAD_BYTES,
-            max_field_size=LONGEST_HEAD_BYTES,
-            shutdown_timeout=1.0,
+            max_line_size=MAX_HEAD_BYTES,
+            max_field_size=MAX_HEAD_BYTES,
+            shutdown_timeout=SHUTDOWN_S,
         )
-        self._guard_settings = (most_connections, first_request_s)
+        self._guard_settings = (max_connections, first_request_s)
 
     async def start(self, listen: str, tls: ssl.SSLContext | None = None) -> str:
         """Begin to listen on ``IP:PORT``; return what was bound."""
         await self._runner.setup()
-        most, first_request_s = self._guard_settings
-        self._guard = ConnectionGuard(self._runner.server, most, first_request_s)
+        max_connections, first_request_s = self._guard_settings
+        self._guard = ConnectionGuard(self._runner.server, max_connections, first_request_s)
         host, port = listen.rsplit(":", 1)
         self._server = await asyncio.get_running_loop().create_server(
-            self._guard, host, int(port), ssl=tls, backlog=1024
+            self._guard, host, int(port), ssl=tls, backlog=LISTEN_BACKLOG
         )
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
         return self.address
 
     def connection_counts(self) -> dict[str, int]:
-        """Return how many connections were refused, and how many never said anything."""
+        """Return how many connections were refused, and how many sent no request in time."""
         return {"refused": self._guard.refused, "timed_out": self._guard.timed_out}
 
     async def stop_listening(self) -> None:
@@ -100,7 +112,7 @@
             self._server.close()
 
     async def drain(self, longest_s: float | None, busy: Callable[[], int]) -> bool:
-        """Wait until nothing is under way; return whether that came to be.
+        """Wait until nothing is under way; return whether nothing is left.
 
         Parameters
         ----------
@@ -129,7 +141,7 @@
         A wrapper costs less for each request than aiohttp's middlewares do.
         """
 
-        async def handle(request: web.Request) -> web.StreamResponse:
+        async def _handle(request: web.Request) -> web.StreamResponse:
             self._guard.note(request.protocol)
             self.in_flight += 1
             try:
@@ -150,7 +162,7 @@
             finally:
                 self.in_flight -= 1
 
-        return handle
+        return _handle
 
     async def _no_such_path(self, request: web.Request) -> web.Response:
         message = f"there is no {request.method} {request.path}"
--- a/ferrydock/gateway/_callers.py
+++ b/ferrydock/gateway/_callers.py
@@ -1,4 +1,7 @@
-"""Who calls: teams and operators by their bearer keys."""
+"""Which team or operator a request comes from, by its bearer key.
+
+Owns the teams of the keys seen under the table revision in force, so that each is looked up once.
+"""
 
 from aiohttp import web
 
@@ -6,6 +9,7 @@
 
 __all__ = ["Callers"]
 
+# Keys whose team is remembered; bounds the memory that unknown keys can take. Chosen, not measured.
 _KEYS_REMEMBERED = 4096
 
 
@@ -19,7 +23,7 @@
     bootstrap_digests : tuple of str
         Operator keys by the settings, for a table that names none yet.
     refused_digests : frozenset of str
-        Keys that count for nothing even if the table names them.
+        Keys that are refused even if the table names them.
     """
 
     __slots__ = ("_teams", "_teams_revision", "bootstrap_digests", "keeper", "refused_digests")
--- a/ferrydock/gateway/_connections.py
+++ b/ferrydock/gateway/_connections.py
@@ -1,4 +1,7 @@
-"""Bounds on connections: how many there may be, and how long one may take to say something."""
+"""Bounds on connections: how many there may be, and how long one may take to send a request.
+
+Owns which connections have sent none yet, and counts those that were refused or timed out.
+"""
 
 import asyncio
 
@@ -20,6 +23,7 @@
     """Answers a connection that is one too many, and closes it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Answer at once, and close."""
         transport.write(_FULL_HEAD % len(_FULL_BODY) + _FULL_BODY)
         transport.close()
 
@@ -30,25 +34,25 @@
     Parameters
     ----------
     server : web.Server
-        Serves the connections that are let in.
-    most : int
+        Serves the connections that are accepted.
+    max_connections : int
         How many there may be at a time.
     first_request_s : float
         How long a new connection may take to send the head of its first request.
     """
 
-    __slots__ = ("_silent", "first_request_s", "most", "refused", "server", "timed_out")
+    __slots__ = ("_silent", "first_request_s", "max_connections", "refused", "server", "timed_out")
 
-    def __init__(self, server: web.Server, most: int, first_request_s: float):
+    def __init__(self, server: web.Server, max_connections: int, first_request_s: float):
         self.server = server
-        self.most = most
+        self.max_connections = max_connections
         self.first_request_s = first_request_s
         self.refused = 0
         self.timed_out = 0
         self._silent: set[asyncio.Protocol] = set()
 
     def __call__(self) -> asyncio.Protocol:
-        if len(self.server.connections) >= self.most:
+        if len(self.server.connections) >= self.max_connections:
             self.refused += 1
             return _Refusal()
         protocol = self.server()
--- a/ferrydock/gateway/_errors.py
+++ b/ferrydock/gateway/_errors.py
@@ -1,4 +1,7 @@
-"""Answers that say what went wrong, in the JSON shape that model clients know."""
+"""Answers of the daemon's own, in the JSON shape that model clients know; stateless.
+
+Each says whether the request ran, as far as can be known, and whether to send it again.
+"""
 
 import math
 
@@ -9,6 +12,8 @@
 
 __all__ = ["error_body", "error_response", "invalid_response", "not_run_response"]
 
+# Types that clients know, by HTTP status; others are server errors.
+TOO_MANY_REQUESTS = 429
 _TYPES = {400: "invalid_request_error", 401: "authentication_error", 403: "permission_error"}
 
 
@@ -28,7 +33,7 @@
     status : int
         HTTP status; it chooses the type.
     """
-    kind = _TYPES.get(status, "rate_limit_error" if status == 429 else "server_error")
+    kind = _TYPES.get(status, "rate_limit_error" if status == TOO_MANY_REQUESTS else "server_error")
     return {
         "message": message,
         "type": kind,
@@ -63,7 +68,7 @@
 
 
 def not_run_response(outcome: NotRun) -> web.Response:
-    """Return the answer for a request that was surely not run."""
+    """Return the answer for a request that was certainly not run."""
     message = outcome.message or outcome.reason.replace("_", " ")
     return error_response(
         outcome.status, outcome.reason, message, Run.NOT_RUN, retry_after_s=outcome.retry_after_s
--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -1,9 +1,12 @@
-"""``/v1/models``, ``/v1/chat/completions`` and ``/v1/completions``."""
+"""Routes of models: ``/v1/models``, ``/v1/chat/completions`` and ``/v1/completions``.
+
+Owns the count of unfinished requests. A request passes team, body, share and limits, and then runs
+here or, if all replicas here are full, in another hall.
+"""
 
 import asyncio
 import logging
 import os
-from collections.abc import Callable
 from dataclasses import dataclass
 
 import orjson
@@ -12,38 +15,52 @@
 from ..clock import Clock
 from ..logs import log_event
 from ..membership import SharedState
-from ..outcomes import Invalid, NotRun, Run
+from ..outcomes import Invalid, NotRun
 from ..reports import Recorder
 from ..requests import (
     Answered,
     CallerLeft,
     Claim,
-    ClaimEnd,
     ClaimStore,
-    ClaimUnwritten,
     Ended,
     GaveUp,
     ModelRequest,
     RequestExecutor,
     RequestLife,
-    error_event,
     parse_model_request,
     prompt_blocks,
 )
 from ..table import Share
 from ..teams import Admission, TeamLimits
+from ._bodies import read_body
 from ._callers import Callers
-from ._errors import error_body, error_response, invalid_response, not_run_response
+from ._claim_answers import claim_response
+from ._errors import error_response, invalid_response, not_run_response
 from ._spill import HOP_HEADER, Spill
+from ._stream_caller import StreamCaller
 
 __all__ = ["ModelRoutes"]
 
 _LOG = logging.getLogger("ferrydock.gateway")
-MOST_HOPS = 1
+
+# How often a request may be handed on to another hall: no further, so that it cannot go round.
+MAX_HOPS = 1
+
+# Deadline of a request whose caller names none or an impossible one, and the longest that counts.
+# Chosen, not measured.
 DEFAULT_DEADLINE_S = 600.0
-LONGEST_DEADLINE_S = 3600.0
+MAX_DEADLINE_S = 3600.0
+
+# How long the store may take to confirm a claim before the request is refused. Chosen, not
+# measured.
 CLAIM_DEADLINE_S = 5.0
 
+# Priority of a request before its team's share is known.
+DEFAULT_PRIORITY = 5
+
+# Digits of the hop count that are believed; a longer one is no number of ours.
+MAX_HOP_DIGITS = 3
+
 
 @dataclass(slots=True)
 class ModelRoutes:
@@ -52,11 +69,11 @@
     Attributes
     ----------
     state : SharedState
-        The table in force and the neighbourhood.
+        The table in force, this hall and the summaries of others.
     callers : Callers
         Finds teams.
     limits : TeamLimits
-        Admits.
+        Admits requests under the teams' limits.
     executor : RequestExecutor
         Runs requests here.
     spill : Spill
@@ -146,7 +163,7 @@
             fields=fields,
             stream=bool(fields.get("stream")),
             blocks=prompt_blocks(fields),
-            priority=5,
+            priority=DEFAULT_PRIORITY,
             repeatable=not (marked or key),
             key=key,
             deadline_s=self.clock.now_s() + _deadline(headers.get("X-Deadline-S")),
@@ -182,7 +199,7 @@
             self.limits.release(admission)
 
     def _should_spill(self, wanted: ModelRequest) -> bool:
-        if wanted.hops >= MOST_HOPS or not self.state.halls:
+        if wanted.hops >= MAX_HOPS or not self.state.halls:
             return False
         if self.executor.gate.has_room(wanted.model):
             return False
@@ -210,7 +227,7 @@
         self.recorder.ended(wanted, outcome, caller.first_s, started_s, self.clock.now_s())
         return await self._answer(wanted, outcome, caller)
 
-    async def _end_claim(self, claim: Claim, outcome, caller: "StreamCaller") -> None:
+    async def _end_claim(self, claim: Claim, outcome, caller: StreamCaller) -> None:
         if isinstance(outcome, NotRun):
             await self.claims.withdraw(claim)
         elif isinstance(outcome, Ended):
@@ -222,7 +239,7 @@
                 await self.claims.end(claim, 200, "text/event-stream", body)
 
     async def _answer(
-        self, wanted: ModelRequest, outcome: Ended | NotRun | GaveUp, caller: "StreamCaller"
+        self, wanted: ModelRequest, outcome: Ended | NotRun | GaveUp, caller: StreamCaller
     ) -> web.StreamResponse:
         if isinstance(outcome, Ended):
             answer = outcome.answer
@@ -253,154 +270,21 @@
         )
 
 
-class StreamCaller:
-    """The caller's side of a stream.
-
-    Parameters
-    ----------
-    request : web.Request
-        What came.
-    wanted : ModelRequest
-        The same, typed.
-    clock : Clock
-        Times the tokens.
-    """
-
-    __slots__ = (
-        "_kept",
-        "_request",
-        "_wanted",
-        "clock",
-        "first_s",
-        "left",
-        "on_first",
-        "response",
-    )
-
-    def __init__(self, request: web.Request, wanted: ModelRequest, clock: Clock):
-        self._request = request
-        self._wanted = wanted
-        self._kept: list[bytes] | None = [] if wanted.key else None
-        self.clock = clock
-        self.first_s: float | None = None
-        self.left = False
-        self.on_first: Callable[[], None] | None = None
-        self.response: web.StreamResponse | None = None
-
-    @property
-    def begun(self) -> bool:
-        """Whether the caller has the headers of a stream."""
-        return self.response is not None
-
-    async def begin(self) -> None:
-        """Send the headers of a stream, once."""
-        if self.response is not None:
-            return
-        self.response = web.StreamResponse(
-            headers={
-                "Content-Type": "text/event-stream",
-                "Cache-Control": "no-store",
-                "X-Request-Id": self._wanted.request_id,
-            }
-        )
-        try:
-            await self.response.prepare(self._request)
-        except ConnectionError:
-            self._lost()
-
-    async def write(self, events: bytes) -> None:
-        """Send whole events."""
-        if self.on_first is not None:
-            self._note_first()
-        if self._kept is not None:
-            self._kept.append(events)
-        if self.left:
-            return
-        try:
-            await self.response.write(events)
-        except ConnectionError:
-            self._lost()
-
-    def _note_first(self) -> None:
-        on_first, self.on_first = self.on_first, None
-        on_first()
-        if self.first_s is None:
-            self.first_s = self.clock.now_s()
-
-    def _lost(self) -> None:
-        """The caller is gone. What must run at most once goes on, so that its end is recorded."""
-        self.left = True
-        if self._wanted.repeatable:
-            raise CallerLeft
-
-    def sent_events(self) -> bytes | None:
-        """Return all that went out, for the record of a claim."""
-        return b"".join(self._kept) if self._kept is not None else None
-
-    async def finish(self) -> web.StreamResponse:
-        """End a whole stream."""
-        if not self.left:
-            await self.response.write_eof()
-        return self.response
-
-    async def fail(self, outcome: NotRun | GaveUp) -> web.StreamResponse:
-        """End a stream that cannot be completed with an event that says so."""
-        run = Run.UNKNOWN if self.first_s is not None else outcome.run
-        error = error_body("stream_broken", outcome.reason, run, self._wanted.repeatable)
-        if not self.left:
-            await self.response.write(error_event(error))
-            await self.response.write_eof()
-        return self.response
-
-
-async def read_body(request: web.Request, timeout_s: float) -> bytes | None:
-    """Return the body, or None if it does not come in time."""
-    if request.content.is_eof():
-        return await request.read()
-    try:
-        async with asyncio.timeout(timeout_s):
-            return await request.read()
-    except TimeoutError:
-        return None
-
-
-def claim_response(found) -> web.Response:
-    """Return the answer to a request whose key has been used before."""
-    if isinstance(found, ClaimUnwritten):
-        return not_run_response(NotRun("claim_not_written", found.reason, 2.0))
-    if not isinstance(found, ClaimEnd):
-        return error_response(
-            409, "unfinished", found.reason, Run.UNKNOWN, retry=True, retry_after_s=2.0
-        )
-    if found.body is None:
-        return error_response(
-            409,
-            "already_ran",
-            "it ran before; its answer was too large to keep",
-            Run.RAN,
-            digest=found.digest,
-        )
-    return web.Response(
-        body=found.body,
-        status=found.status,
-        headers={"X-Already-Ran": "true"},
-        content_type=found.content_type.partition(";")[0],
-    )
-
-
 def _unauthorised() -> web.Response:
     return error_response(401, "unauthorised", "the bearer key belongs to no enabled team")
 
 
 def _deadline(text: str | None) -> float:
+    """Return how many seconds the caller waits; a header that is no such number is ignored."""
     try:
         wanted_s = float(text) if text else DEFAULT_DEADLINE_S
     except ValueError:
         return DEFAULT_DEADLINE_S
-    if not 0 < wanted_s <= LONGEST_DEADLINE_S:
+    if not 0 < wanted_s <= MAX_DEADLINE_S:
         return DEFAULT_DEADLINE_S
     return wanted_s
 
 
 def _hops(text: str | None) -> int:
-    return int(text) if text and text.isdigit() and len(text) < 4 else 0
+    """Return how often the request was handed on; 0 if the header says nothing sensible."""
+    return int(text) if text and text.isdigit() and len(text) <= MAX_HOP_DIGITS else 0
--- a/ferrydock/gateway/_operators.py
+++ b/ferrydock/gateway/_operators.py
@@ -1,4 +1,7 @@
-"""``/operator/...``: the table and the status, for the command line."""
+"""Routes of operators, ``/operator/...``: the table, its log, status and reports.
+
+Stateless; edits are committed through the table's repository and put in force here at once.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -24,9 +27,15 @@
 
 __all__ = ["OperatorRoutes"]
 
+# How long an edit may take to be committed, edits that the log shows, and changes of one edit.
+# Chosen, not measured.
 COMMIT_S = 10.0
 LOG_LENGTH = 50
-MOST_CHANGES = 20000
+MAX_CHANGES = 20000
+
+# Lengths of an edit's id and of an operator's name. Chosen, not measured.
+EDIT_ID_LENGTHS = (8, 64)
+MAX_OPERATOR_LENGTH = 200
 
 
 @dataclass(slots=True)
@@ -40,9 +49,9 @@
     repository : TableRepository
         Commits edits.
     watcher : TableWatcher
-        Brings what others committed.
+        Reads edits that other daemons committed.
     callers : Callers
-        Tells operators from others.
+        Knows operators by their keys.
     status : callable
         Returns the status of site and daemon, as JSON fields.
     burn : callable
@@ -73,12 +82,14 @@
         ]
 
     def _guarded(self, handler):
-        async def guarded(request: web.Request) -> web.Response:
+        """Return a handler that only operators reach."""
+
+        async def _guard(request: web.Request) -> web.Response:
             if not self.callers.is_operator(request):
                 return error_response(401, "unauthorised", "the key gives no operator rights")
             return await handler(request)
 
-        return guarded
+        return _guard
 
     async def _get_table(self, request: web.Request) -> web.Response:
         table: Table | None = self.keeper.table
@@ -138,14 +149,19 @@
         listed = fields["changes"]
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         return f"body: is not an edit: {error}"
-    if not isinstance(edit_id, str) or not 8 <= len(edit_id) <= 64 or not edit_id.isalnum():
-        return "edit_id: must be 8 to 64 letters and digits"
+    shortest, longest = EDIT_ID_LENGTHS
+    if (
+        not isinstance(edit_id, str)
+        or not shortest <= len(edit_id) <= longest
+        or not edit_id.isalnum()
+    ):
+        return f"edit_id: must be {shortest} to {longest} letters and digits"
     if type(base) is not int or base < 0:
         return "base_revision: must be a whole number"
-    if not isinstance(operator, str) or len(operator) > 200:
+    if not isinstance(operator, str) or len(operator) > MAX_OPERATOR_LENGTH:
         return "operator: must be a short text"
-    if not isinstance(listed, list) or not 1 <= len(listed) <= MOST_CHANGES:
-        return f"changes: must be a list of 1 to {MOST_CHANGES}"
+    if not isinstance(listed, list) or not 1 <= len(listed) <= MAX_CHANGES:
+        return f"changes: must be a list of 1 to {MAX_CHANGES}"
     changes = []
     for index, item in enumerate(listed):
         change = _parse_change(item)
--- a/ferrydock/gateway/_route_dialect.py
+++ b/ferrydock/gateway/_route_dialect.py
@@ -1,4 +1,7 @@
-"""ferrydock's own headers on routes."""
+"""ferrydock's own headers on routes of the operators' table; stateless.
+
+The same port is filled for the users' platform by `ferrydock.platform`, with other names.
+"""
 
 import uuid
 from collections.abc import Iterable, Mapping
@@ -13,7 +16,10 @@
 
 _BEARER = "Bearer "
 _SET_HERE = frozenset({"authorization", "x-team", "x-request-id", "x-request-timeout-ms"})
+
+# HTTP status and units.
 MISDIRECTED = 421
+MS_PER_S = 1000
 
 
 class OwnDialect:
@@ -28,6 +34,7 @@
     __slots__ = ()
 
     def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
+        """Return what a request says, or the header that cannot be read."""
         try:
             timeout = headers.get("X-Request-Timeout-Ms")
             after = headers.get("Last-Event-Id")
@@ -35,7 +42,7 @@
             token = key[len(_BEARER) :].strip() if key.startswith(_BEARER) else ""
             return Inbound(
                 request_id=headers.get("X-Request-Id") or uuid.uuid4().hex,
-                left_s=float(timeout) / 1000 if timeout else None,
+                left_s=float(timeout) / MS_PER_S if timeout else None,
                 key=digest_key(token) if token else "",
                 model="",
                 last_event_id=int(after) if after else None,
@@ -46,9 +53,10 @@
     def outgoing(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
     ) -> CIMultiDict[str]:
+        """Return the headers for a service."""
         kept = CIMultiDict(pair for pair in end_to_end(headers) if pair[0].lower() not in _SET_HERE)
         kept["X-Request-Id"] = inbound.request_id
-        kept["X-Request-Timeout-Ms"] = str(max(1, int(outbound.left_s * 1000)))
+        kept["X-Request-Timeout-Ms"] = str(max(1, int(outbound.left_s * MS_PER_S)))
         if outbound.team:
             kept["X-Team"] = outbound.team
         if outbound.last_event_id is not None:
@@ -56,6 +64,7 @@
         return kept
 
     def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+        """Read the head of a service's answer."""
         return AnswerHeaders(
             not_executed="X-Not-Run" in headers or status == MISDIRECTED,
             request_id=headers.get("X-Request-Id", ""),
--- a/ferrydock/gateway/_routes.py
+++ b/ferrydock/gateway/_routes.py
@@ -1,4 +1,7 @@
-"""The routes of the operators' table, served on a listener of their own."""
+"""Routes of the operators' table, served on a listener of their own by `ferrydock.forwarding`.
+
+Owns the parts of that gateway; the routes come from the table revision in force.
+"""
 
 import random
 
@@ -29,11 +32,22 @@
 
 __all__ = ["TableRoutes", "configuration_of", "targets_of"]
 
+
+# Keys on these routes need no recent confirmation: the bound on revoked keys is the route daemon's.
 ALWAYS_FRESH_S = float("inf")
+
+# Requests that an address of a plain service gets at a time, and its connections: the table does
+# not say how many it takes. Chosen, not measured.
 SLOTS_OF_A_SERVICE = 256
-USUAL_PRIORITY = 5
+
+# Priority of teams on routes; the table gives teams none. In the table 9 is the most urgent, in a
+# `Configuration` 0 is.
+DEFAULT_PRIORITY = 5
 HIGHEST_PRIORITY = 9
 
+# Retries as a part of first attempts until the table names one. Chosen, not measured.
+DEFAULT_RETRY_RATIO = 0.1
+
 
 def configuration_of(view: TableView) -> Configuration:
     """Return the routes, services and teams of a table as one configuration."""
@@ -58,7 +72,7 @@
         if target.kind == "plain_service"
     }
     teams = tuple(
-        Team(team.name, frozenset(team.key_digests), USUAL_PRIORITY)
+        Team(team.name, frozenset(team.key_digests), DEFAULT_PRIORITY)
         for team in view.teams.values()
         if team.enabled
     )
@@ -97,7 +111,7 @@
         self.current = CurrentConfiguration()
         self.directory = TargetDirectory()
         self.upstream = Upstream()
-        self.ratio = 0.1
+        self.ratio = DEFAULT_RETRY_RATIO
         self._budgets: dict[str, RetryBudget] = {}
         loads = TargetLoads()
         selector = EndpointSelector(EndpointCatalog(self.directory), loads, hall, clock, rng)
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -1,4 +1,9 @@
-"""``/v1/services/NAME/...``: calls of plain services."""
+"""Routes of plain services: ``/v1/services/NAME/...``.
+
+Owns the calls under way by address, and which addresses failed a moment ago. Its rules on address,
+retry and claim are those of a service in the operators' table; routes with hosts and prefixes are
+served by `ferrydock.forwarding`.
+"""
 
 import asyncio
 import logging
@@ -12,16 +17,35 @@
 from ..outcomes import NotRun, Run
 from ..requests import Answered, Claim, ClaimStore, RequestLife, RetryBudget
 from ..table import TableKeeper, Target
+from ._bodies import read_body
 from ._callers import Callers
+from ._claim_answers import claim_response
 from ._errors import error_response, not_run_response
-from ._models import claim_response, read_body
 
 __all__ = ["ServiceRoutes"]
 
 _LOG = logging.getLogger("ferrydock.gateway")
+
+# How long connecting to a service may take. Chosen, not measured.
 CONNECT_TIMEOUT_S = 1.0
+
+# How long an address that could not be reached is used only if there is no other. Chosen, not
+# measured.
 AVOID_S = 2.0
+
+# How long the store may take to confirm a claim before the call is refused. Chosen, not measured.
 CLAIM_DEADLINE_S = 5.0
+
+# When a caller may come back whose service is leaving, or cannot be reached. Chosen, not measured.
+LEAVING_RETRY_S = 5.0
+UNREACHABLE_RETRY_S = 2.0
+
+# Retries as a part of first attempts until the table names one. Chosen, not measured.
+DEFAULT_RETRY_RATIO = 0.1
+
+# How a call without an answer ended, as in log lines.
+NOT_SENT = "not_sent"
+LOST_CONTACT = "lost_contact"
 _PASSED_ON = ("Content-Type", "Accept", "Accept-Language", "Idempotency-Key", "If-None-Match")
 
 
@@ -68,7 +92,7 @@
         self.claims = claims
         self.clock = clock
         self.body_timeout_s = body_timeout_s
-        self.budget = RetryBudget(0.1)
+        self.budget = RetryBudget(DEFAULT_RETRY_RATIO)
         self.unfinished = 0
         self._in_flight: dict[str, int] = {}
         self._avoid_until_s: dict[str, float] = {}
@@ -79,7 +103,7 @@
         return [web.route("*", "/v1/services/{name}/{tail:.*}", self.call)]
 
     async def close(self) -> None:
-        """Give up the connections."""
+        """Close the connections."""
         if self._session is not None:
             await self._session.close()
 
@@ -93,7 +117,7 @@
         if target is None:
             return error_response(404, "no_such_service", f"there is no service {name}")
         if target.leaving:
-            return not_run_response(NotRun("leaving", f"{name} is leaving", 5.0))
+            return not_run_response(NotRun("leaving", f"{name} is leaving", LEAVING_RETRY_S))
         body = await read_body(request, self.body_timeout_s)
         if body is None:
             return error_response(408, "body_too_slow", "the body did not come in time")
@@ -143,7 +167,7 @@
     async def _attempt_all(
         self, request: web.Request, target: Target, body: bytes, key: str
     ) -> Answered | NotRun | RequestLife:
-        """Attempt until there is an answer, or nothing more may be done."""
+        """Attempt until there is an answer, or no further attempt is allowed."""
         repeatable = request.method in target.repeatable_methods and not key
         life = RequestLife(repeatable)
         self.budget.first_attempt()
@@ -156,7 +180,7 @@
             tried.add(url)
             life.queue()
             life.dispatch()
-            outcome = await self._attempt(request, target, url, body, request_id, repeatable)
+            outcome = await self._attempt(request, target, url, body, request_id)
             if isinstance(outcome, Answered):
                 life.finish()
                 return outcome
@@ -168,7 +192,7 @@
                 url=url,
                 why=outcome,
             )
-            if outcome == "not_sent":
+            if outcome == NOT_SENT:
                 life.take_back()
                 self._avoid_until_s[url] = self.clock.now_s() + AVOID_S
             else:
@@ -176,7 +200,7 @@
             if not life.may_run_again:
                 break
         if life.run is Run.NOT_RUN:
-            return NotRun("unreachable", f"{target.name} cannot be reached", 2.0)
+            return NotRun("unreachable", f"{target.name} cannot be reached", UNREACHABLE_RETRY_S)
         return life
 
     def _choose(self, target: Target, tried: set[str]) -> str | None:
@@ -189,9 +213,9 @@
         return min(good or left, key=lambda url: self._in_flight.get(url, 0))
 
     async def _attempt(
-        self, request, target: Target, url: str, body: bytes, request_id: str, repeatable: bool
+        self, request: web.Request, target: Target, url: str, body: bytes, request_id: str
     ) -> Answered | str:
-        """Send one call; return the whole answer, ``not_sent`` or ``lost_contact``."""
+        """Send one call; return the whole answer, `NOT_SENT` or `LOST_CONTACT`."""
         if self._session is None:
             connector = aiohttp.TCPConnector(limit=0, force_close=True)
             self._session = aiohttp.ClientSession(
@@ -216,8 +240,8 @@
                 kind = response.headers.get("Content-Type", "application/octet-stream")
                 return Answered(response.status, kind, answer)
         except aiohttp.ClientConnectorError:
-            return "not_sent"
+            return NOT_SENT
         except (aiohttp.ClientError, OSError, TimeoutError):
-            return "lost_contact"
+            return LOST_CONTACT
         finally:
             self._in_flight[url] -= 1
--- a/ferrydock/gateway/_spill.py
+++ b/ferrydock/gateway/_spill.py
@@ -1,9 +1,17 @@
-"""Passing a request on to a daemon of another hall, which then chooses; once and no further."""
+"""Rule: which other hall a model request is handed on to when all replicas here are full.
+
+Owns the connections to other halls and the turn among their daemons. A request is handed on once
+and no further; the other hall applies its own rules.
+"""
+
+import logging
 
 import aiohttp
 from aiohttp import web
 
 from ..clock import Clock
+from ..http_client import open_session
+from ..logs import log_event
 from ..membership import HallSummary, SharedState
 from ..outcomes import NotRun, Run
 from ..requests import EventRelay, ModelRequest, error_event
@@ -11,6 +19,7 @@
 
 __all__ = ["HOP_HEADER", "Spill"]
 
+_LOG = logging.getLogger("ferrydock.gateway")
 HOP_HEADER = "X-Ferrydock-Hop"
 _PASSED_ON = (
     "Authorization",
@@ -19,9 +28,16 @@
     "X-Not-Repeatable",
     "X-Deadline-S",
 )
+
+# Oldest summary of a hall that is relied on, in seconds. Chosen, not measured.
 SUMMARY_FRESH_S = 12.0
+
+# How long connecting to another hall may take, and how many halls are tried. Chosen, not measured.
 CONNECT_TIMEOUT_S = 1.0
-TRIES = 2
+MAX_HALLS_TRIED = 2
+
+# When a caller may come back if no hall could be reached. Chosen, not measured.
+RETRY_AFTER_S = 2.0
 
 
 class Spill:
@@ -32,7 +48,7 @@
     state : SharedState
         Summaries of the other halls.
     clock : Clock
-        Tells which summaries are fresh.
+        Tells which summaries are recent enough.
     """
 
     __slots__ = ("_session", "_turn", "clock", "state")
@@ -44,7 +60,7 @@
         self._turn = 0
 
     async def close(self) -> None:
-        """Give up the connections."""
+        """Close the connections."""
         if self._session is not None:
             await self._session.close()
 
@@ -64,29 +80,27 @@
     async def forward(
         self, request: web.Request, wanted: ModelRequest
     ) -> web.StreamResponse | NotRun:
-        """Send the request on and pass the answer back.
+        """Hand the request on to another hall and pass its answer back.
 
         Returns
         -------
         web.StreamResponse or NotRun
             `NotRun` if no byte has left, so that the caller may be served in another way.
         """
-        for summary in self.halls_with_room(wanted.model)[:TRIES]:
+        for summary in self.halls_with_room(wanted.model)[:MAX_HALLS_TRIED]:
             self._turn += 1
             contact = summary.contacts[self._turn % len(summary.contacts)]
             answer = await self._forward_to(contact.url, request, wanted)
             if answer is not None:
                 return answer
-        return NotRun("no_replica", "no replica of the model can be reached", 2.0)
+        return NotRun("no_replica", "no replica of the model can be reached", RETRY_AFTER_S)
 
     async def _forward_to(
         self, url: str, request: web.Request, wanted: ModelRequest
     ) -> web.StreamResponse | None:
         if self._session is None:
-            timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
-            connector = aiohttp.TCPConnector(limit=0, force_close=True)
-            self._session = aiohttp.ClientSession(
-                timeout=timeout, connector=connector, cookie_jar=aiohttp.DummyCookieJar()
+            self._session = open_session(
+                CONNECT_TIMEOUT_S, keep_idle_s=None, cookie_jar=aiohttp.DummyCookieJar()
             )
         headers = {name: request.headers[name] for name in _PASSED_ON if name in request.headers}
         headers[HOP_HEADER] = str(wanted.hops + 1)
@@ -94,7 +108,8 @@
             response = await self._session.post(
                 url + wanted.path, data=wanted.body, headers=headers
             )
-        except aiohttp.ClientConnectorError:
+        except aiohttp.ClientConnectorError as error:
+            log_event(_LOG, logging.INFO, "hall_unreachable", url=url, why=error)
             return None
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             return error_response(
--- a/ferrydock/gateway/tests/test_gateway.py
+++ b/ferrydock/gateway/tests/test_gateway.py
@@ -358,15 +358,15 @@
     host, port = node.gateway.address.split(":")
 
     async def check():
-        usual = guard.first_request_s, guard.most
+        usual = guard.first_request_s, guard.max_connections
         guard.first_request_s = 0.05
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"POST /v1/completions HTTP/1.1\r\nHost:")
         assert await reader.read() == b""
-        guard.most = 0
+        guard.max_connections = 0
         reader, writer = await asyncio.open_connection(host, int(port))
         answer = await reader.read()
-        guard.first_request_s, guard.most = usual
+        guard.first_request_s, guard.max_connections = usual
         assert answer.startswith(b"HTTP/1.1 503")
         assert b"too_many_connections" in answer
 
