--- a/ferrydock/forwarding/_upstream.py
+++ b/ferrydock/forwarding/_upstream.py
@@ -17,15 +17,15 @@
 __all__ = ["Upstream"]
 
 # How long sent bytes may stay unacknowledged before the kernel gives the connection up: behind a
-# cut it would otherwise hang for minutes. Above the longest objective, so that a slow target is
-# not cut off. Chosen, not measured.
+# cut it would otherwise hang for minutes. A target that is slow still acknowledges. Chosen, not
+# measured.
 TCP_USER_TIMEOUT_MS = 3000
 
 # How long a connection to a target is kept without a request. Chosen, not measured.
 KEEP_IDLE_S = 4.0
 
-# How long connecting may take; after it another target is tried. A connection within a site takes
-# milliseconds. Lowered in commit 9f0c939; not measured by itself.
+# How long connecting may take; after it another target is tried. Lowered in commit 9f0c939; not
+# measured by itself.
 CONNECT_TIMEOUT_S = 0.15
 
 # Longest line and longest field of an answer's head that is accepted. Chosen, not measured.
--- a/ferrydock/hall/__init__.py
+++ b/ferrydock/hall/__init__.py
@@ -1,4 +1,9 @@
-"""One hall: its controller, lease, attestations, isolation and rejoin."""
+"""One hall of the table's daemon: its controller, attestations, isolation and rejoin.
+
+The lease and the keys in the store (`ControllerLease`, `controller_key`, `placement_key`) are used
+by the route daemon as well; its controller is `replicas.ReplicaController`, since its targets take
+other orders and form replicas by themselves.
+"""
 
 from ._attestation import Attestation, Attestations
 from ._controller import ControllerMode, HallController
--- a/ferrydock/hall/_lease.py
+++ b/ferrydock/hall/_lease.py
@@ -1,4 +1,8 @@
-"""The lease that makes a daemon the controller of its hall."""
+"""The lease that makes a daemon the leader of a hall; used by both programs.
+
+The lease lives in the store; this module owns until when its holder may rely on it. Which daemon
+tries for it, and when, is decided by `route_daemon._leadership` and by `hall.HallController`.
+"""
 
 import uuid
 from dataclasses import dataclass
@@ -21,6 +25,8 @@
 
 __all__ = ["ControllerLease", "HeldLease", "controller_address", "controller_key"]
 
+# How long before the store could let a lease lapse its holder stops relying on it. Covers the time
+# between a look at the clock and the end of what is done under the lease. Chosen, not measured.
 CLOCK_MARGIN_S = 0.25
 
 
@@ -56,9 +62,9 @@
     store : Store
         Grants it.
     clock : Clock
-        Measures its validity.
+        Tells how long it is still valid.
     hall, holder : str
-        Whose controller; who asks.
+        Which hall; name of this daemon.
     address : str, default=""
         ``IP:PORT`` at which other daemons reach the holder.
 
@@ -80,11 +86,11 @@
 
     @property
     def valid(self) -> bool:
-        """Whether this daemon is the controller right now."""
+        """Whether this daemon may act as the leader right now."""
         return self.held is not None and self.clock.now_s() < self.held.valid_until_s
 
     async def acquire(self, ttl_s: float) -> HeldLease | Conflict | Unavailable | Unknown:
-        """Try to become the controller."""
+        """Try to take the lease; `Conflict` if another daemon holds it."""
         sent_s = self.clock.now_s()
         lease = await self.store.grant_lease(ttl_s)
         if not isinstance(lease, LeaseGranted):
@@ -107,7 +113,7 @@
     async def _read_back(
         self, key: str, value: bytes, lease: LeaseGranted, sent_s: float
     ) -> HeldLease | Conflict | Unavailable | Unknown:
-        """Settle a write whose answer was lost."""
+        """Find out whether a write whose answer was lost took effect."""
         found = await self.store.range(key)
         if not isinstance(found, RangeDone):
             return Unknown("the answer to the lease was lost and could not be read back")
@@ -122,7 +128,7 @@
         return self.held
 
     async def keep(self) -> HeldLease | LeaseLost | Unavailable:
-        """Renew the lease; one that is lost is given up."""
+        """Renew the lease; `LeaseLost` if the store has let it lapse."""
         held = self.held
         if held is None:
             return LeaseLost(0)
@@ -138,14 +144,14 @@
         return self.held
 
     async def give_back(self) -> None:
-        """End the lease, so that another daemon can take it at once."""
+        """End the lease, so that another daemon can take it without waiting."""
         held, self.held = self.held, None
         if held is not None:
             await self.store.revoke_lease(held.lease_id)
 
 
 def controller_address(value: bytes) -> str:
-    """Return the address in a controller's key; empty if it tells none."""
+    """Return the address in a controller's key; empty if there is none in it."""
     return str(orjson.loads(value).get("address", ""))
 
 
--- a/ferrydock/replicas/__init__.py
+++ b/ferrydock/replicas/__init__.py
@@ -21,7 +21,7 @@
     domain_shares,
     next_formation,
 )
-from ._record import PlacementRecord, placement_key
+from ._record import PlacementRecord
 from ._staging import choose_stagings
 
 __all__ = [
@@ -39,5 +39,4 @@
     "desired_counts",
     "domain_shares",
     "next_formation",
-    "placement_key",
 ]
--- a/ferrydock/replicas/_planning.py
+++ b/ferrydock/replicas/_planning.py
@@ -23,8 +23,8 @@
 # routes, "domains by model, after the last worker".
 SETTLE_S = 0.4
 
-# Loads that may begin in a window in addition to rate times window: the platform counts the same
-# way. Chosen, not measured.
+# Loads that may begin in a window in addition to rate times window times overshoot: the platform's
+# own bound is counted so.
 EXTRA_LOADS = 3
 
 
--- a/ferrydock/replicas/_record.py
+++ b/ferrydock/replicas/_record.py
@@ -9,21 +9,17 @@
 
 import orjson
 
+from ..hall import placement_key
 from ..logs import log_event
 from ..outcomes import Unavailable, Unknown
 from ..store import Compare, Put, RangeDone, Store, Txn, TxnDone
 from ._plan import Formation
 
-__all__ = ["PlacementRecord", "placement_key"]
+__all__ = ["PlacementRecord"]
 
 _LOG = logging.getLogger("ferrydock.replicas")
 
 
-def placement_key(hall: str) -> str:
-    """Return the key of a hall's placement record."""
-    return f"/ferrydock/hall/{hall}/placement"
-
-
 class PlacementRecord:
     """Writes plans on condition that no other daemon has written since.
 
--- a/ferrydock/scheduling/_client.py
+++ b/ferrydock/scheduling/_client.py
@@ -21,9 +21,8 @@
 
 _LOG = logging.getLogger("ferrydock.scheduling")
 
-# How long a reply may take, beyond the time that the request may wait in the scheduler's queue.
-# A call takes about 1 ms; a request that gets no reply is decided here, late by this much.
-# Chosen, not measured.
+# How long a reply may take, beyond the time that the request may wait in the scheduler's queue. A
+# request that gets no reply is decided here, late by this much. Chosen, not measured.
 REPLY_TIMEOUT_S = 0.06
 
 # How long a scheduler that did not reply is not asked again. Chosen, not measured.
--- a/ferrydock/scheduling/_in_flight.py
+++ b/ferrydock/scheduling/_in_flight.py
@@ -11,9 +11,9 @@
 
 __all__ = ["InFlightCounts"]
 
-# A daemon that has sent nothing for this long is considered gone, and its requests with it. It must
-# exceed the longest pause of a daemon that lives: one with any request sends a message at its end.
-# Chosen, not measured.
+# A daemon that has sent nothing for this long is considered gone, and its requests with it. Daemons
+# send a message for each new request and for each that ends; one whose requests all run longer than
+# this is undercounted until its next message. Chosen, not measured.
 SILENT_DAEMON_S = 3.0
 
 # How long a grant counts whose daemon has not confirmed it: the reply was lost. Above the 0.06 s
--- a/ferrydock/scheduling/_remote_halls.py
+++ b/ferrydock/scheduling/_remote_halls.py
@@ -15,8 +15,8 @@
 
 __all__ = ["RemoteHallPoller"]
 
-# How long another hall's scheduler may take to answer. Halls are tens of milliseconds apart; no
-# longer than the pause between two polls (0.15 s). Chosen, not measured.
+# How long another hall's scheduler may take to answer: no longer than the pause between two polls
+# (`route_daemon._daemon.POLL_REMOTE_HALLS_EVERY_S`). Chosen, not measured.
 REPLY_TIMEOUT_S = 0.15
 
 
