--- a/ferrydock/forwarding/_attempts.py
+++ b/ferrydock/forwarding/_attempts.py
@@ -12,6 +12,7 @@
 from ..clock import Clock
 from ..reports import RouteMetrics
 from ..scheduling import Endpoint
+from ..targets import ReplicaView
 from ._answer_relay import AnswerRelay
 from ._dialect import Outbound, RequestDialect
 from ._endpoint_selector import EndpointSelector
@@ -24,6 +25,13 @@
 
 # Answers below this status are successes (RFC 9110, section 15.3); streams come only with these.
 FIRST_ERROR_STATUS = 300
+_FAILURES_OF_TARGET = (
+    AttemptReason.NOT_SENT,
+    AttemptReason.BROKEN,
+    AttemptReason.WRONG_ANSWER,
+    AttemptReason.REFUSED,
+    AttemptReason.ERROR,
+)
 _NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 _BROKEN = (aiohttp.ClientError, ConnectionError, OSError)
 
@@ -99,12 +107,12 @@
         """Return how many attempts run at a target."""
         return len(self._running.get(target_id, ()))
 
-    def busy_replicas(self) -> Iterator[tuple[str, Attempt, int]]:
-        """Yield id of the head, one attempt and the number of attempts of each replica in use."""
-        for target_id, attempts in self._running.items():
-            attempt = next((a for a in attempts if a.replica is not None), None)
-            if attempt is not None:
-                yield target_id, attempt, len(attempts)
+    def busy_replicas(self) -> Iterator[tuple[ReplicaView, int]]:
+        """Yield each replica in use and the number of attempts at its head."""
+        for attempts in self._running.values():
+            replica = next((a.replica for a in attempts if a.replica is not None), None)
+            if replica is not None:
+                yield replica, len(attempts)
 
     def interrupt(self, key: tuple[str, int], reason: str) -> None:
         """End the attempts that run at a replica; their requests go on elsewhere if they may."""
@@ -124,18 +132,11 @@
         """
         self.metrics.attempts.labels("whole" if end.whole else str(end.reason)).inc()
         now_s = self.clock.now_s()
-        match end.reason:
-            case _ if end.whole and end.status < SERVER_ERROR:
-                self.loads.succeeded(target_id)
-            case AttemptReason.NOT_SENT:
-                self.loads.failed(target_id, now_s, at_once=True)
-            case (
-                AttemptReason.BROKEN
-                | AttemptReason.WRONG_ANSWER
-                | AttemptReason.REFUSED
-                | AttemptReason.ERROR
-            ):
-                self.loads.failed(target_id, now_s)
+        if end.whole and end.status < SERVER_ERROR:
+            self.loads.succeeded(target_id)
+        elif end.reason in _FAILURES_OF_TARGET:
+            at_once = end.reason == AttemptReason.NOT_SENT
+            self.loads.failed(target_id, now_s, at_once)
 
     async def _send(self, exchange: Exchange, endpoint: Endpoint) -> AttemptEnd:
         request = exchange.request
--- a/ferrydock/forwarding/_gateway.py
+++ b/ferrydock/forwarding/_gateway.py
@@ -27,7 +27,7 @@
 from ._exchange import CallerGone, Exchange
 from ._forwarder import Forwarder
 from ._listener import HEADERS_TOO_LARGE, CallerConnection, Listener
-from ._refusal import refusal
+from ._refusal import SERVICE_UNAVAILABLE, refusal
 
 __all__ = ["RouteGateway"]
 
@@ -73,7 +73,6 @@
 UNAUTHORIZED = 401
 NOT_FOUND = 404
 BODY_TOO_LARGE = 413
-SERVICE_UNAVAILABLE = 503
 
 
 class RouteGateway:
--- a/ferrydock/forwarding/_stalls.py
+++ b/ferrydock/forwarding/_stalls.py
@@ -88,11 +88,11 @@
     async def step(self) -> None:
         """Look for silent replicas, and start asking their members."""
         now_s = self.clock.now_s()
-        for target_id, attempt, running in self.attempts.busy_replicas():
-            quiet_s = now_s - self.attempts.loads.of(target_id).progress_s
+        for replica, running in self.attempts.busy_replicas():
+            quiet_s = now_s - self.attempts.loads.of(replica.head.target_id).progress_s
             limit_s = QUIET_S if running > 1 else QUIET_ALONE_S
-            if quiet_s >= limit_s and self._may_ask(attempt.replica, now_s):
-                self._start_asking(attempt.replica, now_s, is_reported=False)
+            if quiet_s >= limit_s and self._may_ask(replica, now_s):
+                self._start_asking(replica, now_s, is_reported=False)
 
     def check_reported(self, replica: ReplicaView) -> None:
         """Ask the members of a replica that a peer reports as broken.
--- a/ferrydock/gateway/_claim_answers.py
+++ b/ferrydock/gateway/_claim_answers.py
@@ -1,4 +1,4 @@
-"""Answers to a request whose key was used before, or could not be claimed; stateless."""
+"""Answers to a request whose key was used before, or could not be claimed in time; stateless."""
 
 from aiohttp import web
 
@@ -6,7 +6,11 @@
 from ..requests import ClaimEnd, ClaimUnfinished, ClaimUnwritten
 from ._errors import error_response, not_run_response
 
-__all__ = ["claim_response"]
+__all__ = ["CLAIM_DEADLINE_S", "claim_response"]
+
+# How long the store may take to confirm a claim before the request is refused. Chosen, not
+# measured.
+CLAIM_DEADLINE_S = 5.0
 
 # When a caller may come back who met a store without an answer, or a request that has not ended.
 # Chosen, not measured.
--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -34,7 +34,7 @@
 from ..teams import Admission, TeamLimits
 from ._bodies import read_body
 from ._callers import Callers
-from ._claim_answers import claim_response
+from ._claim_answers import CLAIM_DEADLINE_S, claim_response
 from ._errors import error_response, invalid_response, not_run_response
 from ._spill import HOP_HEADER, Spill
 from ._stream_caller import StreamCaller
@@ -51,10 +51,6 @@
 DEFAULT_DEADLINE_S = 600.0
 MAX_DEADLINE_S = 3600.0
 
-# How long the store may take to confirm a claim before the request is refused. Chosen, not
-# measured.
-CLAIM_DEADLINE_S = 5.0
-
 # Priority of a request before its team's share is known.
 DEFAULT_PRIORITY = 5
 
--- a/ferrydock/gateway/_routes.py
+++ b/ferrydock/gateway/_routes.py
@@ -24,7 +24,7 @@
     Upstream,
 )
 from ..reports import RouteMetrics
-from ..requests import RetryBudget
+from ..requests import DEFAULT_RETRY_RATIO, RetryBudget
 from ..scheduling import EndpointCatalog
 from ..table import TableView
 from ..targets import Target, TargetDirectory
@@ -45,9 +45,6 @@
 DEFAULT_PRIORITY = 5
 HIGHEST_PRIORITY = 9
 
-# Retries as a part of first attempts until the table names one. Chosen, not measured.
-DEFAULT_RETRY_RATIO = 0.1
-
 
 def configuration_of(view: TableView) -> Configuration:
     """Return the routes, services and teams of a table as one configuration."""
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -15,11 +15,11 @@
 from ..clock import Clock
 from ..logs import log_event
 from ..outcomes import NotRun, Run
-from ..requests import Answered, Claim, ClaimStore, RequestLife, RetryBudget
+from ..requests import DEFAULT_RETRY_RATIO, Answered, Claim, ClaimStore, RequestLife, RetryBudget
 from ..table import TableKeeper, Target
 from ._bodies import read_body
 from ._callers import Callers
-from ._claim_answers import claim_response
+from ._claim_answers import CLAIM_DEADLINE_S, claim_response
 from ._errors import error_response, not_run_response
 
 __all__ = ["ServiceRoutes"]
@@ -33,16 +33,10 @@
 # measured.
 AVOID_S = 2.0
 
-# How long the store may take to confirm a claim before the call is refused. Chosen, not measured.
-CLAIM_DEADLINE_S = 5.0
-
 # When a caller may come back whose service is leaving, or cannot be reached. Chosen, not measured.
 LEAVING_RETRY_S = 5.0
 UNREACHABLE_RETRY_S = 2.0
 
-# Retries as a part of first attempts until the table names one. Chosen, not measured.
-DEFAULT_RETRY_RATIO = 0.1
-
 # How a call without an answer ended, as in log lines.
 NOT_SENT = "not_sent"
 LOST_CONTACT = "lost_contact"
--- a/ferrydock/relay/__init__.py
+++ b/ferrydock/relay/__init__.py
@@ -11,7 +11,7 @@
 from ._client import RelayClient
 from ._daemon_counter import DaemonCounter
 from ._messages import NewsAnswer, NewsRequest, decode_answer, decode_request, encode
-from ._peers import PeerCalls
+from ._peers import PeerCalls, PeerMethod
 from ._server import RelayServer
 
 __all__ = [
@@ -20,6 +20,7 @@
     "NewsAnswer",
     "NewsRequest",
     "PeerCalls",
+    "PeerMethod",
     "RelayClient",
     "RelayServer",
     "decode_answer",
--- a/ferrydock/relay/_peers.py
+++ b/ferrydock/relay/_peers.py
@@ -5,16 +5,20 @@
 
 import asyncio
 import logging
+from collections.abc import Awaitable, Callable
 
 import grpc
 import grpc.aio
 
 from ..logs import log_event
 
-__all__ = ["OPTIONS", "SERVICE", "PeerCalls"]
+__all__ = ["OPTIONS", "SERVICE", "PeerCalls", "PeerMethod"]
 
 _LOG = logging.getLogger("ferrydock.relay")
 
+# Serves one call: the bytes of a request in, the bytes of the answer out.
+PeerMethod = Callable[[bytes], Awaitable[bytes]]
+
 # Name of the service on the wire.
 SERVICE = "ferrydock.Peer"
 
--- a/ferrydock/relay/_server.py
+++ b/ferrydock/relay/_server.py
@@ -6,7 +6,7 @@
 
 import asyncio
 import uuid
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Callable, Mapping
 from types import MappingProxyType
 
 import grpc
@@ -18,7 +18,7 @@
 from ._broken_replicas import BrokenReplicas
 from ._daemon_counter import DaemonCounter
 from ._messages import NewsAnswer, NewsRequest, decode_request, encode
-from ._peers import OPTIONS, SERVICE
+from ._peers import OPTIONS, SERVICE, PeerMethod
 
 __all__ = ["NEWS", "RelayServer"]
 
@@ -35,10 +35,8 @@
 # How long calls under way may still take when the server is closed. Chosen, not measured.
 CLOSE_GRACE_S = 0.1
 
-Method = Callable[[bytes], Awaitable[bytes]]
 
-
-def _answering(method: Method) -> Callable:
+def _answering(method: PeerMethod) -> Callable:
     """Return the handler of a call; one whose bytes cannot be decoded is refused."""
 
     async def handle(data: bytes, context: grpc.aio.ServicerContext) -> bytes:
@@ -94,7 +92,9 @@
         self.life = uuid.uuid4().hex[:12]
         self._server: grpc.aio.Server | None = None
 
-    async def start(self, listen: str, methods: Mapping[str, Method] = MappingProxyType({})) -> str:
+    async def start(
+        self, listen: str, methods: Mapping[str, PeerMethod] = MappingProxyType({})
+    ) -> str:
         """Begin to listen on ``IP:PORT``; return the address, whose port may have been 0.
 
         Parameters
--- a/ferrydock/requests/__init__.py
+++ b/ferrydock/requests/__init__.py
@@ -9,7 +9,7 @@
 
 from ._admission import ReplicaGate
 from ._attempt import Answered, Attempt, Broken, Caller, CallerLeft, EngineClient, Refused, Streamed
-from ._budget import RetryBudget, backoff_s
+from ._budget import DEFAULT_RETRY_RATIO, RetryBudget, backoff_s
 from ._claim_writer import (
     GROUP_WAIT_S,
     RELAY_FROM_DAEMONS,
@@ -25,6 +25,7 @@
 from ._model_request import ModelRequest, parse_model_request, prompt_blocks
 
 __all__ = [
+    "DEFAULT_RETRY_RATIO",
     "GROUP_WAIT_S",
     "RELAYED_WAIT_S",
     "RELAY_FROM_DAEMONS",
--- a/ferrydock/requests/_budget.py
+++ b/ferrydock/requests/_budget.py
@@ -6,7 +6,10 @@
 
 import random
 
-__all__ = ["RetryBudget", "backoff_s"]
+__all__ = ["DEFAULT_RETRY_RATIO", "RetryBudget", "backoff_s"]
+
+# Retries as a part of first attempts until the table names a ratio. Chosen, not measured.
+DEFAULT_RETRY_RATIO = 0.1
 
 # Retries that may be saved up, and that a new budget starts with. Chosen, not measured.
 MAX_SAVED = 20.0
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -20,7 +20,7 @@
 from ..routing import Candidate, Flight, ReplicaLoads
 from ._admission import ReplicaGate
 from ._attempt import Answered, Attempt, Broken, Caller, CallerLeft, EngineClient, Refused, Streamed
-from ._budget import RetryBudget, backoff_s
+from ._budget import DEFAULT_RETRY_RATIO, RetryBudget, backoff_s
 from ._events import EventRelay, text_so_far
 from ._lifecycle import RequestLife
 from ._model_request import ModelRequest
@@ -48,9 +48,6 @@
 # an answer, and a repair takes some seconds. Chosen, not measured.
 CONTINUE_WAIT_S = 30.0
 
-# Retries as a part of first attempts until the table names one. Chosen, not measured.
-DEFAULT_RETRY_RATIO = 0.1
-
 
 @dataclass(frozen=True, slots=True)
 class Ended:
--- a/ferrydock/scheduling/_server.py
+++ b/ferrydock/scheduling/_server.py
@@ -4,10 +4,11 @@
 ``Running``: another hall's scheduler asks what this hall's daemons have in flight.
 """
 
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Mapping
 
 import orjson
 
+from ..relay import PeerMethod
 from ._messages import decode_request, encode
 from ._scheduler import HallScheduler
 
@@ -16,10 +17,8 @@
 PLACE = "Place"
 RUNNING = "Running"
 
-Method = Callable[[bytes], Awaitable[bytes]]
 
-
-def scheduler_methods(scheduler: HallScheduler) -> Mapping[str, Method]:
+def scheduler_methods(scheduler: HallScheduler) -> Mapping[str, PeerMethod]:
     """Return the calls by their names on the wire.
 
     A call raises ValueError or TypeError for bytes that it cannot decode; the server then answers
--- a/ferrydock/scheduling/_waiting_queue.py
+++ b/ferrydock/scheduling/_waiting_queue.py
@@ -26,6 +26,11 @@
     request: object
     future: asyncio.Future
 
+    @property
+    def is_assigned(self) -> bool:
+        """Whether it has a slot."""
+        return self.future.done() and not self.future.cancelled()
+
 
 class WaitingQueue(Generic[Request, Slot]):
     """Requests that wait for a slot; the smallest rank is served first, then the oldest.
@@ -65,17 +70,17 @@
         give_back : callable, optional
             Gets a slot that was assigned just before the waiting task was cancelled.
         """
-        waiter = _Waiter((rank, next(self._numbers)), needs, request, _future())
+        future = asyncio.get_running_loop().create_future()
+        waiter = _Waiter((rank, next(self._numbers)), needs, request, future)
         bisect.insort(self._waiters, waiter, key=lambda w: w.key)
         try:
             async with asyncio.timeout(timeout_s):
                 return await waiter.future
         except TimeoutError:
             # A slot may have been assigned in the very turn in which the time was over.
-            is_assigned = waiter.future.done() and not waiter.future.cancelled()
-            return waiter.future.result() if is_assigned else None
+            return waiter.future.result() if waiter.is_assigned else None
         except asyncio.CancelledError:
-            if waiter.future.done() and not waiter.future.cancelled():
+            if waiter.is_assigned:
                 give_back(waiter.future.result())
             raise
         finally:
@@ -101,7 +106,3 @@
                 continue
             self._waiters.remove(waiter)
             waiter.future.set_result(slot)
-
-
-def _future() -> asyncio.Future:
-    return asyncio.get_running_loop().create_future()
