--- a/ferrydock/platform/__init__.py
+++ b/ferrydock/platform/__init__.py
@@ -11,7 +11,6 @@
 from ._control import PlatformTargetControl
 from ._dialect import PlatformDialect
 from ._store import HistoryGone, PlatformStore
-from ._store_messages import WatchAnswer
 from ._targets import PlatformTargetSource, parse_target
 
 __all__ = [
@@ -21,7 +20,6 @@
     "PlatformStore",
     "PlatformTargetControl",
     "PlatformTargetSource",
-    "WatchAnswer",
     "open_platform",
     "parse_configuration",
     "parse_target",
--- a/ferrydock/platform/_decoding.py
+++ b/ferrydock/platform/_decoding.py
@@ -5,7 +5,7 @@
 
 from ..logs import log_event
 
-__all__ = ["BadMessage", "assumed", "required"]
+__all__ = ["BadMessage", "assumed", "optional", "required"]
 
 _LOG = logging.getLogger("ferrydock.platform")
 _LOGGED: set[tuple[str, str]] = set()
@@ -41,6 +41,21 @@
     return fields[name]
 
 
+def optional(fields: object, name: str, kind: type, default):
+    """Return a field, or the default that the protocol gives it where it may be left out.
+
+    A message that is no object has no fields.
+
+    Raises
+    ------
+    BadMessage
+        If the field is there and of another type.
+    """
+    if not isinstance(fields, Mapping) or name not in fields:
+        return default
+    return required(fields, name, kind)
+
+
 def assumed(message: str, fields: Mapping, name: str, default):
     """Return a field, or a default that is logged once for each message and field.
 
--- a/ferrydock/platform/_store.py
+++ b/ferrydock/platform/_store.py
@@ -25,7 +25,6 @@
     WatchBatch,
 )
 from ._store_messages import (
-    WatchAnswer,
     decode_committed,
     decode_kept,
     decode_key,
@@ -115,10 +114,7 @@
         decode = decode_missing_key if answer.status == NOT_FOUND else decode_key
         if answer.status not in (OK, NOT_FOUND):
             return _unexpected(answer)
-        found = _decode(decode, answer)
-        if isinstance(found, Unavailable):
-            return found
-        return RangeDone(found.items, found.revision)
+        return _decode(decode, answer)
 
     async def _read_pages(self, prefix: str) -> RangeDone | Unavailable:
         """Read all pages of a range; the revision is that of the first, so no change is missed."""
@@ -150,11 +146,7 @@
                 return Unknown(revision.reason)
             return TxnDone(True, revision)
         if answer.status == CONDITION_FAILED:
-            refused = _decode(decode_refused, answer)
-            if isinstance(refused, Unavailable):
-                return refused
-            reads = tuple(refused.items.get(key) for key in txn.failure_reads)
-            return TxnDone(False, refused.revision, reads)
+            return _decode(decode_refused, answer, txn.failure_reads)
         return _unexpected(answer)
 
     async def grant_lease(self, ttl_s: float) -> LeaseGranted | Unavailable | Unknown:
@@ -164,10 +156,7 @@
             return answer
         if answer.status != OK:
             return _unexpected(answer)
-        lease = _decode(decode_lease, answer)
-        if isinstance(lease, Unavailable):
-            return lease
-        return LeaseGranted(lease.lease_id, lease.ttl_s)
+        return _decode(decode_lease, answer)
 
     async def keep_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
         """Renew a lease."""
@@ -195,11 +184,11 @@
         since = from_revision - 1
         while True:
             watched = await self.watch_once(prefix, since)
-            if not isinstance(watched, WatchAnswer):
+            if not isinstance(watched, WatchBatch):
                 return  # the caller reads the key again
             since = watched.revision
             if watched.changes:
-                yield WatchBatch(watched.revision, watched.changes)
+                yield watched
 
     async def close(self) -> None:
         """Close the connections."""
@@ -210,7 +199,7 @@
 
     async def watch_once(
         self, prefix: str, since: int, wait_ms: int = MAX_WATCH_MS
-    ) -> WatchAnswer | HistoryGone | Unavailable:
+    ) -> WatchBatch | HistoryGone | Unavailable:
         """Wait for changes under `prefix` after revision `since`, for at most `wait_ms`."""
         query = watch_query(prefix, since, wait_ms)
         timeout_s = wait_ms / 1000 + WATCH_SLACK_S
@@ -275,10 +264,10 @@
     return Unavailable(f"the store answered {answer.status}")
 
 
-def _decode(decode: Callable[[object], Decoded], answer: _Answer) -> Decoded | Unavailable:
+def _decode(decode: Callable[..., Decoded], answer: _Answer, *more) -> Decoded | Unavailable:
     """Return a decoded answer; one that cannot be decoded is logged and counts as none."""
     try:
-        return decode(answer.fields)
+        return decode(answer.fields, *more)
     except ValueError as error:  # BadMessage, or a value that is not base64
         log_event(
             _LOG,
--- a/ferrydock/platform/_store_messages.py
+++ b/ferrydock/platform/_store_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the platform's store, each decoded once into a typed value; stateless.
+"""Messages of the platform's store, each decoded once into a type of the store's port; stateless.
 
 Names of the platform that mislead:
 
@@ -12,15 +12,21 @@
 import base64
 from dataclasses import dataclass
 
-from ..store import Compare, Delete, KeyValue, Put, Txn
-from ._decoding import required
+from ..store import (
+    Compare,
+    Delete,
+    KeyValue,
+    LeaseGranted,
+    Put,
+    RangeDone,
+    Txn,
+    TxnDone,
+    WatchBatch,
+)
+from ._decoding import optional, required
 
 __all__ = [
-    "KeyAnswer",
-    "LeaseAnswer",
     "RangePage",
-    "TxnRefused",
-    "WatchAnswer",
     "decode_committed",
     "decode_kept",
     "decode_key",
@@ -39,14 +45,6 @@
 MS_PER_S = 1000
 
 
-@dataclass(frozen=True, slots=True)
-class KeyAnswer:
-    """One key, or none; `revision` is the store's."""
-
-    items: tuple[KeyValue, ...]
-    revision: int
-
-
 @dataclass(frozen=True, slots=True)
 class RangePage:
     """Some of the keys with a prefix.
@@ -64,39 +62,14 @@
     is_last: bool
 
 
-@dataclass(frozen=True, slots=True)
-class TxnRefused:
-    """A transaction whose condition did not hold, with the keys of its conditions."""
-
-    items: dict[str, KeyValue]
-    revision: int
-
-
-@dataclass(frozen=True, slots=True)
-class LeaseAnswer:
-    """A lease that was granted."""
-
-    lease_id: int
-    ttl_s: float
-
-
-@dataclass(frozen=True, slots=True)
-class WatchAnswer:
-    """Changes under a prefix up to `revision`; a value of None means removed."""
-
-    changes: tuple[tuple[str, bytes | None], ...]
-    revision: int
-
-
-def decode_key(fields: object) -> KeyAnswer:
+def decode_key(fields: object) -> RangeDone:
     """Return a key that is there; all decoders raise BadMessage."""
-    return KeyAnswer((_item(fields),), required(fields, "store-revision", int))
+    return RangeDone((_item(fields),), required(fields, "store-revision", int))
 
 
-def decode_missing_key(fields: object) -> KeyAnswer:
+def decode_missing_key(fields: object) -> RangeDone:
     """Return the answer for a key that is not there; the store's revision may be left out."""
-    has_revision = isinstance(fields, dict) and "store-revision" in fields
-    return KeyAnswer((), required(fields, "store-revision", int) if has_revision else 0)
+    return RangeDone((), optional(fields, "store-revision", int, 0))
 
 
 def page_query(prefix: str, after_key: str | None) -> dict[str, str]:
@@ -119,10 +92,11 @@
     return {"path-prefix": prefix, "since-revision": str(since), "wait-ms": str(wait_ms)}
 
 
-def decode_watch(fields: object) -> WatchAnswer:
+def decode_watch(fields: object) -> WatchBatch:
     """Return the changes that a watch brought; none if its time was over."""
     revision = required(fields, "store-revision", int)
-    return WatchAnswer(tuple(_change(event) for event in fields.get("events", ())), revision)
+    events = optional(fields, "events", list, [])
+    return WatchBatch(revision, tuple(_change(event) for event in events))
 
 
 def encode_txn(txn: Txn) -> dict:
@@ -139,12 +113,15 @@
     return required(fields, "revision", int)
 
 
-def decode_refused(fields: object) -> TxnRefused:
-    """Return what a refused transaction brought; both parts may be left out."""
-    entries = fields.get("entries", ()) if isinstance(fields, dict) else ()
-    revision = fields.get("store-revision", 0) if isinstance(fields, dict) else 0
-    items = (_item(entry) for entry in entries)
-    return TxnRefused({item.key: item for item in items}, revision)
+def decode_refused(fields: object, keys: tuple[str, ...]) -> TxnDone:
+    """Return a transaction whose condition did not hold, with what stands under `keys`.
+
+    Entries and the store's revision may be left out.
+    """
+    items = [_item(entry) for entry in optional(fields, "entries", list, [])]
+    found = {item.key: item for item in items}
+    reads = tuple(found.get(key) for key in keys)
+    return TxnDone(False, optional(fields, "store-revision", int, 0), reads)
 
 
 def encode_lease(ttl_s: float) -> dict:
@@ -152,9 +129,9 @@
     return {"ttl-ms": int(ttl_s * MS_PER_S)}
 
 
-def decode_lease(fields: object) -> LeaseAnswer:
+def decode_lease(fields: object) -> LeaseGranted:
     """Return a lease that was granted."""
-    return LeaseAnswer(required(fields, "lease", int), decode_kept(fields))
+    return LeaseGranted(required(fields, "lease", int), decode_kept(fields))
 
 
 def decode_kept(fields: object) -> float:
--- a/ferrydock/platform/_targets.py
+++ b/ferrydock/platform/_targets.py
@@ -12,11 +12,10 @@
 
 from ..logs import log_event
 from ..outcomes import Unavailable
-from ..store import prefix_end
+from ..store import WatchBatch, prefix_end
 from ..targets import Membership, ReplicaState, Target, TargetChanges
 from ._decoding import assumed
 from ._store import HistoryGone, PlatformStore
-from ._store_messages import WatchAnswer
 
 __all__ = ["PlatformTargetSource", "parse_membership", "parse_target"]
 
@@ -59,7 +58,7 @@
                 yield TargetChanges(True, tuple(e for e in entries if e), (), revision)
             await asyncio.sleep(self.gather_s)
             watched = await self._store.watch_once(_PREFIX, revision)
-            if isinstance(watched, WatchAnswer):
+            if isinstance(watched, WatchBatch):
                 revision = watched.revision
                 if watched.changes:
                     yield _changes(watched)
@@ -69,7 +68,7 @@
                 yield watched
 
 
-def _changes(watched: WatchAnswer) -> TargetChanges:
+def _changes(watched: WatchBatch) -> TargetChanges:
     """Return the last change of each worker; one that was removed and is back counts as both."""
     entries: dict[str, Target] = {}
     removed: list[str] = []
