--- a/ferrydock/crashes/__init__.py
+++ b/ferrydock/crashes/__init__.py
@@ -1,12 +1,13 @@
-"""What is known of a request beyond one try: whether it crashes the targets that run it.
+"""Detects requests that crash the targets that run them, across all attempts of a request.
 
-A request that makes its target crash is sent again by its caller, or by a daemon, and takes the
-next target down. This package tells such requests apart from those that were only beside them:
-`_identity` (which tries are of one request), `_probe` (whether a target has ended), `_rule` (which
-crashes count, and for how long a request is refused), `_attribution` (which of several is to
-blame), `_history` (all that was seen), `_exchange` (among daemons).
+When a request crashes its target, its caller or a daemon sends it again and the next target crashes
+too. This package distinguishes such requests from others that were merely running on the same
+targets: `_identity` (which attempts belong to one request), `_probe` (whether a target's process
+has terminated), `_rule` (which crashes count, and how long a request is refused), `_attribution`
+(which of several requests caused a crash), `_history` (the crashes and answers of each request),
+`_exchange` (sharing that history among daemons).
 
-What does not belong here: when a target is looked at and what a caller is told
+Outside this package: deciding when to probe a target and how to answer the caller
 (`ferrydock.forwarding`, `ferrydock.requests`), and the calls between daemons (`ferrydock.relay`,
 `ferrydock.scheduling`).
 """
--- a/ferrydock/crashes/_attribution.py
+++ b/ferrydock/crashes/_attribution.py
@@ -1,56 +1,57 @@
-"""Rule: which of the requests that were at a target when it ended is to blame; pure.
+"""Rule: which of the requests that were running on a target caused it to crash; pure.
 
-What goes in: the records of all requests, and the identities of those that are known to crash their
-targets.
+The input is the records of all requests, and the identities of the requests that are refused
+because they crash their targets.
 """
 
 from collections.abc import Collection, Mapping
 
 from ._record import RequestRecord
-from ._rule import Crash, is_same_end, row_of
+from ._rule import Crash, consecutive_crashes, is_same_termination
 
-__all__ = ["rank_sharers", "known_beside", "unexplained"]
+__all__ = ["rank_tied_requests", "refused_at_same_targets", "unexplained_crashes"]
 
 Records = Mapping[str, RequestRecord]
 
 
-def known_beside(identity: str, records: Records, known: Collection[str]) -> list[str]:
-    """Return the other known requests that were at one of a request's targets."""
+def refused_at_same_targets(identity: str, records: Records, refused: Collection[str]) -> list[str]:
+    """Return the other refused requests with a crash at any target where this one has a crash."""
     targets = {crash.target_id for crash in records[identity].crashes}
     return [
         other
-        for other in known
+        for other in refused
         if other != identity and any(c.target_id in targets for c in records[other].crashes)
     ]
 
 
-def unexplained(identity: str, records: Records, known: Collection[str]) -> list[Crash]:
-    """Return the crashes of a request at which no known one with more crashes was.
+def unexplained_crashes(identity: str, records: Records, refused: Collection[str]) -> list[Crash]:
+    """Return the crashes of a request not shared with a refused one with more consecutive crashes.
 
-    A request that was beside one that crashes its targets, at several of them, is not to blame.
+    A request that merely ran on the same targets as one that crashes them is not the cause.
     """
     record = records[identity]
     explaining = [
         crash
-        for other in known_beside(identity, records, known)
-        if records[other].in_a_row > record.in_a_row
+        for other in refused_at_same_targets(identity, records, refused)
+        if records[other].consecutive_count > record.consecutive_count
         for crash in records[other].crashes
     ]
-    return [crash for crash in record.crashes if not is_same_end(crash, explaining)]
+    return [crash for crash in record.crashes if not is_same_termination(crash, explaining)]
 
 
-def rank_sharers(identity: str, records: Records, known: Collection[str]) -> None:
-    """Rank the known requests that were at all crashes of a request, and the request itself.
+def rank_tied_requests(identity: str, records: Records, refused: Collection[str]) -> None:
+    """Rank a request and the refused requests that share all of its consecutive crashes.
 
-    Nothing tells them apart but a further try; their ranks keep their tries apart.
+    Only a further attempt shows which of them is the cause. The ranks schedule those attempts at
+    different times.
     """
-    row = row_of(records[identity].crashes)
-    sharers = [
+    consecutive = consecutive_crashes(records[identity].crashes)
+    tied = [
         other
-        for other in known_beside(identity, records, known)
-        if all(is_same_end(crash, records[other].crashes) for crash in row)
+        for other in refused_at_same_targets(identity, records, refused)
+        if all(is_same_termination(crash, records[other].crashes) for crash in consecutive)
     ]
-    records[identity].shared_rank = None
-    if sharers:
-        for rank, sharer in enumerate(sorted([identity, *sharers])):
-            records[sharer].shared_rank = rank
+    records[identity].tie_rank = None
+    if tied:
+        for rank, tied_identity in enumerate(sorted([identity, *tied])):
+            records[tied_identity].tie_rank = rank
--- a/ferrydock/crashes/_exchange.py
+++ b/ferrydock/crashes/_exchange.py
@@ -1,8 +1,8 @@
-"""Telling peers what changed, in calls that run between daemons anyway.
+"""Exchanges crash histories between daemons, inside calls that they make for other purposes.
 
-Owns, for each peer that is asked, how far it has heard of this daemon and this daemon of it. Each
-side sends only what changed since; a process that has started again is sent all. Nothing is sent
-while nothing is known, so without a crash no message is longer than before.
+Owns, for each peer that this daemon calls, the last change that each side has received from the
+other. Each side sends only later changes; a peer whose process has restarted receives all of them.
+While the history is empty nothing is sent, so messages do not grow unless there are crashes.
 """
 
 from collections import OrderedDict
@@ -13,117 +13,136 @@
 
 __all__ = ["CrashExchange"]
 
-# Reports in one message; the rest follows in the next. 500 are 110 KB (`benchmarks.crashes`): 0.09
-# s on a link of 10 Mbit/s. Chosen, not measured.
-MAX_REPORTS = 500
+# Further reports follow in the next message. 500 reports take 110 KB, which is 0.09 s on a link of
+# 10 Mbit/s.
+MAX_REPORTS_PER_MESSAGE = 500
 
-# Peers whose position is remembered: the hall leader, or the leaders of the other halls. Chosen,
-# not measured.
+# Peers whose progress is kept: the hall leader, or the leaders of the other halls.
 MAX_PEERS = 32
 
 
 @dataclass(slots=True)
-class _Position:
-    """How far two daemons have heard of each other.
+class _PeerProgress:
+    """The last changes that this daemon and one peer have received from each other.
 
     Attributes
     ----------
-    sent : int
-        Own change up to which the peer has heard.
-    life, heard : str, int
-        The peer's history, and its change up to which this daemon has heard.
+    sent_change : int
+        Last change of this daemon's history that the peer has received.
+    incarnation : str
+        Incarnation of the peer's history; empty before its first reply.
+    received_change : int
+        Last change of the peer's history that this daemon has received.
     """
 
-    sent: int = 0
-    life: str = ""
-    heard: int = 0
+    sent_change: int = 0
+    incarnation: str = ""
+    received_change: int = 0
 
 
 class CrashExchange:
-    """Exchanges a history with peers' histories.
+    """Exchanges the crash history of this daemon with those of its peers.
 
     Parameters
     ----------
     history : CrashHistory
-        What is told, and what the peers' reports go to.
+        Source of the reports that are sent; the peers' reports are merged into it.
 
     Examples
     --------
     >>> from ferrydock.clock import ManualClock
     >>> clock = ManualClock()
     >>> one, two = CrashHistory(clock), CrashHistory(clock)
-    >>> asking, answering = CrashExchange(one), CrashExchange(two)
-    >>> asking.question("two") is None
+    >>> caller, callee = CrashExchange(one), CrashExchange(two)
+    >>> caller.question("two") is None
     True
     >>> one.note_crash("r", "t1", 0.0, 1.0)
     >>> two.note_crash("r", "t2", 2.0, 3.0)
-    >>> asked = asking.question("two")
-    >>> answering.receive(asked)
-    >>> asking.take_answer("two", asked, answering.answer(asked))
+    >>> sent = caller.question("two")
+    >>> callee.receive(sent)
+    >>> caller.take_answer("two", sent, callee.answer(sent))
     >>> one.crashes_of("r"), two.crashes_of("r")
     (2, 2)
     """
 
-    __slots__ = ("_positions", "history")
+    __slots__ = ("_progress_by_peer", "history")
 
     def __init__(self, history: CrashHistory):
         self.history = history
-        self._positions: OrderedDict[str, _Position] = OrderedDict()
+        self._progress_by_peer: OrderedDict[str, _PeerProgress] = OrderedDict()
 
     def question(self, peer: str) -> CrashNews | None:
-        """Return what to send along with a call to a peer; None for nothing."""
-        position = self._position(peer)
-        reports, up_to = self.history.reports_since(position.sent, MAX_REPORTS)
-        if not reports and not position.life:
+        """Return the update to include in a call to a peer, or None if there is none to send."""
+        progress = self._progress_of(peer)
+        reports, last_included_change = self.history.reports_since(
+            progress.sent_change, MAX_REPORTS_PER_MESSAGE
+        )
+        if not reports and not progress.incarnation:
             return None
-        return CrashNews(self.history.life, up_to, position.life, position.heard, reports)
+        return CrashNews(
+            self.history.life,
+            last_included_change,
+            progress.incarnation,
+            progress.received_change,
+            reports,
+        )
 
-    def take_answer(self, peer: str, asked: CrashNews | None, answer: CrashNews | None) -> None:
-        """Take over a peer's answer to a question."""
-        if answer is None:
+    def take_answer(self, peer: str, sent: CrashNews | None, reply: CrashNews | None) -> None:
+        """Merge the update in a peer's reply.
+
+        Parameters
+        ----------
+        sent, reply : CrashNews or None
+            The updates that the call and its reply carried; None for none.
+        """
+        if reply is None:
             return
-        position = self._position(peer)
-        has_started_again = position.life not in ("", answer.life)
-        if has_started_again:
-            position.sent = 0
-        elif asked is not None:
-            position.sent = asked.change
-        position.life, position.heard = answer.life, answer.change
-        self.history.merge(answer.reports)
-
-    def receive(self, asked: CrashNews | None) -> None:
-        """Take over what a peer sent along with its call."""
-        if asked is not None:
-            self.history.merge(asked.reports)
-
-    def answer(self, asked: CrashNews | None, repeated_only: bool = False) -> CrashNews | None:
-        """Return what a calling peer lacks; None if it asked for nothing and there is nothing.
+        progress = self._progress_of(peer)
+        has_restarted = progress.incarnation not in ("", reply.life)
+        if has_restarted:
+            progress.sent_change = 0
+        elif sent is not None:
+            progress.sent_change = sent.change
+        progress.incarnation, progress.received_change = reply.life, reply.change
+        self.history.merge(reply.reports)
+
+    def receive(self, update: CrashNews | None) -> None:
+        """Merge the update that a peer included in its call; None if there was none."""
+        if update is not None:
+            self.history.merge(update.reports)
+
+    def answer(self, update: CrashNews | None, repeated_only: bool = False) -> CrashNews | None:
+        """Return the changes that a calling peer has not received, as the update in the reply.
 
         Parameters
         ----------
+        update : CrashNews or None
+            The update in the peer's call. If it is None and there are no changes, so is the result.
         repeated_only : bool
-            Leave out requests that have never had two crashes in a row. A hall's leader, to which
-            all its followers tell all, need not pass every end of a target on to each of them:
-            1,800 requests that lost one are 0.39 MB (`benchmarks.crashes`).
+            Omit requests that have never had two consecutive crashes. A hall's leader receives
+            every crash from its followers and need not send each one to all of them: 1,800 requests
+            with one crash each take 0.39 MB.
         """
-        heard = self._heard_by(asked)
-        reports, up_to = self.history.reports_since(heard, MAX_REPORTS, repeated_only)
-        if asked is None and not reports:
+        received_change = self._change_received_by(update)
+        reports, last_included_change = self.history.reports_since(
+            received_change, MAX_REPORTS_PER_MESSAGE, repeated_only
+        )
+        if update is None and not reports:
             return None
-        return CrashNews(self.history.life, up_to, reports=reports)
-
-    def has_news_for(self, asked: CrashNews | None) -> bool:
-        """Return whether a request with two crashes in a row changed that a peer has not heard."""
-        return self.history.last_repeated > self._heard_by(asked)
-
-    def _heard_by(self, asked: CrashNews | None) -> int:
-        is_same = asked is not None and asked.known_life == self.history.life
-        return asked.known_change if asked is not None and is_same else 0
-
-    def _position(self, peer: str) -> _Position:
-        position = self._positions.get(peer)
-        if position is None:
-            if len(self._positions) >= MAX_PEERS:
-                self._positions.popitem(last=False)
-            position = self._positions[peer] = _Position()
-        return position
+        return CrashNews(self.history.life, last_included_change, reports=reports)
+
+    def has_news_for(self, update: CrashNews | None) -> bool:
+        """Return whether a peer lacks a change of any request with two consecutive crashes."""
+        return self.history.last_repeated_change > self._change_received_by(update)
+
+    def _change_received_by(self, update: CrashNews | None) -> int:
+        is_same_incarnation = update is not None and update.known_life == self.history.life
+        return update.known_change if update is not None and is_same_incarnation else 0
+
+    def _progress_of(self, peer: str) -> _PeerProgress:
+        progress = self._progress_by_peer.get(peer)
+        if progress is None:
+            if len(self._progress_by_peer) >= MAX_PEERS:
+                self._progress_by_peer.popitem(last=False)
+            progress = self._progress_by_peer[peer] = _PeerProgress()
+        return progress
--- a/ferrydock/crashes/_history.py
+++ b/ferrydock/crashes/_history.py
@@ -1,8 +1,8 @@
-"""What this daemon and its peers have seen of requests under which targets ended.
+"""Crashes of targets by the request that they were running, seen by this daemon and its peers.
 
-Owns the crashes by request identity, in memory, bounded by `MAX_REQUESTS` and `FORGET_S`. All that
-is known here is lost with the process; peers hold the same (`_exchange`). If all daemons are lost
-at once, three more crashes tell it again.
+Owns the crashes by request identity, in memory, bounded by `MAX_REQUESTS` and `RETENTION_S`. The
+history is lost with the process, but peers hold the same one (`_exchange`). If all daemons are lost
+at once, a request that crashes its targets is detected anew after three more crashes.
 """
 
 import itertools
@@ -12,76 +12,78 @@
 from typing import Protocol
 
 from ..clock import Clock
-from ._attribution import known_beside, rank_sharers, unexplained
+from ._attribution import rank_tied_requests, refused_at_same_targets, unexplained_crashes
 from ._log import CrashLog
 from ._messages import CrashReport
 from ._record import RequestRecord
-from ._rule import Crash, crashes_in_a_row, worth_keeping
+from ._rule import Crash, count_consecutive_crashes, select_retained
 
 __all__ = ["CrashHistory", "CrashListener"]
 
-# Requests that are remembered, and crashes of each. When 200 targets with 9 requests each die at
-# once, all of them fit. A record of one crash takes 0.56 kB, of eight 2.4 kB, so at most 4.8 MB in
-# all (`benchmarks.crashes`). Chosen, not measured.
+# Requests with a record, and crashes kept of each. There is room for the requests of 200 targets
+# with 9 requests each that crash at once. A record of one crash takes 0.56 kB, of eight 2.4 kB, so
+# all records take at most 4.8 MB.
 MAX_REQUESTS = 2000
 MAX_CRASHES_KEPT = 8
 
-# Answered requests that are remembered, the latest: some seconds of those that differ, and all that
-# many callers send. They take 0.73 MB (made-up requests, one run). Chosen, not measured.
-MAX_ANSWERED = 4096
+# Most recently answered requests, kept so that a later crash of one of them needs the higher
+# threshold. They cover some seconds of distinct requests, and all requests that many callers send
+# repeatedly. 4,096 of them take 0.73 MB.
+MAX_ANSWERED_REQUESTS = 4096
 
-# How long a request is remembered that has fewer crashes than it takes to refuse it: one that
-# comes every few minutes is to be found as well. Chosen, not measured.
-FORGET_S = 600.0
+# How long a request with too few crashes to be refused is kept. Long enough to detect one that is
+# sent only every few minutes.
+RETENTION_S = 600.0
 
-# After the end of a refusal the daemon that saw the last crash lets one try through. The others
-# wait this much longer, as a part of the refusal, so that one target is at risk and not one for
-# each daemon. Chosen, not measured.
-OTHERS_LATER_FRACTION = 0.5
+# When a refusal ends, the daemon that saw the last crash admits one attempt. All other daemons
+# refuse for longer, by this fraction of the refusal, so that only one target is at risk rather than
+# one for each daemon.
+OTHER_DAEMONS_DELAY_FRACTION = 0.5
 
-# Pause between two tries that a daemon lets through after a refusal, until one of them has ended:
-# longer than a caller waits for an answer on the known sites (8 s). Chosen, not measured.
-TRIAL_EVERY_S = 10.0
+# Time between two attempts that a daemon admits after a refusal, while no result is known. Longer
+# than a caller waits for an answer on the known sites (8 s).
+TRIAL_INTERVAL_S = 10.0
 
-# An answer less than this much newer than the one already known changes nothing. Two daemons place
-# each other's answers some milliseconds late; without a margin each would take the other's for the
-# newer one, again and again. Chosen, not measured.
-NEWER_ANSWER_S = 1.0
+# A peer's answer replaces the recorded one only if it is newer by at least this much. Ages that
+# travel between daemons place an answer some milliseconds late; without a margin two daemons would
+# replace each other's answers endlessly.
+ANSWER_ORDER_MARGIN_S = 1.0
 
-# Why a request is no longer refused, as in log lines.
+# Reasons for ending a refusal, as logged: the request was answered; another request explains its
+# crashes; its record was removed.
 ANSWERED = "answered"
 EXPLAINED = "explained"
 QUIET = "quiet"
 
 
 class CrashListener(Protocol):
-    """Told when the verdict on a request changes."""
+    """Receives each change of the verdict on a request."""
 
-    def became_known(self, identity: str, crashes: tuple[Crash, ...], for_s: float) -> None:
-        """A request is refused from now on, for so many seconds at least."""
+    def became_known(self, identity: str, crashes: tuple[Crash, ...], refused_for_s: float) -> None:
+        """Handle the start of a refusal, which lasts at least `refused_for_s` seconds."""
 
-    def released(self, identity: str, why: str) -> None:
-        """A request is no longer refused."""
+    def released(self, identity: str, reason: str) -> None:
+        """Handle the end of a refusal."""
 
 
 class CrashHistory:
-    """Crashes and answers of requests, by identity.
+    """Crashes and answers of requests by identity, and the verdicts that follow from them.
 
     Parameters
     ----------
     clock : Clock
-        For all times; those of peers come as ages.
+        Source of all times; peers send ages, which are converted to this clock.
     listener : CrashListener, optional
-        Told when the verdict on a request changes; by default it is logged.
+        Receives each change of a verdict; by default changes are logged.
 
     Attributes
     ----------
     life : str
-        Id of this history; another process has another.
+        Incarnation of this history: a random id, different in each process.
     changes : int
-        Rises with every change that peers should learn of.
-    last_repeated : int
-        The last change of a request that has had two crashes in a row.
+        Number of the last change of a record. Peers request the changes after a number.
+    last_repeated_change : int
+        Number of the last change of a request that has had two consecutive crashes.
 
     Examples
     --------
@@ -99,13 +101,13 @@
     """
 
     __slots__ = (
-        "_answered_s",
-        "_known",
-        "_numbers",
+        "_last_answered_s",
+        "_refused",
+        "_observation_numbers",
         "_records",
         "changes",
         "clock",
-        "last_repeated",
+        "last_repeated_change",
         "life",
         "listener",
     )
@@ -115,133 +117,149 @@
         self.listener: CrashListener = listener or CrashLog()
         self.life = uuid.uuid4().hex[:12]
         self.changes = 0
-        self.last_repeated = 0
-        self._numbers = itertools.count(1)
+        self.last_repeated_change = 0
+        self._observation_numbers = itertools.count(1)
         self._records: OrderedDict[str, RequestRecord] = OrderedDict()
-        self._known: set[str] = set()
-        self._answered_s: OrderedDict[str, float] = OrderedDict()
+        self._refused: set[str] = set()
+        self._last_answered_s: OrderedDict[str, float] = OrderedDict()
 
     # Verdicts ---------------------------------------------------------------------------------
 
     def admit(self, identity: str) -> float:
-        """Return 0 if a request may be sent, else in how many seconds it may come again.
+        """Return 0 if a request may be sent now, else the seconds until it may be sent.
 
-        Once a refusal is over, one try is let through; while it is under way, the others are told
-        to wait.
+        After a refusal one attempt is admitted; further ones wait for `TRIAL_INTERVAL_S` or until
+        the request is answered.
         """
         record = self._records.get(identity)
-        if record is None or record.known_s is None:
+        if record is None or record.detected_s is None:
             return 0.0
         now_s = self.clock.now_s()
         wait_s = self._refused_until_s(record) - now_s
         if wait_s <= 0:
-            wait_s = record.trial_s + TRIAL_EVERY_S - now_s
+            wait_s = record.last_trial_s + TRIAL_INTERVAL_S - now_s
         if wait_s > 0:
             return wait_s
-        record.trial_s = now_s
+        record.last_trial_s = now_s
         return 0.0
 
     def refused_for_s(self, identity: str) -> float:
-        """Return in how many seconds a request may come again; 0 if it is not refused."""
+        """Return the remaining seconds of a request's refusal; 0 if it is not refused."""
         record = self._records.get(identity)
-        if record is None or record.known_s is None:
+        if record is None or record.detected_s is None:
             return 0.0
         return max(0.0, self._refused_until_s(record) - self.clock.now_s())
 
     def is_known_since(self, identity: str, since_s: float) -> bool:
-        """Return whether a request was found to crash its targets after it had been admitted."""
+        """Return whether a request is refused because of crashes detected at `since_s` or later.
+
+        `since_s` is the time at which an attempt of the request was admitted.
+        """
         record = self._records.get(identity)
-        return record is not None and record.known_s is not None and record.known_s >= since_s
+        return record is not None and record.detected_s is not None and record.detected_s >= since_s
 
     def crashes_of(self, identity: str) -> int:
-        """Return how many crashes in a row are known of a request."""
+        """Return the number of consecutive crashes of a request."""
         record = self._records.get(identity)
-        return record.in_a_row if record else 0
+        return record.consecutive_count if record else 0
 
     @property
     def known_count(self) -> int:
-        """How many requests are refused."""
-        return len(self._known)
+        """Number of requests that are refused."""
+        return len(self._refused)
 
     @property
     def remembered_count(self) -> int:
-        """How many requests are remembered."""
+        """Number of requests with a record."""
         return len(self._records)
 
     def _refused_until_s(self, record: RequestRecord) -> float:
         last = max(record.crashes, key=lambda crash: crash.ended_s)
         is_own = last.finder == self.life
-        factor = 1.0 if is_own else 1.0 + OTHERS_LATER_FRACTION
+        factor = 1.0 if is_own else 1.0 + OTHER_DAEMONS_DELAY_FRACTION
         return last.ended_s + record.refusal_s * factor
 
-    # What this daemon sees ----------------------------------------------------------------------
+    # Observations of this daemon ----------------------------------------------------------------
 
     def note_crash(self, identity: str, target_id: str, began_s: float, ended_s: float) -> None:
-        """Note that a target's process ended while a request ran there."""
-        crash = Crash(self._new_id(), target_id, began_s, ended_s)
-        if self._add(identity, [crash]):
-            self._judge(identity)
+        """Record that a target's process terminated while it was running a request.
+
+        Parameters
+        ----------
+        began_s, ended_s : float
+            When the request was sent to the target, and when its connection broke.
+        """
+        crash = Crash(self._new_observation_id(), target_id, began_s, ended_s)
+        if self._add_crashes(identity, [crash]):
+            self._update_verdict(identity)
 
     def note_answer(self, identity: str) -> None:
-        """Note that a target answered a request whole: its crashes so far do not count."""
+        """Record a complete answer to a request; its earlier crashes no longer count."""
         now_s = self.clock.now_s()
-        self._answered_s[identity] = now_s
-        self._answered_s.move_to_end(identity)
-        if len(self._answered_s) > MAX_ANSWERED:
-            self._answered_s.popitem(last=False)
+        self._last_answered_s[identity] = now_s
+        self._last_answered_s.move_to_end(identity)
+        if len(self._last_answered_s) > MAX_ANSWERED_REQUESTS:
+            self._last_answered_s.popitem(last=False)
         record = self._records.get(identity)
         if record is not None and record.crashes:
-            self._take_answer(identity, record, self._new_id(), now_s)
+            self._apply_answer(identity, record, self._new_observation_id(), now_s)
 
-    def _new_id(self) -> str:
-        """Return an id for a finding of this daemon."""
-        return f"{self.life}:{next(self._numbers)}"
+    def _new_observation_id(self) -> str:
+        """Return an id, unique among all daemons, for a crash or answer that this daemon saw."""
+        return f"{self.life}:{next(self._observation_numbers)}"
 
     def tidy(self) -> None:
-        """Forget requests of which nothing was heard for long."""
+        """Remove the records and answers that have exceeded their retention time."""
         now_s = self.clock.now_s()
-        old = [
+        expired = [
             identity
             for identity, record in self._records.items()
-            if now_s - record.last_s > max(FORGET_S, 3 * record.refusal_s)
+            if now_s - record.last_event_s > max(RETENTION_S, 3 * record.refusal_s)
         ]
-        for identity in old:
-            self._forget(identity)
-        while self._answered_s and now_s - next(iter(self._answered_s.values())) > FORGET_S:
-            self._answered_s.popitem(last=False)
+        for identity in expired:
+            self._remove_record(identity)
+        while (
+            self._last_answered_s
+            and now_s - next(iter(self._last_answered_s.values())) > RETENTION_S
+        ):
+            self._last_answered_s.popitem(last=False)
 
-    # What peers see -----------------------------------------------------------------------------
+    # Exchange with peers ------------------------------------------------------------------------
 
     def reports_since(
-        self, change: int, limit: int, repeated_only: bool = False
+        self, after_change: int, limit: int, repeated_only: bool = False
     ) -> tuple[tuple[CrashReport, ...], int]:
-        """Return what changed after a change, oldest first, and up to which change that goes.
+        """Return the requests that changed after `after_change`, and the last change included.
+
+        The reports are sorted by their last change, oldest first.
 
         Parameters
         ----------
         limit : int
-            Reports at most.
+            Maximum number of reports.
         repeated_only : bool
-            Leave out requests that have never had two crashes in a row.
+            Omit requests that have never had two consecutive crashes.
         """
-        if change >= self.changes:
+        if after_change >= self.changes:
             return (), self.changes
-        later = itertools.takewhile(
-            lambda item: item[1].change > change, reversed(self._records.items())
+        newer = itertools.takewhile(
+            lambda item: item[1].last_change > after_change, reversed(self._records.items())
         )
-        changed = [item for item in later if item[1].is_repeated or not repeated_only][::-1]
+        changed = [item for item in newer if item[1].has_recurred or not repeated_only][::-1]
         now_s = self.clock.now_s()
         reports = tuple(record.report(identity, now_s) for identity, record in changed[:limit])
-        up_to = changed[limit - 1][1].change if len(changed) > limit else self.changes
-        return reports, up_to
+        last_included_change = (
+            changed[limit - 1][1].last_change if len(changed) > limit else self.changes
+        )
+        return reports, last_included_change
 
     def merge(self, reports: Iterable[CrashReport]) -> None:
-        """Take over what a peer reports."""
+        """Merge a peer's reports into this history and update the verdicts."""
         now_s = self.clock.now_s()
         for report in reports:
-            self._merge_one(report, now_s)
+            self._merge_report(report, now_s)
 
-    def _merge_one(self, report: CrashReport, now_s: float) -> None:
+    def _merge_report(self, report: CrashReport, now_s: float) -> None:
         crashes = [
             Crash(
                 crash.crash_id,
@@ -253,86 +271,92 @@
         ]
         if report.answered_age_s is not None:
             answered_s = now_s - report.answered_age_s
-            record = self._records.get(report.identity) or self._remember(report.identity)
-            is_other = report.answered_id != record.answered_id
-            if is_other and answered_s > record.answered_s + NEWER_ANSWER_S:
-                self._take_answer(report.identity, record, report.answered_id, answered_s)
-        if self._add(report.identity, crashes):
-            self._judge(report.identity)
+            record = self._records.get(report.identity) or self._create_record(report.identity)
+            is_another_answer = report.answered_id != record.answered_id
+            if is_another_answer and answered_s > record.answered_s + ANSWER_ORDER_MARGIN_S:
+                self._apply_answer(report.identity, record, report.answered_id, answered_s)
+        if self._add_crashes(report.identity, crashes):
+            self._update_verdict(report.identity)
 
     # Records --------------------------------------------------------------------------------------
 
-    def _add(self, identity: str, crashes: list[Crash]) -> bool:
-        """Add crashes that are new and after the last answer; return whether any was kept."""
+    def _add_crashes(self, identity: str, crashes: list[Crash]) -> bool:
+        """Add crashes that are new and after the last answer; return whether the record changed."""
         record = self._records.get(identity)
-        known = record.crashes if record else []
-        known_ids = {crash.crash_id for crash in known}
+        recorded = record.crashes if record else []
+        recorded_ids = {crash.crash_id for crash in recorded}
         answered_s = record.answered_s if record else float("-inf")
-        new = [c for c in crashes if c.crash_id not in known_ids and c.ended_s > answered_s]
-        kept = worth_keeping([*known, *new], MAX_CRASHES_KEPT)
-        if kept == known:
+        new = [c for c in crashes if c.crash_id not in recorded_ids and c.ended_s > answered_s]
+        retained = select_retained([*recorded, *new], MAX_CRASHES_KEPT)
+        if retained == recorded:
             return False
-        record = record or self._remember(identity)
-        if not record.answered_id and identity in self._answered_s:
-            record.answered_id, record.answered_s = self._new_id(), self._answered_s[identity]
-        record.crashes = kept
-        record.is_repeated |= record.in_a_row > 1
-        self._changed(identity, record)
+        record = record or self._create_record(identity)
+        if not record.answered_id and identity in self._last_answered_s:
+            record.answered_id, record.answered_s = (
+                self._new_observation_id(),
+                self._last_answered_s[identity],
+            )
+        record.crashes = retained
+        record.has_recurred |= record.consecutive_count > 1
+        self._mark_changed(identity, record)
         return True
 
-    def _take_answer(
+    def _apply_answer(
         self, identity: str, record: RequestRecord, answer_id: str, answered_s: float
     ) -> None:
         record.answered_id, record.answered_s = answer_id, answered_s
         record.crashes = [crash for crash in record.crashes if crash.ended_s > answered_s]
-        # An answer before its crashes clears none, but one that was answered needs more of them.
-        self._changed(identity, record)
-        if record.known_s is not None and record.in_a_row < record.needed:
+        # An answer older than the crashes removes none of them, but it raises the threshold.
+        self._mark_changed(identity, record)
+        if record.detected_s is not None and record.consecutive_count < record.threshold:
             self._release(identity, record, ANSWERED)
 
-    def _changed(self, identity: str, record: RequestRecord) -> None:
+    def _mark_changed(self, identity: str, record: RequestRecord) -> None:
         self.changes += 1
-        record.change = self.changes
-        if record.is_repeated:
-            self.last_repeated = self.changes
+        record.last_change = self.changes
+        if record.has_recurred:
+            self.last_repeated_change = self.changes
         self._records.move_to_end(identity)
 
-    def _remember(self, identity: str) -> RequestRecord:
-        """Begin a record; the one that was changed longest ago and is not refused makes room."""
+    def _create_record(self, identity: str) -> RequestRecord:
+        """Create a record; if there are too many, remove the least recently changed one.
+
+        Records of refused requests are removed only if there are no others.
+        """
         if len(self._records) >= MAX_REQUESTS:
-            unknown = (i for i in self._records if i not in self._known)
-            self._forget(next(unknown, next(iter(self._records))))
+            not_refused = (i for i in self._records if i not in self._refused)
+            self._remove_record(next(not_refused, next(iter(self._records))))
         record = self._records[identity] = RequestRecord()
         return record
 
-    def _forget(self, identity: str) -> None:
+    def _remove_record(self, identity: str) -> None:
         record = self._records.pop(identity)
-        if record.known_s is not None:
+        if record.detected_s is not None:
             self._release(identity, record, QUIET)
 
-    # Judging --------------------------------------------------------------------------------------
+    # Updating verdicts ----------------------------------------------------------------------------
 
-    def _judge(self, identity: str) -> None:
-        """Decide on a request of which a crash was learned, and on those it explains."""
+    def _update_verdict(self, identity: str) -> None:
+        """Update the verdict on a request with a new crash, and on requests that it explains."""
         record = self._records[identity]
-        if record.in_a_row < record.needed or not self._is_to_blame(identity):
-            if record.known_s is not None:
+        if record.consecutive_count < record.threshold or not self._is_cause(identity):
+            if record.detected_s is not None:
                 self._release(identity, record, EXPLAINED)
             return
-        rank_sharers(identity, self._records, self._known)
-        record.known_s = self.clock.now_s()
-        if identity not in self._known:
-            self._known.add(identity)
+        rank_tied_requests(identity, self._records, self._refused)
+        record.detected_s = self.clock.now_s()
+        if identity not in self._refused:
+            self._refused.add(identity)
             self.listener.became_known(identity, tuple(record.crashes), record.refusal_s)
-        for other in known_beside(identity, self._records, self._known):
-            if not self._is_to_blame(other):
+        for other in refused_at_same_targets(identity, self._records, self._refused):
+            if not self._is_cause(other):
                 self._release(other, self._records[other], EXPLAINED)
 
-    def _is_to_blame(self, identity: str) -> bool:
-        own = unexplained(identity, self._records, self._known)
-        return crashes_in_a_row(own) >= self._records[identity].needed
+    def _is_cause(self, identity: str) -> bool:
+        unexplained = unexplained_crashes(identity, self._records, self._refused)
+        return count_consecutive_crashes(unexplained) >= self._records[identity].threshold
 
-    def _release(self, identity: str, record: RequestRecord, why: str) -> None:
-        record.known_s = None
-        self._known.discard(identity)
-        self.listener.released(identity, why)
+    def _release(self, identity: str, record: RequestRecord, reason: str) -> None:
+        record.detected_s = None
+        self._refused.discard(identity)
+        self.listener.released(identity, reason)
--- a/ferrydock/crashes/_identity.py
+++ b/ferrydock/crashes/_identity.py
@@ -1,37 +1,38 @@
-"""Rule: which tries are tries of one request; pure."""
+"""Rule: which attempts belong to one request; pure."""
 
 import hashlib
 
 __all__ = ["IDENTIFIED_BODY_BYTES", "request_identity"]
 
-# Of a longer body this much, and its length, tells it from others, so that it is identified before
-# any of it is sent. As much as a daemon keeps of a body to send it again, so that it costs no
-# further memory. Two bodies that differ only beyond it count as one request: an answer to either
-# of them then says that neither crashes its target. Chosen, not measured.
+# A longer body is identified by this many of its first bytes and its length, so that the identity
+# is known before any of the body is sent. A daemon buffers the same amount of a body for retries,
+# so the identity costs no further memory. Two bodies of one length that differ only beyond it count
+# as one request: an answer to either of them clears the crashes of both.
 IDENTIFIED_BODY_BYTES = 262144
 
-# Bytes of an identity: two of the 1e9 requests of a day are taken for one with a chance of 1.5e-21.
+# With 16 bytes, the probability that any two of the 1e9 requests of a day collide is 1.5e-21.
 IDENTITY_BYTES = 16
 
 
 def request_identity(
     method: str, host: str, path: str, team: str, body: bytes, length: int | None = None
 ) -> str:
-    """Return the name under which all tries of a request are known, at any daemon.
+    """Return the identity of a request: the same for all its attempts, at all daemons.
 
-    The caller's id of a try is not part of it, since each try has its own; nor are headers such as
-    the time left or the last event seen, which differ between the tries of one request.
+    The caller's attempt id is not part of it, since each attempt has its own. Nor are headers such
+    as the remaining time or the last event received, which differ between attempts.
 
     Parameters
     ----------
     path : str
-        As the caller sent it, with its query.
+        The path as the caller sent it, with its query.
     team : str
-        Whose request it is; empty on a public route. A team's keys change, its name does not.
+        Name of the team that sent the request; empty on a public route. The name is used rather
+        than a key of the team because keys change.
     body : bytes
-        The body, or the beginning of it.
+        The complete body or a prefix of it.
     length : int or None
-        Length of the whole body in bytes; None if `body` is the whole.
+        Length of the complete body in bytes; None if `body` is complete.
 
     Examples
     --------
@@ -42,10 +43,10 @@
     False
     """
     length = len(body) if length is None else length
-    told = hashlib.blake2b(digest_size=IDENTITY_BYTES)
+    digest = hashlib.blake2b(digest_size=IDENTITY_BYTES)
     for part in (method, host.lower(), path, team, str(length)):
         data = part.encode(errors="surrogateescape")
-        told.update(b"%d:" % len(data))
-        told.update(data)
-    told.update(body[:IDENTIFIED_BODY_BYTES])
-    return told.hexdigest()
+        digest.update(b"%d:" % len(data))
+        digest.update(data)
+    digest.update(body[:IDENTIFIED_BODY_BYTES])
+    return digest.hexdigest()
--- a/ferrydock/crashes/_log.py
+++ b/ferrydock/crashes/_log.py
@@ -1,6 +1,7 @@
-"""Log lines on requests as they become known to crash their targets, and as they are released.
+"""Logs the start and the end of the refusal of a request that crashes its targets.
 
-Stateless. One line for each change of a verdict, of which there are at most as many as crashes.
+Stateless. Writes one line for each change of a verdict, of which there are at most as many as
+crashes.
 """
 
 import logging
@@ -14,12 +15,12 @@
 
 
 class CrashLog:
-    """Logs verdicts; the listener of a history that has no other."""
+    """Logs verdicts; the default listener of `CrashHistory`."""
 
     __slots__ = ()
 
-    def became_known(self, identity: str, crashes: tuple[Crash, ...], for_s: float) -> None:
-        """Log that a request is refused from now on."""
+    def became_known(self, identity: str, crashes: tuple[Crash, ...], refused_for_s: float) -> None:
+        """Log that a request is refused because it crashes its targets."""
         log_event(
             _LOG,
             logging.WARNING,
@@ -28,9 +29,9 @@
             crashes=len(crashes),
             seen_by_daemons=len({crash.finder for crash in crashes}),
             targets=",".join(crash.target_id for crash in crashes),
-            refused_for_s=for_s,
+            refused_for_s=refused_for_s,
         )
 
-    def released(self, identity: str, why: str) -> None:
+    def released(self, identity: str, reason: str) -> None:
         """Log that a request is no longer refused."""
-        log_event(_LOG, logging.WARNING, "crashing_request_released", identity=identity, why=why)
+        log_event(_LOG, logging.WARNING, "crashing_request_released", identity=identity, why=reason)
--- a/ferrydock/crashes/_messages.py
+++ b/ferrydock/crashes/_messages.py
@@ -1,7 +1,8 @@
-"""What daemons tell each other of requests that crash their targets.
+"""Messages between daemons about requests that crash their targets.
 
-Times travel as ages, since daemons share no clock. The field names are the wire: daemons of two
-versions run side by side during an upgrade, so a field is never renamed (tests/test_outside.py).
+Times are sent as ages, since daemons share no clock. The field names are part of the wire format:
+daemons of two versions run side by side during an upgrade, so a field is never renamed
+(tests/test_outside.py).
 """
 
 from collections.abc import Mapping
@@ -12,16 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashAge:
-    """The end of a target's process while a request ran there.
+    """The termination of a target's process while it was running a request.
 
     Attributes
     ----------
     crash_id : str
-        Names this finding in all daemons.
+        Id of the observation, unique among all daemons.
     ended_age_s : float
         Seconds since the request's connection broke.
     ran_s : float
-        Seconds from sending the request until then.
+        Seconds from sending the request until its connection broke.
     """
 
     crash_id: str
@@ -32,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashReport:
-    """All that the sender knows of one request.
+    """The sender's record of one request.
 
     Attributes
     ----------
     answered_id : str
-        Names the newest whole answer in all daemons; empty for none.
+        Id of the newest complete answer, unique among all daemons; empty if there is none.
     answered_age_s : float or None
-        Seconds since then; None for none.
+        Seconds since that answer; None if there is none.
     """
 
     identity: str
@@ -50,17 +51,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashNews:
-    """What changed at the sender since the receiver last heard of it.
+    """The changes of the sender's history that the receiver has not received.
 
     Attributes
     ----------
     life : str
-        Id of the sender's history.
+        Incarnation of the sender's history.
     change : int
-        Its change up to which the reports go.
+        Number of the last change that the reports include.
     known_life, known_change : str, int
-        The receiver's history and change up to which the sender has heard of it; empty and 0 for
-        nothing, and in answers.
+        Incarnation of the receiver's history and its last change that the sender has received;
+        empty and 0 if it has received none, and in replies.
     """
 
     life: str
@@ -71,7 +72,7 @@
 
 
 def decode_crash_news(fields: Mapping | None) -> CrashNews | None:
-    """Return the news in decoded fields; None where there are none.
+    """Build the update from the fields of a decoded JSON object; None if `fields` is None.
 
     Raises
     ------
--- a/ferrydock/crashes/_probe.py
+++ b/ferrydock/crashes/_probe.py
@@ -1,8 +1,9 @@
-"""Whether the process of a target is there, as its port tells.
+"""Checks whether the process of a target is running, by connecting to its port.
 
-Owns the looks under way, by target. A broken connection alone does not tell: it may have been reset
-on the way, or by a target that goes on. The port of a process that has ended refuses; one that is
-cut off or stands still says nothing, or takes the connection.
+Owns the probes in progress, by target. A broken connection does not show that the process has
+terminated: the network or a running target may have reset it. The port of a terminated process
+refuses connections. A target that is cut off does not respond; one whose process is suspended does
+not respond or accepts the connection.
 """
 
 import asyncio
@@ -10,17 +11,22 @@
 
 __all__ = ["TargetPresence", "TargetProbe"]
 
-# How long a target's port may take to answer. A live host answers within milliseconds. Chosen, not
-# measured; as long as a member of a silent replica has (`forwarding._stalls.REPORT_TIMEOUT_S`).
+# Time for connecting to a target's port. A live host responds within milliseconds. Equal to the
+# time-out for a member of a silent replica (`forwarding._stalls.REPORT_TIMEOUT_S`).
 ANSWER_WITHIN_S = 0.12
 
-# Pauses before a target that said nothing is looked at again: by then a short cut or standstill is
-# over. Within the seconds that a target takes to start again. Chosen, not measured.
+# Pauses before the second and third probe of a target that did not respond. They outlast a short
+# network cut or pause of the process, and add up to less than the seconds in which a target
+# restarts, after which its port would accept connections again.
 LOOK_AGAIN_S = (0.3, 0.6)
 
 
 class TargetPresence(StrEnum):
-    """What a target's port says, as in log lines."""
+    """Result of probing a target's port; the values appear in log lines.
+
+    ``GONE``: the port refused the connection, so the process has terminated. ``PRESENT``: it
+    accepted the connection. ``SILENT``: it did not respond in time, or connecting failed otherwise.
+    """
 
     GONE = "gone"
     PRESENT = "present"
@@ -28,41 +34,41 @@
 
 
 class TargetProbe:
-    """Looks at targets whose connections broke; one look at a time for each target."""
+    """Probes targets whose connections broke, with at most one probe in progress per target."""
 
-    __slots__ = ("_looks",)
+    __slots__ = ("_probes",)
 
     def __init__(self):
-        self._looks: dict[str, asyncio.Task[TargetPresence]] = {}
+        self._probes: dict[str, asyncio.Task[TargetPresence]] = {}
 
     def look(self, target_id: str, address: str) -> asyncio.Task[TargetPresence]:
-        """Return the look at a target that is under way, or begin one at its ``IP:PORT``."""
-        look = self._looks.get(target_id)
-        if look is None:
-            look = asyncio.get_running_loop().create_task(_look_until_it_answers(address))
-            self._looks[target_id] = look
-            look.add_done_callback(lambda _: self._looks.pop(target_id, None))
-        return look
+        """Return the probe of a target in progress, or start one of its ``IP:PORT`` address."""
+        probe = self._probes.get(target_id)
+        if probe is None:
+            probe = asyncio.get_running_loop().create_task(_probe_with_retries(address))
+            self._probes[target_id] = probe
+            probe.add_done_callback(lambda _: self._probes.pop(target_id, None))
+        return probe
 
     async def close(self) -> None:
-        """End all looks."""
-        looks = list(self._looks.values())
-        for look in looks:
-            look.cancel()
-        await asyncio.gather(*looks, return_exceptions=True)
+        """Cancel all probes in progress."""
+        probes = list(self._probes.values())
+        for probe in probes:
+            probe.cancel()
+        await asyncio.gather(*probes, return_exceptions=True)
 
 
-async def _look_until_it_answers(address: str) -> TargetPresence:
-    presence = await _look_once(address)
+async def _probe_with_retries(address: str) -> TargetPresence:
+    presence = await _connect_once(address)
     for pause_s in LOOK_AGAIN_S:
         if presence is not TargetPresence.SILENT:
             break
         await asyncio.sleep(pause_s)
-        presence = await _look_once(address)
+        presence = await _connect_once(address)
     return presence
 
 
-async def _look_once(address: str) -> TargetPresence:
+async def _connect_once(address: str) -> TargetPresence:
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(ANSWER_WITHIN_S):
--- a/ferrydock/crashes/_rule.py
+++ b/ferrydock/crashes/_rule.py
@@ -1,8 +1,9 @@
-"""Rule: which request is taken for one that crashes its targets, and for how long; pure.
+"""Rule: which requests are refused because they crash their targets, and for how long; pure.
 
-A target that dies takes all its requests with it, and many targets may die at once, of a lost rack
-or a bad release. So a death alone says little about a request. What tells one that crashes its
-targets is that it happens again and again, one run after the other, without an answer in between.
+All requests on a target fail when it crashes, and many targets may crash at once because of a lost
+rack or a bad release. So a single crash says little about a request. A request that causes crashes
+is recognized by consecutive ones: each attempt starts after the previous crash and crashes too,
+without an answer in between.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,54 +13,59 @@
     "CRASHES_TARGETS",
     "CRASHES_TO_KNOW",
     "Crash",
-    "crashes_in_a_row",
-    "crashes_needed",
-    "is_same_end",
-    "refuse_for_s",
-    "row_of",
-    "worth_keeping",
+    "count_consecutive_crashes",
+    "refusal_threshold",
+    "is_same_termination",
+    "refusal_duration_s",
+    "consecutive_crashes",
+    "select_retained",
 ]
 
-# Reason of a refusal for this, in answers and log lines of both programs.
+# Reason of these refusals, in answers and log lines of both programs.
 CRASHES_TARGETS = "crashes_targets"
 
-# Crashes in a row after which a request is refused. Two happen to honest requests: of 278 attempts
-# that broke in one day on which 60 targets crashed, 46 requests lost two (emulated, one play). The
-# platform allows three before it counts.
+# Consecutive crashes after which a request is refused. Two also occur to harmless requests: in an
+# emulated day with 60 target crashes that broke 278 attempts, 46 requests lost two attempts. The
+# platform tolerates three crashes before it counts them.
 CRASHES_TO_KNOW = 3
 
-# The same for a request that a target has answered before. One that many callers send is at all
-# targets, also at those that another one crashes in a row. With six it still stays within the three
-# further targets that the platform allows. Chosen, not measured by itself.
-CRASHES_IF_ANSWERED = 6
+# Threshold for a request that a target has answered before. A request that many callers send runs
+# on all targets, also on those that another request crashes consecutively. At six crashes it stays
+# within the three further targets that the platform tolerates.
+CRASHES_TO_REFUSE_ANSWERED = 6
 
-# How far apart two daemons may see the end of one process. Below the seconds that a target takes to
-# start again; above what a busy daemon takes to read a reset. Chosen, not measured.
-SAME_END_S = 1.0
+# Maximum difference between the times at which two daemons observe the termination of one process.
+# Shorter than the seconds in which a target restarts; longer than a busy daemon takes to notice a
+# connection reset.
+SAME_TERMINATION_S = 1.0
 
-# For how long a request is refused after its third crash in a row, and at most: twice as long with
-# each further one, so that it costs one target in a minute, in two, in four. Chosen, not measured.
+# Refusal after the crash that reaches the threshold. It doubles with each further consecutive crash
+# up to the maximum, so that a request costs one target in the first minute, then one in two
+# minutes, then one in four.
 FIRST_REFUSAL_S = 60.0
 MAX_REFUSAL_S = 960.0
 
-# For how long a request is refused that shares each of its crashes with another one: which of them
-# it was is told by the next try of either. Longer than a target needs to start again on the known
-# sites (2 to 4 s), so that the try does not meet the last of them. Each further one of those that
-# share waits longer, so that their tries do not meet either. Chosen, not measured.
-SHARED_REFUSAL_S = 5.0
-SHARED_STEP_S = 2.0
+# Refusal of a request that shares all its consecutive crashes with another refused request (a tie).
+# It is short because the next attempt of either shows which of them is the cause. It exceeds the
+# time in which a target restarts on the known sites (2 to 4 s), so that the attempt does not run
+# into the last crash. It grows by the step with each rank, so that the attempts of tied requests
+# do not run at the same time.
+TIED_REFUSAL_S = 5.0
+TIED_REFUSAL_STEP_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """The end of a target's process while a request ran there, in this daemon's time.
+    """The termination of a target's process while it was running a request.
 
     Attributes
     ----------
     crash_id : str
-        Names this finding in all daemons: the finder's `CrashHistory.life`, and a number.
+        Id of the observation, unique among all daemons: `CrashHistory.life` of the daemon that
+        observed it, and a number.
     began_s, ended_s : float
-        When the request was sent there, and when its connection broke.
+        When the request was sent to the target, and when its connection broke, by this daemon's
+        clock.
     """
 
     crash_id: str
@@ -69,96 +75,99 @@
 
     @property
     def finder(self) -> str:
-        """Life of the history whose daemon saw it."""
+        """`CrashHistory.life` of the daemon that observed the crash."""
         return self.crash_id.partition(":")[0]
 
 
-def row_of(crashes: Iterable[Crash]) -> list[Crash]:
-    """Return the crashes that lie one after the other, as many as there can be.
+def consecutive_crashes(crashes: Iterable[Crash]) -> list[Crash]:
+    """Return the longest sequence of crashes in which each attempt began after the previous crash.
 
-    A run that began before another one ended tells nothing more than that one: when many targets
-    die at once, a request that many callers send was at several of them.
+    Overlapping attempts count once: when many targets crash at once, a request that many callers
+    send was running on several of them.
     """
-    row: list[Crash] = []
+    consecutive: list[Crash] = []
     for crash in sorted(crashes, key=lambda crash: crash.ended_s):
-        if not row or crash.began_s > row[-1].ended_s:
-            row.append(crash)
-    return row
+        if not consecutive or crash.began_s > consecutive[-1].ended_s:
+            consecutive.append(crash)
+    return consecutive
 
 
-def crashes_in_a_row(crashes: Iterable[Crash]) -> int:
-    """Return how many of the crashes lie one after the other.
+def count_consecutive_crashes(crashes: Iterable[Crash]) -> int:
+    """Return the length of the sequence that `consecutive_crashes` returns.
 
     Examples
     --------
     >>> at_once = [Crash(f"d:{n}", f"t{n}", 0.0, 1.0) for n in range(5)]
-    >>> crashes_in_a_row(at_once)
+    >>> count_consecutive_crashes(at_once)
     1
-    >>> crashes_in_a_row([*at_once, Crash("d:6", "t6", 1.1, 1.2), Crash("e:1", "t7", 1.3, 1.4)])
+    >>> count_consecutive_crashes(
+    ...     [*at_once, Crash("d:6", "t6", 1.1, 1.2), Crash("e:1", "t7", 1.3, 1.4)]
+    ... )
     3
     """
-    return len(row_of(crashes))
+    return len(consecutive_crashes(crashes))
 
 
-def worth_keeping(crashes: Sequence[Crash], limit: int) -> list[Crash]:
-    """Return at most `limit` of the crashes, by their ends: those in a row, then the newest.
+def select_retained(crashes: Sequence[Crash], limit: int) -> list[Crash]:
+    """Return at most `limit` of the crashes by end time: consecutive ones first, then the newest.
 
-    A request of which many tries run at a time has several crashes at each moment; without regard
-    to the row they would push out those of the moments before.
+    If many attempts of a request run concurrently, each outage adds several crashes. Keeping only
+    the newest would discard the crashes of earlier outages, which count as consecutive.
 
     Examples
     --------
     >>> crashes = [Crash(f"d:{n}", "t", float(n // 4), n // 4 + 0.5) for n in range(12)]
-    >>> [crash.crash_id for crash in worth_keeping(crashes, 4)]
+    >>> [crash.crash_id for crash in select_retained(crashes, 4)]
     ['d:0', 'd:4', 'd:8', 'd:11']
     """
     by_end = sorted(crashes, key=lambda crash: crash.ended_s)
-    row = row_of(by_end)[-limit:]
-    others = [crash for crash in by_end if crash not in row]
-    newest = others[len(others) - min(len(others), limit - len(row)) :]
-    return sorted([*row, *newest], key=lambda crash: crash.ended_s)
+    consecutive = consecutive_crashes(by_end)[-limit:]
+    others = [crash for crash in by_end if crash not in consecutive]
+    newest = others[len(others) - min(len(others), limit - len(consecutive)) :]
+    return sorted([*consecutive, *newest], key=lambda crash: crash.ended_s)
 
 
-def is_same_end(crash: Crash, others: Sequence[Crash]) -> bool:
-    """Return whether a target's process ended under other requests at that time as well."""
+def is_same_termination(crash: Crash, others: Sequence[Crash]) -> bool:
+    """Return whether any of `others` is the same termination of the same target's process."""
     return any(
-        other.target_id == crash.target_id and abs(other.ended_s - crash.ended_s) < SAME_END_S
+        other.target_id == crash.target_id
+        and abs(other.ended_s - crash.ended_s) < SAME_TERMINATION_S
         for other in others
     )
 
 
-def crashes_needed(is_answered: bool) -> int:
-    """Return how many crashes in a row make a request known.
+def refusal_threshold(is_answered: bool) -> int:
+    """Return the number of consecutive crashes from which a request is refused.
 
     Parameters
     ----------
     is_answered : bool
-        Whether a target has answered it before.
+        Whether a target has answered the request before.
     """
-    return CRASHES_IF_ANSWERED if is_answered else CRASHES_TO_KNOW
+    return CRASHES_TO_REFUSE_ANSWERED if is_answered else CRASHES_TO_KNOW
 
 
-def refuse_for_s(
-    crashes: int, needed: int = CRASHES_TO_KNOW, shared_rank: int | None = None
+def refusal_duration_s(
+    crashes: int, threshold: int = CRASHES_TO_KNOW, tie_rank: int | None = None
 ) -> float:
-    """Return for how many seconds a request is refused after so many crashes in a row.
+    """Return the seconds for which a request is refused after `crashes` consecutive crashes.
 
     Parameters
     ----------
-    needed : int
-        Crashes in a row that made it known.
-    shared_rank : int or None
-        Its place among the requests that share all of these crashes, from 0; None if none does.
+    threshold : int
+        Number of consecutive crashes from which the request is refused.
+    tie_rank : int or None
+        Rank, from 0, among the requests that share all of these crashes; None if there are none.
 
     Examples
     --------
-    >>> [refuse_for_s(crashes) for crashes in (2, 3, 4, 20)]
+    >>> [refusal_duration_s(crashes) for crashes in (2, 3, 4, 20)]
     [0.0, 60.0, 120.0, 960.0]
-    >>> refuse_for_s(6, needed=6), [refuse_for_s(3, shared_rank=rank) for rank in (0, 1)]
+    >>> refusal_duration_s(6, threshold=6), [refusal_duration_s(3, tie_rank=n) for n in (0, 1)]
     (60.0, [5.0, 7.0])
     """
-    if crashes < needed:
+    if crashes < threshold:
         return 0.0
-    if shared_rank is not None:
-        return SHARED_REFUSAL_S + SHARED_STEP_S * shared_rank
-    return min(MAX_REFUSAL_S, FIRST_REFUSAL_S * 2.0 ** (crashes - needed))
+    if tie_rank is not None:
+        return TIED_REFUSAL_S + TIED_REFUSAL_STEP_S * tie_rank
+    return min(MAX_REFUSAL_S, FIRST_REFUSAL_S * 2.0 ** (crashes - threshold))
