--- a/ferrydock/store/__init__.py
+++ b/ferrydock/store/__init__.py
@@ -1,4 +1,4 @@
-"""Ports to a key-value service, a box list and a weight store, and their adapters."""
+"""Interfaces of the key-value service, the box list and the weight store, and their clients."""
 
 from ._box_list import Box, BoxList, HttpBoxList, StaticBoxList
 from ._etcd import EtcdStore
--- a/ferrydock/store/_box_list.py
+++ b/ferrydock/store/_box_list.py
@@ -1,4 +1,7 @@
-"""The platform's list of live and leaving boxes. It lags: a box on it may be gone already."""
+"""The platform's list of live and leaving boxes.
+
+The list lags behind: a box on it may have been removed already.
+"""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -19,15 +22,15 @@
     name : str
         Unique name of the box.
     hall : str
-        Hall in which it stands.
+        Name of its hall.
     fabric_domain : str
-        Boxes of one replica share a fabric domain.
+        Name of its fabric domain. All boxes of one replica are in the same fabric domain.
     url : str
-        Base address of its engine, by IP number.
+        Base URL of its engine, with an IP address as the host.
     accelerators : int
-        How many accelerators it holds.
+        Number of its accelerators.
     leaving : bool
-        Whether the platform is about to take it away.
+        Whether the platform is about to remove it.
     """
 
     name: str
@@ -39,13 +42,13 @@
 
 
 class BoxList(Protocol):
-    """What ferrydock asks of the platform's box list."""
+    """Interface of the platform's box list."""
 
     async def fetch(self, hall: str) -> tuple[Box, ...] | Unavailable:
         """Return the boxes of `hall`."""
 
     async def close(self) -> None:
-        """Give up the connections."""
+        """Close the connections."""
 
 
 class StaticBoxList:
@@ -69,9 +72,9 @@
     Parameters
     ----------
     url : str
-        Base address of the platform's box list.
+        Base URL of the platform's box list.
     timeout_s : float, default=2.0
-        Longest wait for an answer.
+        Time-out of one request, including the response body.
     """
 
     __slots__ = ("_session", "timeout_s", "url")
@@ -90,8 +93,8 @@
                 f"{self.url}/boxes", params={"hall": hall}, timeout=timeout
             ) as response:
                 response.raise_for_status()
-                listed = (await response.json())["boxes"]
-            return tuple(_box_from(fields) for fields in listed)
+                entries = (await response.json())["boxes"]
+            return tuple(_decode_box(fields) for fields in entries)
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError, KeyError) as error:
             return Unavailable(f"the box list cannot be read: {type(error).__name__}")
 
@@ -100,7 +103,7 @@
             await self._session.close()
 
 
-def _box_from(fields: dict) -> Box:
+def _decode_box(fields: dict) -> Box:
     return Box(
         name=str(fields["name"]),
         hall=str(fields["hall"]),
--- a/ferrydock/store/_etcd.py
+++ b/ferrydock/store/_etcd.py
@@ -1,7 +1,8 @@
-"""The store over the published etcd v3 JSON API.
+"""Client of a key-value service that offers the etcd v3 JSON API.
 
-Source: the etcd documentation, "Why gRPC gateway" (``/v3/kv/range``, ``/v3/kv/txn``,
-``/v3/lease/*`` and ``/v3/watch``; keys and values in base64, 64-bit numbers as strings).
+The API is described in the etcd documentation, "Why gRPC gateway" (``/v3/kv/range``,
+``/v3/kv/txn``, ``/v3/lease/*`` and ``/v3/watch``; keys and values in base64, 64-bit numbers as
+strings).
 """
 
 import base64
@@ -28,24 +29,24 @@
 
 __all__ = ["EtcdStore", "decode_key_value", "encode_text"]
 
-_NOT_SENT = (aiohttp.ClientConnectorError,)
+_CONNECT_ERRORS = (aiohttp.ClientConnectorError,)
 
 
 def encode_text(text: str | bytes) -> str:
-    """Return `text` in the base64 form that the JSON API uses."""
+    """Encode `text` in base64, as the JSON API expects keys and values."""
     raw = text.encode() if isinstance(text, str) else text
     return base64.b64encode(raw).decode("ascii")
 
 
-def _decode(text: str) -> bytes:
+def _decode_base64(text: str) -> bytes:
     return base64.b64decode(text)
 
 
 def decode_key_value(fields: dict) -> KeyValue:
-    """Read one ``mvccpb.KeyValue`` of the JSON API."""
+    """Decode one ``mvccpb.KeyValue`` of the JSON API."""
     return KeyValue(
-        key=_decode(fields["key"]).decode(),
-        value=_decode(fields.get("value", "")),
+        key=_decode_base64(fields["key"]).decode(),
+        value=_decode_base64(fields.get("value", "")),
         create_revision=int(fields.get("create_revision", 0)),
         mod_revision=int(fields.get("mod_revision", 0)),
         lease_id=int(fields.get("lease", 0)),
@@ -103,26 +104,26 @@
     Parameters
     ----------
     urls : sequence of str
-        Base addresses; a call that cannot connect goes on to the next one.
+        Base URLs of the service. If a call cannot connect to one, it tries the next one.
     timeout_s : float, default=2.0
-        Longest wait for the answer to one call.
+        Time-out of a call to one URL.
     """
 
-    __slots__ = ("_preferred", "_session", "timeout_s", "urls")
+    __slots__ = ("_preferred_index", "_session", "timeout_s", "urls")
 
     def __init__(self, urls: Sequence[str], timeout_s: float = 2.0):
         self.urls = tuple(url.rstrip("/") for url in urls)
         self.timeout_s = timeout_s
-        self._preferred = 0
+        self._preferred_index = 0
         self._session: aiohttp.ClientSession | None = None
 
     @property
     def era(self) -> int:
-        """Always 0: etcd does not count restorations (docs/design/store-eras.md)."""
+        """Always 0: etcd does not report that it was restored (docs/design/store-eras.md)."""
         return 0
 
     def note_era(self, era: int) -> None:
-        """Do nothing: there is one era."""
+        """Do nothing: this store has only era 0."""
 
     async def range(self, key: str, range_end: str = "") -> RangeDone | Unavailable:
         body = {"key": encode_text(key)}
@@ -132,13 +133,13 @@
         if not isinstance(answer, dict):
             return Unavailable(answer.reason)
         items = tuple(decode_key_value(fields) for fields in answer.get("kvs", []))
-        return RangeDone(items, _revision_of(answer))
+        return RangeDone(items, _header_revision(answer))
 
     async def transact(self, txn: Txn) -> TxnDone | Unavailable | Unknown:
         answer = await self._call("/v3/kv/txn", _encode_txn(txn))
         if not isinstance(answer, dict):
             return answer
-        return _decode_txn(txn, answer, _revision_of(answer))
+        return _decode_txn(txn, answer, _header_revision(answer))
 
     async def grant_lease(self, ttl_s: float) -> LeaseGranted | Unavailable | Unknown:
         answer = await self._call("/v3/lease/grant", {"TTL": str(max(1, round(ttl_s)))})
@@ -165,14 +166,14 @@
                 "start_revision": str(after.revision + 1),
             }
         }
-        url = self.urls[self._preferred] + "/v3/watch"
+        url = self.urls[self._preferred_index] + "/v3/watch"
         timeout = aiohttp.ClientTimeout(total=None, connect=self.timeout_s)
         try:
-            async with self._http().post(url, json=request, timeout=timeout) as response:
+            async with self._http_session().post(url, json=request, timeout=timeout) as response:
                 if response.status != 200:
                     return
                 async for line in response.content:
-                    for batch in _decode_watch(line):
+                    for batch in _decode_watch_line(line):
                         yield batch
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
             return
@@ -181,7 +182,7 @@
         if self._session is not None:
             await self._session.close()
 
-    def _http(self) -> aiohttp.ClientSession:
+    def _http_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession()
         return self._session
@@ -189,35 +190,40 @@
     async def _call(self, path: str, body: dict) -> dict | Unavailable | Unknown:
         outcome = Unavailable("no address of the store is set")
         for offset in range(len(self.urls)):
-            index = (self._preferred + offset) % len(self.urls)
-            answer = await self._call_one(self.urls[index] + path, body)
+            index = (self._preferred_index + offset) % len(self.urls)
+            answer = await self._call_url(self.urls[index] + path, body)
             if not isinstance(answer, Unavailable):
-                self._preferred = index
+                self._preferred_index = index
                 return answer
             outcome = answer
-        self._preferred = (self._preferred + 1) % max(1, len(self.urls))
+        self._preferred_index = (self._preferred_index + 1) % max(1, len(self.urls))
         return outcome
 
-    async def _call_one(self, url: str, body: dict) -> dict | Unavailable | Unknown:
+    async def _call_url(self, url: str, body: dict) -> dict | Unavailable | Unknown:
         timeout = aiohttp.ClientTimeout(total=self.timeout_s)
         try:
-            async with self._http().post(url, data=orjson.dumps(body), timeout=timeout) as response:
+            async with self._http_session().post(
+                url, data=orjson.dumps(body), timeout=timeout
+            ) as response:
                 raw = await response.read()
                 if response.status == 200:
                     return orjson.loads(raw)
                 return Unknown(f"the store answered with status {response.status}")
-        except _NOT_SENT as error:
+        except _CONNECT_ERRORS as error:
             return Unavailable(f"the store cannot be reached: {error}")
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
             return Unknown(f"the store's answer was lost: {type(error).__name__}")
 
 
-def _revision_of(answer: dict) -> int:
+def _header_revision(answer: dict) -> int:
     return int(answer.get("header", {}).get("revision", 0))
 
 
-def _decode_watch(line: bytes) -> list[WatchBatch]:
-    """Read one line of the watch stream, in which an event without a type is a put."""
+def _decode_watch_line(line: bytes) -> list[WatchBatch]:
+    """Decode one line of the watch stream; return one batch for each revision.
+
+    An event without a type is a put.
+    """
     if not line.strip():
         return []
     events = orjson.loads(line).get("result", {}).get("events", [])
--- a/ferrydock/store/_position.py
+++ b/ferrydock/store/_position.py
@@ -1,29 +1,29 @@
-"""A position in a store: one moment of what it holds, comparable across a return to a copy.
+"""A position in a store: identifies one state of it, also after the store was restored.
 
-Pure. A store that is restored from a copy loses what it has acknowledged since, and gives the same
-revisions out again for other changes. So a revision alone names no moment: it does together with
-the era, which rises by one with each restoration.
+Pure. A store that is restored from an older copy loses the changes that it acknowledged after the
+copy was made, and reuses their revisions for other changes. So a revision alone is ambiguous. The
+era, which increases by one with each restoration, makes it unique.
 """
 
 from dataclasses import dataclass
 
 __all__ = ["Position"]
 
-# Bits of a rank that hold the revision. Enough for 30 years of 1,000 changes a second; the rank of
-# the first 8,000 eras is still exact in a reader that keeps numbers as 64-bit floats.
+# Bits of a rank that hold the revision: enough for 30 years at 1,000 changes per second. Up to era
+# 8,000 a reader that stores numbers as 64-bit floats still represents the rank exactly.
 REVISION_BITS = 40
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Position:
-    """Era and revision of a store; later positions are greater.
+    """Era and revision of a store; later positions compare as greater.
 
     Attributes
     ----------
     era : int
-        How often the store has come back older; 0 for a store that does not tell.
+        How often the store has been restored from an older copy; 0 if it does not report this.
     revision : int
-        The number of a change within the era.
+        Number of a change within the era.
 
     Examples
     --------
@@ -37,5 +37,5 @@
     revision: int = 0
 
     def rank(self) -> int:
-        """Return one whole number that is ordered as positions are; the revision in era 0."""
+        """Return an integer that sorts like the position; in era 0 it is the revision."""
         return (self.era << REVISION_BITS) | self.revision
--- a/ferrydock/store/_store.py
+++ b/ferrydock/store/_store.py
@@ -1,4 +1,4 @@
-"""The port to the platform's key-value service, and the values that pass through it."""
+"""Interface of the platform's key-value service, and the types of its arguments and results."""
 
 from collections.abc import AsyncGenerator
 from dataclasses import dataclass
@@ -27,7 +27,15 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """A stored key. Revisions count the store's changes of an era; `lease_id` 0 means none."""
+    """A stored key and its value.
+
+    Attributes
+    ----------
+    create_revision, mod_revision : int
+        Revisions of the store, within its era, at which the key was created and last written.
+    lease_id : int
+        Lease that the key is bound to; 0 for none.
+    """
 
     key: str
     value: bytes
@@ -37,7 +45,7 @@
 
 
 class CompareField(Enum):
-    """What of a key a transaction may compare; a key that is absent compares as 0."""
+    """Revision of a key that a transaction can compare; it is 0 for a key that does not exist."""
 
     MOD_REVISION = "MOD"
     CREATE_REVISION = "CREATE"
@@ -71,15 +79,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Txn:
-    """If all `compares` hold, apply `success` at once; else read the keys of `failure_reads`.
+    """If all `compares` hold, apply `success` atomically; else read the keys of `failure_reads`.
 
-    `success` may hold transactions of its own: each is decided by its own compares.
+    `success` may contain nested transactions, each of which depends on its own compares only.
 
     Attributes
     ----------
     era : int or None
-        Era in which the revisions of `compares` were read; a store that has left it must not take
-        them for its own. None where they name no revision but 0, or the store has no eras.
+        Era in which the revisions of `compares` were read. A store in another era must refuse the
+        transaction, since the revisions have another meaning there. None if all of them are 0, or
+        if the store has no eras.
     """
 
     compares: tuple[Compare, ...]
@@ -90,18 +99,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TxnDone:
-    """What a transaction did.
+    """The result of a transaction.
 
     Attributes
     ----------
     succeeded : bool
         Whether the compares held.
     revision : int
-        The store's revision after it.
+        The store's revision after the transaction.
     reads : tuple of (KeyValue or None)
-        The `failure_reads` in their order; empty where it succeeded.
+        The values of `failure_reads` in the same order; empty if the transaction succeeded.
     nested : tuple of TxnDone
-        The outcome of each transaction among `success`, in order.
+        The results of the transactions in `success`, in the same order.
     era : int
         The store's era.
     """
@@ -114,13 +123,13 @@
 
     @property
     def position(self) -> Position:
-        """The store's position after it."""
+        """The store's position after the transaction."""
         return Position(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
 class RangeDone:
-    """Keys found, sorted, as they stood at `revision` of `era`."""
+    """The keys of a range in sorted order, as of `revision` in `era`."""
 
     items: tuple[KeyValue, ...]
     revision: int
@@ -128,13 +137,16 @@
 
     @property
     def position(self) -> Position:
-        """The store's position when they were read."""
+        """The store's position at which the keys were read."""
         return Position(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """A lease lives for `ttl_s` after the store last heard of it; its id counts in one era."""
+    """A lease was granted or renewed: it expires after `ttl_s` seconds unless it is renewed.
+
+    The id is valid only in `era`.
+    """
 
     lease_id: int
     ttl_s: float
@@ -143,14 +155,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """The store no longer knows the lease."""
+    """The store has no such lease: it has expired or was revoked."""
 
     lease_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchBatch:
-    """Changes made by one revision. A value of None means that the key was removed."""
+    """The changes of one revision, as pairs of key and value; None means that it was removed."""
 
     revision: int
     changes: tuple[tuple[str, bytes | None], ...]
@@ -158,29 +170,29 @@
 
     @property
     def position(self) -> Position:
-        """The store's position after them."""
+        """The store's position after the changes."""
         return Position(self.era, self.revision)
 
 
 class Store(Protocol):
-    """What ferrydock asks of the platform's key-value service.
+    """Interface of the platform's key-value service.
 
-    A read that fails is `Unavailable`. A write is `Unavailable` only where it surely had no
-    effect; once it may have left this process its outcome is `Unknown`.
+    A failed read returns `Unavailable`. A failed write returns `Unavailable` only if it certainly
+    had no effect; if the request may have left this process, it returns `Unknown`.
 
     Attributes
     ----------
     era : int
-        Newest era that any answer has named: how often the store has come back from an older copy.
-        Nothing that was read or written in an earlier one is certain any more, leases included.
+        Newest era that any response has named: how often the store has been restored from an older
+        copy. Data and leases that were read or written in an earlier era may be lost.
     """
 
     @property
     def era(self) -> int:
-        """See above."""
+        """See the attributes of the class."""
 
     def note_era(self, era: int) -> None:
-        """Note an era of the store that another daemon has seen."""
+        """Record an era of the store that another daemon has reported."""
 
     async def range(self, key: str, range_end: str = "") -> RangeDone | Unavailable:
         """Read `key`, or all keys in ``[key, range_end)``."""
@@ -189,23 +201,23 @@
         """Apply `txn` atomically."""
 
     async def grant_lease(self, ttl_s: float) -> LeaseGranted | Unavailable | Unknown:
-        """Open a lease."""
+        """Create a lease that expires after `ttl_s` seconds unless it is renewed."""
 
     async def keep_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
-        """Renew a lease for its whole time to live."""
+        """Renew a lease for its full time to live."""
 
     async def revoke_lease(self, lease_id: int) -> LeaseLost | Unavailable | Unknown:
-        """End a lease and remove the keys bound to it."""
+        """Revoke a lease and remove the keys bound to it."""
 
     def watch(self, prefix: str, after: Position) -> AsyncGenerator[WatchBatch, None]:
-        """Yield changes under `prefix` after a position; ends when the stream or the era does."""
+        """Yield the changes under `prefix` after a position, until the stream or the era ends."""
 
     async def close(self) -> None:
-        """Give up the connections."""
+        """Close the connections."""
 
 
 def prefix_end(prefix: str) -> str:
-    """Return the end of the range of all keys that begin with `prefix`.
+    """Return the exclusive end of the range of all keys that begin with `prefix`.
 
     Examples
     --------
--- a/ferrydock/store/_weight_store.py
+++ b/ferrydock/store/_weight_store.py
@@ -1,4 +1,7 @@
-"""The rate-limited store of model weights. Engines read it; ferrydock only paces the loads."""
+"""The rate-limited store of model weights.
+
+Engines read the weights themselves. Ferrydock only reads the rate, to limit concurrent loads.
+"""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -12,23 +15,23 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightStoreRate:
-    """How fast the store serves weights at the moment, over all readers."""
+    """Current rate at which the store serves weights, as the total over all readers."""
 
     rate_bytes_per_s: float
 
 
 class WeightStore(Protocol):
-    """What ferrydock asks of the store of model weights."""
+    """Interface of the store of model weights."""
 
     async def rate(self) -> WeightStoreRate | Unavailable:
-        """Return the rate that loads share."""
+        """Return the rate that all concurrent loads share."""
 
     async def close(self) -> None:
-        """Give up the connections."""
+        """Close the connections."""
 
 
 class StaticWeightStore:
-    """A weight store whose rate is known beforehand."""
+    """A weight store with a constant rate."""
 
     __slots__ = ("rate_bytes_per_s",)
 
