--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -1,7 +1,7 @@
-"""Following the hall leader instead of the store.
+"""Polls the hall leader for the state that a leader reads from the store.
 
-Owns the position in the leader's target list, and the connection. Fills the current configuration,
-the target directory, the broken replicas and the daemon counter.
+Owns the connection to the leader, and which change of the leader's target list was received last.
+Updates the current configuration, the target directory, the broken replicas and the daemon counter.
 """
 
 import asyncio
@@ -16,63 +16,62 @@
 from ..targets import TargetChanges, TargetDirectory
 from ._broken_replicas import BrokenReplicas
 from ._daemon_counter import DaemonCounter
-from ._messages import NewsAnswer, NewsRequest, decode_answer, encode, life_of_position
+from ._messages import UpdateReply, UpdateRequest, decode_reply, encode, encode_known_position
 from ._peers import PeerCalls
-from ._server import NEWS
+from ._server import NEWS_METHOD
 
 __all__ = ["RelayClient"]
 
 _LOG = logging.getLogger("ferrydock.relay")
 
-# How long the leader may take to answer: it holds a question for up to 0.3 s while nothing changes.
+# Time-out of a call to the leader, which delays its reply by up to 0.3 s while nothing changes.
 # Part of the bound explained at `freshness.LEADER_MAX_AGE_S`.
-ANSWER_TIMEOUT_S = 0.6
+REPLY_TIMEOUT_S = 0.6
 
-
-# Pause after an answer that brought a configuration, if the one before came less than a second ago,
-# in seconds. While configurations follow each other every 0.1 s each of them is 35 to 150 KB for
-# every follower: 12 a second of 150 KB to 23 followers are 330 Mbit/s, on links of 10 to 100, and
-# one of 914 routes takes 11 ms of a core to put in force (made-up routes, one run). It adds to the
-# time explained at `freshness.LEADER_MAX_AGE_S`, which has 0.15 s to spare.
-BETWEEN_CONFIGURATIONS_S = 0.15
-OFTEN_S = 1.0
+# Pause after a reply with a configuration if the previous configuration came within
+# `FREQUENT_CONFIGURATION_S`. When the configuration changes every 0.1 s, each version is 35 to
+# 150 KB for every follower: 12 per second of 150 KB to 23 followers are 330 Mbit/s, on links of 10
+# to 100 Mbit/s, and applying one of 914 routes takes 11 ms of a core. The pause adds to the time
+# explained at `freshness.LEADER_MAX_AGE_S`, which has 0.15 s to spare.
+CONFIGURATION_PAUSE_S = 0.15
+FREQUENT_CONFIGURATION_S = 1.0
 
 
 class RelayClient:
-    """Pulls news from the hall leader.
+    """Polls the hall leader and applies its replies.
 
     Parameters
     ----------
     current, directory : CurrentConfiguration, TargetDirectory
-        What is filled.
+        Updated with the replies.
     decode : callable
-        Decodes a configuration as it is stored.
+        Decodes a configuration from its stored form.
     broken : BrokenReplicas, optional
-        Reports to the leader, and its reports.
+        Source of the reports to the leader; receives the leader's reports.
     daemon_counter : DaemonCounter, optional
         Receives the number of daemons in the hall.
     name : str, default=""
-        Of this daemon, as the leader counts it.
+        Name of this daemon, by which the leader counts its followers.
     crashes : CrashExchange, optional
-        Requests that crash their targets, exchanged with the leader.
+        Exchanges with the leader which requests crash their targets.
     note_era : callable, optional
-        Called with the era of the store in each answer.
+        Called with the era of the store in each reply.
     is_settled : callable, optional
-        Whether that era has settled; until then nothing is confirmed, also to one who asks the
-        store, so a leader that reaches it makes the store unnecessary nevertheless.
+        Returns whether the store's era has settled. Until then reading the store confirms nothing
+        either, so a reply of a leader that reads the store is sufficient whatever its age.
 
     Notes
     -----
-    The age of a confirmation in an answer counts from the moment the question was sent, which is
-    no later than the answer was written.
+    The age of a confirmation in a reply is subtracted from the time at which the request was sent.
+    The reply was written later, so the confirmation is never taken for more recent than it is.
     """
 
     __slots__ = (
         "_address",
         "_calls",
-        "_change",
-        "_configured_s",
-        "_life",
+        "_last_change",
+        "_last_configuration_s",
+        "_leader_incarnation",
         "broken",
         "clock",
         "crashes",
@@ -110,81 +109,85 @@
         self.crashes = crashes or CrashExchange(CrashHistory(clock))
         self._address = ""
         self._calls = PeerCalls()
-        self._life = ""
-        self._change = 0
-        self._configured_s = float("-inf")
+        self._leader_incarnation = ""
+        self._last_change = 0
+        self._last_configuration_s = float("-inf")
 
     async def pull(self, address: str) -> bool:
-        """Ask the leader once; return whether its answer makes the store unnecessary."""
+        """Poll the leader once; return whether its reply suffices without reading the store."""
         if address != self._address:
             await self.close()
             self._address = address
         sent_s = self.clock.now_s()
-        life = self._life
-        if not life and self.directory.loaded:
-            life = life_of_position(self.directory.position)
-        request = NewsRequest(
-            life,
-            self._change,
+        known_list_id = self._leader_incarnation
+        if not known_list_id and self.directory.loaded:
+            known_list_id = encode_known_position(self.directory.position)
+        request = UpdateRequest(
+            known_list_id,
+            self._last_change,
             self.current.version,
-            self.broken.recent(sent_s),
+            self.broken.to_report(sent_s),
             self.name,
             self.crashes.question(address),
             self.directory.leaving_reports(),
         )
-        data = await self._calls.call(address, NEWS, encode(request), ANSWER_TIMEOUT_S)
+        data = await self._calls.call(address, NEWS_METHOD, encode(request), REPLY_TIMEOUT_S)
         if data is None:
             await self.close()
             return False
         try:
-            answer = decode_answer(data)
+            reply = decode_reply(data)
         except (ValueError, TypeError, KeyError) as error:
             log_event(_LOG, logging.ERROR, "news_unreadable", address=address, why=repr(error))
             await self.close()
             return False
-        self.crashes.take_answer(address, request.crashes, answer.crashes)
-        is_enough = self._take(answer, sent_s)
-        if answer.configuration:
-            is_often = sent_s - self._configured_s < OFTEN_S
-            self._configured_s = sent_s
-            if is_often:
-                await asyncio.sleep(BETWEEN_CONFIGURATIONS_S)
-        return is_enough
+        self.crashes.take_answer(address, request.crashes, reply.crashes)
+        is_sufficient = self._apply_reply(reply, sent_s)
+        if reply.configuration:
+            is_frequent = sent_s - self._last_configuration_s < FREQUENT_CONFIGURATION_S
+            self._last_configuration_s = sent_s
+            if is_frequent:
+                await asyncio.sleep(CONFIGURATION_PAUSE_S)
+        return is_sufficient
 
     async def ask_leader(self, address: str, method: str, data: bytes) -> bytes | None:
-        """Make another call to the leader; return its answer, or None if there was none."""
-        return await self._calls.call(address, method, data, ANSWER_TIMEOUT_S)
+        """Call another method of the leader; return its reply, or None if there was none."""
+        return await self._calls.call(address, method, data, REPLY_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Close the connection; the next answer brings what changed since the known position."""
-        self._life = ""
+        """Close the connection; the next request names the directory's position as known."""
+        self._leader_incarnation = ""
         await self._calls.close()
 
-    def _take(self, answer: NewsAnswer, sent_s: float) -> bool:
-        """Take over an answer; return whether it makes the store unnecessary."""
-        self._take_configuration(answer, sent_s)
-        if not answer.serves:
+    def _apply_reply(self, reply: UpdateReply, sent_s: float) -> bool:
+        """Apply a reply; return whether it suffices without reading the store.
+
+        It does if its confirmation is at most `LEADER_MAX_AGE_S` old, or if the era of the store
+        has not settled.
+        """
+        self._apply_configuration(reply, sent_s)
+        if not reply.serves:
             return False
-        self.broken.receive(answer.broken)
-        self.daemon_counter.receive(answer.daemons, sent_s)
-        if answer.position < self.directory.position:
-            return False  # what this daemon has read itself is newer
-        self.note_era(answer.era)
-        self._life, self._change = answer.life, answer.change
+        self.broken.receive(reply.broken)
+        self.daemon_counter.receive(reply.daemons, sent_s)
+        if reply.position < self.directory.position:
+            return False  # this daemon has already read newer targets
+        self.note_era(reply.era)
+        self._leader_incarnation, self._last_change = reply.life, reply.change
         self.directory.take(
-            TargetChanges(answer.whole, answer.entries, answer.removed, answer.position)
+            TargetChanges(reply.whole, reply.entries, reply.removed, reply.position)
         )
-        if answer.age_s is not None:
-            self.directory.confirmation.confirm(sent_s - answer.age_s)
-        is_young = answer.age_s is not None and answer.age_s <= LEADER_MAX_AGE_S
-        return is_young or not self.is_settled()
-
-    def _take_configuration(self, answer: NewsAnswer, sent_s: float) -> None:
-        if answer.configuration:
-            decoded = self.decode(answer.configuration.encode())
+        if reply.age_s is not None:
+            self.directory.confirmation.confirm(sent_s - reply.age_s)
+        is_recent = reply.age_s is not None and reply.age_s <= LEADER_MAX_AGE_S
+        return is_recent or not self.is_settled()
+
+    def _apply_configuration(self, reply: UpdateReply, sent_s: float) -> None:
+        if reply.configuration:
+            decoded = self.decode(reply.configuration.encode())
             if isinstance(decoded, Configuration):
                 self.current.offer(decoded, None)
             else:
                 log_event(_LOG, logging.ERROR, "configuration_unreadable", why=decoded.reason)
-        if answer.age_s is not None:
-            self.current.confirm(answer.version, sent_s - answer.age_s)
+        if reply.age_s is not None:
+            self.current.confirm(reply.version, sent_s - reply.age_s)
--- a/ferrydock/relay/_daemon_counter.py
+++ b/ferrydock/relay/_daemon_counter.py
@@ -1,38 +1,38 @@
-"""How many daemons a hall has: those that ask the hall leader, as the leader counts them.
+"""Counts the daemons of a hall: the leader and the followers that poll it.
 
-Owns the times of the followers' calls (in the leader) and the numbers received (in a follower), in
-memory. What daemons share, such as the retry budget, is divided by this number, so an error must
-be on the large side.
+Owns the times of the followers' calls (in the leader) and the counts received from the leader (in a
+follower), in memory. Limits of the whole hall, such as the retry budget, are divided by this count.
+It must rather be too large than too small, so that the daemons together stay within the limit.
 """
 
 from collections import deque
 
 __all__ = ["DaemonCounter"]
 
-# A daemon that has not asked for this long is not counted. Followers ask every 0.3 s; several calls
-# in a row may fail. Chosen, not measured.
-FOLLOWER_GONE_S = 4.0
+# Followers that have not polled for longer are not counted. They poll every 0.3 s, and several
+# consecutive calls may fail.
+FOLLOWER_TIMEOUT_S = 4.0
 
-# The largest number of this many seconds counts, so that a change of leader, after which the
-# followers turn up one by one, does not enlarge anyone's share. Chosen, not measured.
-LARGEST_OF_S = 15.0
+# The largest count received within this window is used. After a change of leader the followers
+# reach the new leader one by one; its first counts are too small and would enlarge each share.
+LARGEST_COUNT_WINDOW_S = 15.0
 
-# Number of daemons assumed before any was received. Halls of the known sites have 3 to 20 daemons;
-# chosen on the large side, not measured.
-ASSUMED_DAEMONS = 16
+# Assumed until a count is received; near the upper end of the halls of the known sites, which have
+# 3 to 20 daemons.
+DEFAULT_DAEMONS = 16
 
 
 class DaemonCounter:
     """Counts the daemons of a hall.
 
-    A daemon that hears from nobody keeps the number that it knew last.
+    While no counts arrive, the last one remains in use.
 
     Examples
     --------
     >>> counter = DaemonCounter()
     >>> counter.daemons(now_s=0.0)
     16
-    >>> counter.note_follower("edge-2", now_s=0.0); counter.note_follower("edge-3", now_s=3.0)
+    >>> counter.record_request("edge-2", now_s=0.0); counter.record_request("edge-3", now_s=3.0)
     >>> counter.count_followers(now_s=3.5), counter.count_followers(now_s=5.0)
     (3, 2)
     >>> counter.receive(3, now_s=5.0); counter.receive(2, now_s=9.0)
@@ -40,31 +40,38 @@
     [3, 2, 2]
     """
 
-    __slots__ = ("_asked_s", "_received")
+    __slots__ = ("_last_request_s", "_received_counts")
 
     def __init__(self):
-        self._asked_s: dict[str, float] = {}
-        self._received: deque[tuple[float, int]] = deque()
+        self._last_request_s: dict[str, float] = {}
+        self._received_counts: deque[tuple[float, int]] = deque()
 
-    def note_follower(self, sender: str, now_s: float) -> None:
-        """Note that a daemon asked this one; an older version does not tell its name."""
+    def record_request(self, sender: str, now_s: float) -> None:
+        """Record that a follower has polled; `sender` is empty for a daemon of an older version."""
         if sender:
-            self._asked_s[sender] = now_s
+            self._last_request_s[sender] = now_s
 
     def count_followers(self, now_s: float) -> int:
-        """Return how many daemons ask this one, and this one."""
-        for sender in [s for s, at_s in self._asked_s.items() if now_s - at_s > FOLLOWER_GONE_S]:
-            del self._asked_s[sender]
-        return 1 + len(self._asked_s)
+        """Return the number of followers that poll this daemon, plus one for this daemon."""
+        for sender in [
+            s
+            for s, requested_s in self._last_request_s.items()
+            if now_s - requested_s > FOLLOWER_TIMEOUT_S
+        ]:
+            del self._last_request_s[sender]
+        return 1 + len(self._last_request_s)
 
     def receive(self, daemons: int, now_s: float) -> None:
-        """Take over the number of daemons as the hall leader counts it."""
-        if self._received and self._received[-1][1] == daemons:
-            self._received.pop()
-        self._received.append((now_s, daemons))
+        """Add a count received from the hall leader."""
+        if self._received_counts and self._received_counts[-1][1] == daemons:
+            self._received_counts.pop()
+        self._received_counts.append((now_s, daemons))
 
     def daemons(self, now_s: float) -> int:
-        """Return how many daemons share what belongs to the hall."""
-        while len(self._received) > 1 and now_s - self._received[0][0] > LARGEST_OF_S:
-            self._received.popleft()
-        return max((daemons for _, daemons in self._received), default=ASSUMED_DAEMONS)
+        """Return the number of daemons among which limits of the hall are divided."""
+        while (
+            len(self._received_counts) > 1
+            and now_s - self._received_counts[0][0] > LARGEST_COUNT_WINDOW_S
+        ):
+            self._received_counts.popleft()
+        return max((daemons for _, daemons in self._received_counts), default=DEFAULT_DAEMONS)
--- a/ferrydock/relay/_messages.py
+++ b/ferrydock/relay/_messages.py
@@ -1,7 +1,7 @@
-"""What a follower asks its hall leader, and the answer.
+"""The request with which a follower polls its hall leader, and the reply.
 
-The field names are the wire: daemons of two versions run side by side during an upgrade, so a
-field is never renamed (tests/test_outside.py).
+The field names are part of the wire format: daemons of two versions run side by side during an
+upgrade, so a field is never renamed (tests/test_outside.py).
 """
 
 from dataclasses import asdict, dataclass
@@ -13,43 +13,46 @@
 from ..targets import Membership, ReplicaState, Target
 
 __all__ = [
-    "NewsAnswer",
-    "NewsRequest",
-    "decode_answer",
+    "UpdateReply",
+    "UpdateRequest",
+    "decode_known_position",
+    "decode_reply",
     "decode_request",
     "encode",
-    "life_of_position",
-    "position_of_life",
+    "encode_known_position",
 ]
 
-# Begins a `life` that is a position, and separates its era, if it is not 0, from its revision. A
-# leader of an older version takes it for the id of another process, and sends the whole list.
-KNOWN_TO = "@"
-ERA_END = "."
+# A `life` that starts with this prefix is a position: its era, if not 0, the separator, and its
+# revision. A leader of an older version takes it for the incarnation of another process and sends
+# the complete list.
+POSITION_PREFIX = "@"
+ERA_SEPARATOR = "."
 
 
 @dataclass(frozen=True, slots=True)
-class NewsRequest:
-    """What the follower has.
+class UpdateRequest:
+    """The state that a follower already has.
 
     Attributes
     ----------
     life : str
-        Id of the leader's process whose list it follows. Of a follower that comes from another
-        leader: the position up to which it knows the list (`life_of_position`). Empty for none.
+        Incarnation of the leader's process whose target list the follower has. If the list came
+        from another leader or from the store: its position (`encode_known_position`). Empty if it
+        has none.
     change : int
-        Last change of that list that it has.
+        Number of the last change of that list that the follower has received.
     version : int
         Version of its configuration; -1 for none.
     broken : tuple of (str, int)
-        Replicas, by name and epoch, that it found broken in the last 8 s.
+        Replicas, by name and epoch, that it has found broken in the last 8 s.
     sender : str
         Name of the follower.
     crashes : CrashNews or None
-        Requests that crash their targets; left out of the message where there is nothing to tell,
-        so that a leader of an older version reads it.
+        Changes of the follower's crash history. Omitted from the message if None, so that a leader
+        of an older version can read it.
     leaving : tuple of (str, int)
-        Targets, by id and life, that have told it that they leave; left out where there are none.
+        Targets, by id and incarnation, that have announced to the follower that they leave. Omitted
+        from the message if empty.
     """
 
     life: str
@@ -62,34 +65,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewsAnswer:
-    """What the follower lacks.
+class UpdateReply:
+    """The state of the replying daemon that the follower does not have yet.
 
     Attributes
     ----------
     serves : bool
-        Whether the answering daemon leads its hall and reached the store in the last 1.1 s.
+        Whether the replying daemon leads its hall and has reached the store in the last 1.1 s.
     life : str
-        Id of its process: the changes of its list are numbered anew with each.
+        Incarnation of its process; each incarnation numbers the changes of the list anew.
+    change : int
+        Number of the last change that the list includes.
     whole : bool
-        Whether `entries` is the whole list rather than what changed.
+        Whether `entries` is the complete list; otherwise it contains only the changed entries.
     revision : int
-        Revision of the store that the list stands for at least.
+        Revision of the store that the list reflects; it may already include later changes.
     version : int
-        Newest version of the configuration.
+        Newest known version of the configuration.
     configuration : str
-        Its encoded value; empty where the follower has it.
+        Encoded configuration of that version; empty if the follower has it.
     age_s : float or None
-        Seconds since that version was certainly the newest, as of this answer; where it serves,
-        since that and the list were, whichever is longer. An older version tells the former.
+        Seconds, as of this reply, since `version` was last confirmed to be the newest; None if it
+        never was. If `serves`, the target list was confirmed within this time as well; a daemon of
+        an older version does not include the list.
     broken : tuple of (str, int)
-        Replicas that the answering daemon considers broken.
+        Replicas, by name and epoch, that the replying daemon considers broken.
     daemons : int
-        Daemons of the hall, as the answering one counts them.
+        Number of daemons in the hall, as the replying daemon counts them.
     crashes : CrashNews or None
-        Requests that crash their targets; left out where there is nothing to tell.
+        Changes of the replying daemon's crash history. Omitted from the message if None.
     era : int
-        Era of the store that `revision` counts in; left out in the first.
+        Era of the store that `revision` belongs to. Omitted from the message if 0.
     """
 
     serves: bool
@@ -109,40 +115,40 @@
 
     @property
     def position(self) -> Position:
-        """Where the store stood, to which the list corresponds at least."""
+        """Position of the store that the list reflects; it may already include later changes."""
         return Position(self.era, self.revision)
 
 
-def life_of_position(position: Position) -> str:
-    """Return the `life` of a follower that knows the list up to a position.
+def encode_known_position(position: Position) -> str:
+    """Encode the position of a follower's target list as the `life` of its request.
 
     Examples
     --------
-    >>> life_of_position(Position(0, 7)), life_of_position(Position(2, 7))
+    >>> encode_known_position(Position(0, 7)), encode_known_position(Position(2, 7))
     ('@7', '@2.7')
     """
-    era = f"{position.era}{ERA_END}" if position.era else ""
-    return f"{KNOWN_TO}{era}{position.revision}"
+    era = f"{position.era}{ERA_SEPARATOR}" if position.era else ""
+    return f"{POSITION_PREFIX}{era}{position.revision}"
 
 
-def position_of_life(life: str) -> Position | None:
-    """Return the position in a follower's `life`, or None if it is a process's id.
+def decode_known_position(life: str) -> Position | None:
+    """Decode the position in the `life` of a request; None if it is an incarnation of a process.
 
     Examples
     --------
-    >>> position_of_life("@2.7"), position_of_life("@7"), position_of_life("0a1b")
+    >>> decode_known_position("@2.7"), decode_known_position("@7"), decode_known_position("0a1b")
     (Position(era=2, revision=7), Position(era=0, revision=7), None)
     """
-    if not life.startswith(KNOWN_TO):
+    if not life.startswith(POSITION_PREFIX):
         return None
-    era, _, revision = life.removeprefix(KNOWN_TO).rpartition(ERA_END)
+    era, _, revision = life.removeprefix(POSITION_PREFIX).rpartition(ERA_SEPARATOR)
     if not revision.isdecimal() or not (era or "0").isdecimal():
         return None
     return Position(int(era or 0), int(revision))
 
 
-def encode(message: NewsRequest | NewsAnswer) -> bytes:
-    """Return a message's bytes."""
+def encode(message: UpdateRequest | UpdateReply) -> bytes:
+    """Encode a message as JSON, without the optional fields that are empty."""
     fields = asdict(message)
     if fields["crashes"] is None:
         del fields["crashes"]
@@ -152,48 +158,59 @@
     return orjson.dumps(fields)
 
 
-def decode_request(data: bytes) -> NewsRequest:
-    """Return a request; raises ValueError, TypeError, KeyError."""
+def decode_request(data: bytes) -> UpdateRequest:
+    """Decode a request.
+
+    Raises
+    ------
+    ValueError, TypeError, KeyError
+        If the data is not a valid request.
+    """
     fields = orjson.loads(data)
     decoded = {
-        "broken": _keys(fields.get("broken", ())),
+        "broken": _decode_pairs(fields.get("broken", ())),
         "crashes": decode_crash_news(fields.get("crashes")),
-        "leaving": _keys(fields.get("leaving", ())),
+        "leaving": _decode_pairs(fields.get("leaving", ())),
     }
-    return NewsRequest(**{**fields, **decoded})
+    return UpdateRequest(**{**fields, **decoded})
+
 
+def decode_reply(data: bytes) -> UpdateReply:
+    """Decode a reply.
 
-def decode_answer(data: bytes) -> NewsAnswer:
-    """Return an answer; raises ValueError, TypeError, KeyError.
+    Raises
+    ------
+    ValueError, TypeError, KeyError
+        If the data is not a valid reply.
 
     Examples
     --------
     >>> target = Target("t", "s", "127.0.0.1:1", "h", 2, staged=("m",),
     ...                 membership=Membership("g", 3, 0, ReplicaState.OPEN))
-    >>> answer = NewsAnswer(True, "x", 1, True, (target,), ("u",), 9, 4, "", 0.5)
-    >>> decode_answer(encode(answer)) == answer
+    >>> reply = UpdateReply(True, "x", 1, True, (target,), ("u",), 9, 4, "", 0.5)
+    >>> decode_reply(encode(reply)) == reply
     True
     """
     fields = orjson.loads(data)
-    fields["entries"] = tuple(_target(entry) for entry in fields["entries"])
+    fields["entries"] = tuple(_decode_target(entry) for entry in fields["entries"])
     fields["removed"] = tuple(fields["removed"])
-    fields["broken"] = _keys(fields.get("broken", ()))
+    fields["broken"] = _decode_pairs(fields.get("broken", ()))
     fields["crashes"] = decode_crash_news(fields.get("crashes"))
-    return NewsAnswer(**fields)
+    return UpdateReply(**fields)
 
 
-def _keys(pairs) -> tuple[tuple[str, int], ...]:
+def _decode_pairs(pairs) -> tuple[tuple[str, int], ...]:
     return tuple((str(name), int(epoch)) for name, epoch in pairs)
 
 
-def _target(fields: dict) -> Target:
+def _decode_target(fields: dict) -> Target:
     membership = fields["membership"]
     if membership is not None:
         membership = Membership(**{**membership, "state": ReplicaState(membership["state"])})
-    changed = {
+    decoded_fields = {
         "membership": membership,
         "staged": tuple(fields["staged"]),
         "models": tuple(fields["models"]),
         "age_mark": tuple(fields.get("age_mark", (0, 0))),
     }
-    return Target(**{**fields, **changed})
+    return Target(**{**fields, **decoded_fields})
--- a/ferrydock/relay/_packing.py
+++ b/ferrydock/relay/_packing.py
@@ -1,53 +1,58 @@
-"""Large answers between daemons are compressed, whatever the library below does; stateless.
+"""Compresses large replies between daemons, independently of gRPC; stateless.
 
-Answers the relay of a configuration of a thousand routes, 0.4 MB, from a leader to all daemons of
-its hall at once: over links of 10 Mbit/s it takes 0.3 s each, in which callers wait.
+A leader sends a configuration of a thousand routes, 0.4 MB, to all daemons of its hall at once.
+Uncompressed this takes 0.3 s for each daemon on a link of 10 Mbit/s, during which callers wait.
 """
 
 import zlib
 
-__all__ = ["pack", "unpack"]
+__all__ = ["compress", "decompress"]
 
-# Answers from this size on are compressed, in bytes; below it the work costs more than the bytes.
-PACK_FROM_BYTES = 8192
+# Below this size compression costs more than the bytes that it saves.
+COMPRESSION_THRESHOLD_BYTES = 8192
 
-# Level of zlib: the fastest, of which the result is less than a tenth larger than the best.
-LEVEL = 1
+# The fastest level; its output is less than a tenth larger than that of the best one.
+ZLIB_LEVEL = 1
 
-# First byte of what zlib writes. Messages between daemons are JSON texts, which begin otherwise.
-ZLIB_MARK = b"x"
+# First byte of zlib output. Uncompressed messages between daemons are JSON, which never starts with
+# it.
+ZLIB_FIRST_BYTE = b"x"
 
-# Largest answer after unpacking, in bytes: what a connection carries without packing.
-MAX_UNPACKED_BYTES = 16 * 2**20
+# Equal to the limit of an uncompressed message on a connection.
+MAX_DECOMPRESSED_BYTES = 16 * 2**20
 
 
-def pack(answer: bytes) -> bytes:
-    """Return an answer as it is sent.
+def compress(reply: bytes) -> bytes:
+    """Return a reply as it is sent: compressed from `COMPRESSION_THRESHOLD_BYTES` on.
 
     Examples
     --------
-    >>> whole = b"[" + b"1," * 10000 + b"1]"
-    >>> unpack(pack(whole)) == whole, len(pack(whole)) < len(whole) / 10, pack(b"{}")
+    >>> original = b"[" + b"1," * 10000 + b"1]"
+    >>> (
+    ...     decompress(compress(original)) == original,
+    ...     len(compress(original)) < len(original) / 10,
+    ...     compress(b"{}"),
+    ... )
     (True, True, b'{}')
     """
-    return zlib.compress(answer, LEVEL) if len(answer) >= PACK_FROM_BYTES else answer
+    return zlib.compress(reply, ZLIB_LEVEL) if len(reply) >= COMPRESSION_THRESHOLD_BYTES else reply
 
 
-def unpack(answer: bytes) -> bytes:
-    """Return an answer as it was before `pack`; one that was not packed comes back unchanged.
+def decompress(reply: bytes) -> bytes:
+    """Undo `compress`; a reply that is not compressed is returned unchanged.
 
     Raises
     ------
     ValueError
-        If it is broken, or larger than `MAX_UNPACKED_BYTES`.
+        If the data is invalid or incomplete, or decompresses to more than `MAX_DECOMPRESSED_BYTES`.
     """
-    if not answer.startswith(ZLIB_MARK):
-        return answer
-    unpacking = zlib.decompressobj()
+    if not reply.startswith(ZLIB_FIRST_BYTE):
+        return reply
+    decompressor = zlib.decompressobj()
     try:
-        whole = unpacking.decompress(answer, MAX_UNPACKED_BYTES)
+        decompressed = decompressor.decompress(reply, MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
         raise ValueError(f"the answer cannot be unpacked: {error}") from error
-    if not unpacking.eof:
+    if not decompressor.eof:
         raise ValueError("the answer is cut short, or too large when unpacked")
-    return whole
+    return decompressed
--- a/ferrydock/relay/_peers.py
+++ b/ferrydock/relay/_peers.py
@@ -1,6 +1,6 @@
-"""Calls to other daemons: one connection for each, bytes in and bytes out.
+"""Calls between daemons over gRPC, with one connection to each daemon that is called.
 
-Owns the connections. What the bytes mean is up to the packages that call.
+Owns the connections. Requests and replies are bytes, which the calling packages encode and decode.
 """
 
 import asyncio
@@ -12,44 +12,43 @@
 
 from ..invariants import existing
 from ..logs import log_event
-from ._packing import unpack
+from ._packing import decompress
 
-__all__ = ["OPTIONS", "SERVICE", "PeerCalls", "PeerMethod"]
+__all__ = ["GRPC_OPTIONS", "SERVICE_NAME", "PeerCalls", "PeerMethod"]
 
 _LOG = logging.getLogger("ferrydock.relay")
 
-# Serves one call: the bytes of a request in, the bytes of the answer out.
+# Handler of one method: takes the bytes of a request and returns the bytes of the reply.
 PeerMethod = Callable[[bytes], Awaitable[bytes]]
 
-# Name of the service on the wire.
-SERVICE = "ferrydock.Peer"
+# Name of the gRPC service.
+SERVICE_NAME = "ferrydock.Peer"
 
-# Largest message; a whole target list of a grown site and a configuration of some hundred routes
-# stay far below. Chosen, not measured.
+# Far above the complete target list of a large site and a configuration of some hundred routes.
 MAX_MESSAGE_BYTES = 16 * 2**20
 
-# Connections kept at a time: one daemon calls its hall leader, and a leader the leaders of other
-# halls. Chosen, not measured.
+# Concurrent connections: a daemon calls its hall leader, and a leader calls those of other halls.
 MAX_CONNECTIONS = 8
 
-# Time without any answer after which a connection is opened anew, in seconds, from the first call
-# that was not answered: one behind a network cut would stay silent. Counted as time and not as
-# calls, since a daemon makes many at once: three that are late together would close the connection
-# under all others. Chosen, not measured.
+# A connection is closed if no call on it has been answered for this time, measured from the start
+# of the first unanswered call. Without this, a connection that a network cut has broken would stay
+# unusable. The limit is a time rather than a number of calls because a daemon makes many concurrent
+# calls: three late ones would close the connection that all others are using.
 RECONNECT_AFTER_S = 0.5
 
-# No port is shared with an older process, and no proxy of the environment is used.
-OPTIONS = (
+# The listening port is not shared with another process, and proxies set in the environment are
+# ignored.
+GRPC_OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.so_reuseport", 0),
     ("grpc.enable_http_proxy", 0),
 )
 
-# A peer that starts again is reached within half a second. Chosen, not measured. The pool is local,
-# so that a connection that is given up here is really closed.
+# With these back-offs a restarted peer is reached again within half a second. The subchannel pool
+# is local, so that closing a channel closes its connection, which a global pool could keep open.
 CHANNEL_OPTIONS = (
-    *OPTIONS,
+    *GRPC_OPTIONS,
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 500),
@@ -57,48 +56,51 @@
 )
 
 
-def _as_it_is(data: bytes) -> bytes:
-    """Return a message whose bytes the caller packs and unpacks itself."""
+def _raw_bytes(data: bytes) -> bytes:
+    """Return a message unchanged; the serializer for gRPC, since messages are bytes already."""
     return data
 
 
 class PeerCalls:
     """Makes calls to other daemons."""
 
-    __slots__ = ("_channels", "_silent_since_s")
+    __slots__ = ("_channels", "_unanswered_since_s")
 
     def __init__(self):
         self._channels: dict[str, grpc.aio.Channel] = {}
-        self._silent_since_s: dict[str, float] = {}
+        self._unanswered_since_s: dict[str, float] = {}
 
     async def call(self, address: str, method: str, data: bytes, timeout_s: float) -> bytes | None:
-        """Return the answer, or None if there was none in time; the reason is logged."""
+        """Call a method of the daemon at `address`; return its reply, or None on failure.
+
+        The reason of a failure is logged.
+        """
         channel = self._channels.get(address)
         if channel is None:
-            await self._make_room()
+            await self._limit_connections()
             channel = grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
             self._channels[address] = channel
         began_s = asyncio.get_running_loop().time()
         try:
-            ask = channel.unary_unary(f"/{SERVICE}/{method}", _as_it_is, _as_it_is)
-            answer = await ask(data, timeout=timeout_s)
+            send_request = channel.unary_unary(f"/{SERVICE_NAME}/{method}", _raw_bytes, _raw_bytes)
+            reply = await send_request(data, timeout=timeout_s)
         except (grpc.aio.AioRpcError, grpc.aio.UsageError, OSError) as error:
             await self._note_failure(address, method, error, began_s)
             return None
         except asyncio.CancelledError:
             if existing(asyncio.current_task(), "the current task").cancelling():
                 raise
-            # Another call has closed the connection under this one.
+            # Not cancelled from outside: another call has closed the shared connection.
             log_event(
                 _LOG, logging.INFO, "call_failed", address=address, method=method, why="CLOSED"
             )
             return None
-        self._silent_since_s.pop(address, None)
-        return self._unpacked(address, method, answer)
+        self._unanswered_since_s.pop(address, None)
+        return self._decompressed(address, method, reply)
 
-    def _unpacked(self, address: str, method: str, answer: bytes) -> bytes | None:
+    def _decompressed(self, address: str, method: str, reply: bytes) -> bytes | None:
         try:
-            return unpack(answer)
+            return decompress(reply)
         except ValueError as error:
             why = str(error)
             log_event(
@@ -109,26 +111,29 @@
     async def _note_failure(
         self, address: str, method: str, error: Exception, began_s: float
     ) -> None:
-        """Log a call without an answer; close a connection that is broken or silent for long."""
+        """Log a failed call; close the connection if it is broken or unanswered for too long.
+
+        A time-out alone closes it only after `RECONNECT_AFTER_S`; any other failure closes it.
+        """
         code = error.code() if isinstance(error, grpc.aio.AioRpcError) else None
         why = code.name if code else type(error).__name__
         log_event(_LOG, logging.INFO, "call_failed", address=address, method=method, why=why)
-        since_s = self._silent_since_s.setdefault(address, began_s)
-        silent_s = asyncio.get_running_loop().time() - since_s
-        if code is not grpc.StatusCode.DEADLINE_EXCEEDED or silent_s >= RECONNECT_AFTER_S:
-            await self.drop(address)
+        unanswered_since_s = self._unanswered_since_s.setdefault(address, began_s)
+        unanswered_s = asyncio.get_running_loop().time() - unanswered_since_s
+        if code is not grpc.StatusCode.DEADLINE_EXCEEDED or unanswered_s >= RECONNECT_AFTER_S:
+            await self.disconnect(address)
 
-    async def drop(self, address: str) -> None:
+    async def disconnect(self, address: str) -> None:
         """Close the connection to a daemon; the next call opens another."""
-        self._silent_since_s.pop(address, None)
+        self._unanswered_since_s.pop(address, None)
         channel = self._channels.pop(address, None)
         if channel is not None:
             await channel.close()
 
-    async def _make_room(self) -> None:
-        """Close the oldest connection if there are too many."""
+    async def _limit_connections(self) -> None:
+        """Close the oldest connections until another one may be opened."""
         while len(self._channels) >= MAX_CONNECTIONS:
-            await self.drop(next(iter(self._channels)))
+            await self.disconnect(next(iter(self._channels)))
 
     async def close(self) -> None:
         """Close all connections."""
--- a/ferrydock/relay/_server.py
+++ b/ferrydock/relay/_server.py
@@ -1,7 +1,8 @@
-"""Answering followers: the target list, the configuration, and requests that crash their targets.
+"""Serves followers the target list, the configuration, and which requests crash their targets.
 
-Owns the server for calls between daemons; other packages add their calls to it. Answers from the
-current configuration and the target directory; keeps nothing of its own but the id of its life.
+Owns the gRPC server for calls between daemons; other packages add their methods to it. Replies are
+built from the current configuration and the target directory; its only own state is the incarnation
+of this process.
 """
 
 import asyncio
@@ -19,32 +20,33 @@
 from ..targets import TargetDirectory
 from ._broken_replicas import BrokenReplicas
 from ._daemon_counter import DaemonCounter
-from ._messages import NewsAnswer, NewsRequest, decode_request, encode, position_of_life
-from ._packing import pack
-from ._peers import OPTIONS, SERVICE, PeerMethod
+from ._messages import UpdateReply, UpdateRequest, decode_known_position, decode_request, encode
+from ._packing import compress
+from ._peers import GRPC_OPTIONS, SERVICE_NAME, PeerMethod
 
-__all__ = ["NEWS", "RelayServer"]
+__all__ = ["NEWS_METHOD", "RelayServer"]
 
-# Name of the call on the wire.
-NEWS = "News"
+# Name of the gRPC method.
+NEWS_METHOD = "News"
 
-# How long a question is held while there is nothing new, so that a change reaches a follower as
-# soon as this daemon has it. A part of the bound explained at `freshness.LEADER_MAX_AGE_S`.
-HOLD_S = 0.3
+# A reply is delayed by up to this time while there are no changes, so that a change reaches the
+# follower as soon as this daemon has it. Part of the bound explained at
+# `freshness.LEADER_MAX_AGE_S`.
+LONG_POLL_S = 0.3
 
-# Pause between two looks for something new while a question is held.
-LOOK_S = 0.05
+# Time between two checks for changes while a reply is delayed.
+POLL_INTERVAL_S = 0.05
 
-# How long calls under way may still take when the server is closed.
+# Time that calls in progress get to complete when the server is closed.
 CLOSE_GRACE_S = 0.1
 
 
-def _answering(method: PeerMethod) -> Callable:
-    """Return the handler of a call; one whose bytes cannot be decoded is refused."""
+def _make_handler(method: PeerMethod) -> Callable:
+    """Wrap a method as a gRPC handler; requests that it cannot decode are invalid arguments."""
 
     async def handle(data: bytes, context: grpc.aio.ServicerContext) -> bytes:
         try:
-            return pack(await method(data))
+            return compress(await method(data))
         except (ValueError, TypeError, KeyError) as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
             raise BrokenInvariant("abort() always raises") from error
@@ -53,20 +55,20 @@
 
 
 class RelayServer:
-    """Serves followers.
+    """Serves the requests of followers, and methods that other packages add.
 
     Parameters
     ----------
     current, directory : CurrentConfiguration, TargetDirectory
-        What is passed on.
+        The state that is sent to followers.
     reads_store : callable
-        Whether this daemon reads the store for its hall and reached it recently.
+        Returns whether this daemon reads the store for its hall and has reached it recently.
     broken : BrokenReplicas, optional
-        The followers' reports, and what is reported to them.
+        Receives the followers' reports; source of the reports to them.
     daemon_counter : DaemonCounter, optional
-        Counts who asks.
+        Counts the followers that send requests.
     crashes : CrashExchange, optional
-        What is known of requests that crash their targets.
+        Exchanges with followers which requests crash their targets.
     """
 
     __slots__ = (
@@ -77,7 +79,7 @@
         "current",
         "daemon_counter",
         "directory",
-        "life",
+        "incarnation",
         "reads_store",
     )
 
@@ -98,80 +100,83 @@
         self.broken = broken or BrokenReplicas()
         self.daemon_counter = daemon_counter or DaemonCounter()
         self.crashes = crashes or CrashExchange(CrashHistory(clock))
-        self.life = uuid.uuid4().hex[:12]
+        self.incarnation = uuid.uuid4().hex[:12]
         self._server: grpc.aio.Server | None = None
 
     async def start(
         self, listen: str, methods: Mapping[str, PeerMethod] = MappingProxyType({})
     ) -> str:
-        """Begin to listen on ``IP:PORT``; return the address, whose port may have been 0.
+        """Start listening on ``IP:PORT``; return the address with the actual port.
 
         Parameters
         ----------
+        listen : str
+            Address; with port 0 the system chooses a port.
         methods : mapping of str to callable
-            More calls to serve. One that raises ValueError or TypeError could not decode its data.
+            Additional methods by name. A method that cannot decode its request raises ValueError,
+            TypeError or KeyError.
         """
-        self._server = grpc.aio.server(options=OPTIONS)
+        self._server = grpc.aio.server(options=GRPC_OPTIONS)
         handlers: dict[str, grpc.RpcMethodHandler] = {
-            name: grpc.unary_unary_rpc_method_handler(_answering(method))
-            for name, method in {NEWS: self._news, **methods}.items()
+            name: grpc.unary_unary_rpc_method_handler(_make_handler(method))
+            for name, method in {NEWS_METHOD: self._handle_update_request, **methods}.items()
         }
-        generic = grpc.method_handlers_generic_handler(SERVICE, handlers)
+        generic = grpc.method_handlers_generic_handler(SERVICE_NAME, handlers)
         self._server.add_generic_rpc_handlers((generic,))
         port = self._server.add_insecure_port(listen)
         await self._server.start()
         return f"{listen.rsplit(':', 1)[0]}:{port}"
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Stop the server; calls in progress get `CLOSE_GRACE_S` to complete."""
         if self._server is not None:
             await self._server.stop(CLOSE_GRACE_S)
 
-    async def _news(self, data: bytes) -> bytes:
-        """Answer a follower once there is something new, or after `HOLD_S`."""
+    async def _handle_update_request(self, data: bytes) -> bytes:
+        """Reply to a follower once there are changes, or after `LONG_POLL_S`."""
         request = decode_request(data)
         self.crashes.receive(request.crashes)
         self.broken.receive(request.broken)
         self._receive_leaving(request)
-        self.daemon_counter.note_follower(request.sender, self.clock.now_s())
-        broken_before = self.broken.count
-        until_s = self.clock.now_s() + HOLD_S
+        self.daemon_counter.record_request(request.sender, self.clock.now_s())
+        noted_before = self.broken.noted_count
+        until_s = self.clock.now_s() + LONG_POLL_S
         while (
-            self._has_all(request)
+            self._is_up_to_date(request)
             and not self.crashes.has_news_for(request.crashes)
-            and self.broken.count == broken_before
+            and self.broken.noted_count == noted_before
             and self.clock.now_s() < until_s
             and self.reads_store()
         ):
-            await asyncio.sleep(LOOK_S)
-        return encode(self.answer(request))
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return encode(self.reply_to(request))
 
-    def _receive_leaving(self, request: NewsRequest) -> None:
-        """Take over which targets have told a follower that they leave."""
-        for target_id, life in request.leaving:
-            self.directory.note_leaving(target_id, life)
+    def _receive_leaving(self, request: UpdateRequest) -> None:
+        """Pass on to the directory which targets have announced to a follower that they leave."""
+        for target_id, incarnation in request.leaving:
+            self.directory.note_leaving(target_id, incarnation)
 
-    def _has_all(self, request: NewsRequest) -> bool:
-        """Return whether a follower has this daemon's list and configuration already."""
+    def _is_up_to_date(self, request: UpdateRequest) -> bool:
+        """Return whether a follower already has this daemon's target list and configuration."""
         return (
-            request.life == self.life
+            request.life == self.incarnation
             and request.change == self.directory.changes
             and request.version == self.current.version
         )
 
-    def answer(self, request: NewsRequest) -> NewsAnswer:
-        """Return what a follower lacks."""
+    def reply_to(self, request: UpdateRequest) -> UpdateReply:
+        """Return the reply to a follower, with everything that it does not have yet."""
         now_s = self.clock.now_s()
-        is_whole, entries, removed = self._list_changes(request)
+        is_complete, entries, removed = self._target_changes_for(request)
         age_s = self.current.age_s(now_s)
         serves = self.reads_store() and self.directory.loaded
         if serves:
             age_s = max(age_s, self.directory.age_s(now_s))
-        return NewsAnswer(
+        return UpdateReply(
             serves=serves,
-            life=self.life,
+            life=self.incarnation,
             change=self.directory.changes,
-            whole=is_whole,
+            whole=is_complete,
             entries=entries,
             removed=removed,
             revision=self.directory.position.revision,
@@ -179,35 +184,46 @@
             version=self.current.version,
             configuration=self._configuration_for(request),
             age_s=age_s if age_s != float("inf") else None,
-            broken=self.broken.recent(now_s),
+            broken=self.broken.to_report(now_s),
             daemons=self.daemon_counter.count_followers(now_s),
             crashes=self.crashes.answer(request.crashes, repeated_only=True),
         )
 
-    def _list_changes(self, request: NewsRequest) -> tuple[bool, tuple, tuple[str, ...]]:
-        """Return whether the entries are the whole list, the entries, and the removed ids."""
+    def _target_changes_for(self, request: UpdateRequest) -> tuple[bool, tuple, tuple[str, ...]]:
+        """Return the part of the target list that a follower does not have.
+
+        Returns
+        -------
+        is_complete : bool
+            Whether the entries are the complete list.
+        entries : tuple of Target
+            All targets, or the changed ones.
+        removed : tuple of str
+            Ids of the removed targets; empty if the list is complete.
+        """
         directory = self.directory
-        changed = self._changed_for(request)
-        if changed is None:
+        changed_ids = self._changed_ids_for(request)
+        if changed_ids is None:
             return True, tuple(directory.targets.values()), ()
-        entries = tuple(directory.targets[i] for i in changed if i in directory.targets)
-        removed = tuple(i for i in changed if i not in directory.targets)
+        entries = tuple(directory.targets[i] for i in changed_ids if i in directory.targets)
+        removed = tuple(i for i in changed_ids if i not in directory.targets)
         return False, entries, removed
 
-    def _changed_for(self, request: NewsRequest) -> tuple[str, ...] | None:
-        """Return the ids that changed since what a follower has; None for all.
+    def _changed_ids_for(self, request: UpdateRequest) -> tuple[str, ...] | None:
+        """Return the ids of the targets that changed since a follower's list; None for all targets.
 
-        After a change of leader all followers ask at once. A whole list of 765 targets is 225 KB
-        and 20 ms of a core for each (made-up targets, one run): for 39 followers 1.5 s on half a
-        core, of a lease of 1.8 s.
+        A follower of another leader gets the changes after its position. Otherwise all followers
+        would get the complete list at once after a change of leader. With 765 targets it takes
+        225 KB and 20 ms of a core for each; for 39 followers this occupies half a core for 1.5 s,
+        while the leader's lease lasts 1.8 s.
         """
-        if request.life == self.life:
+        if request.life == self.incarnation:
             return self.directory.changed_since(request.change)
-        known = position_of_life(request.life)
-        return self.directory.changed_after(known) if known is not None else None
+        known_position = decode_known_position(request.life)
+        return self.directory.changed_after(known_position) if known_position is not None else None
 
-    def _configuration_for(self, request: NewsRequest) -> str:
-        """Return the configuration as it is stored, or "" if the follower has it."""
+    def _configuration_for(self, request: UpdateRequest) -> str:
+        """Return the encoded configuration, or "" if the follower has it."""
         lookup = self.current.lookup
         if lookup is None or request.version >= lookup.configuration.version:
             return ""
--- a/ferrydock/relay/tests/test_packing.py
+++ b/ferrydock/relay/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""Large answers between daemons are small on the wire, and are what was answered."""
+"""Compression of large replies between daemons."""
 
 import asyncio
 
@@ -8,34 +8,36 @@
 from ...configuration import CurrentConfiguration
 from ...targets import TargetDirectory
 from .. import PeerCalls, RelayServer
-from .._packing import PACK_FROM_BYTES, pack, unpack
+from .._packing import COMPRESSION_THRESHOLD_BYTES, compress, decompress
 
-LARGE = b'{"routes":"' + b"abc" * PACK_FROM_BYTES + b'"}'
+LARGE = b'{"routes":"' + b"abc" * COMPRESSION_THRESHOLD_BYTES + b'"}'
 
 
 class CountingProxy:
-    """Passes connections on and counts the bytes of the answers."""
+    """Forwards connections to a server and counts the bytes of the replies."""
 
     def __init__(self, address):
         self.host, self.port = address.split(":")
-        self.answered = 0
+        self.reply_bytes = 0
 
     async def start(self):
         server = await asyncio.start_server(self._pass, "127.0.0.1", 0)
         return "{}:{}".format(*server.sockets[0].getsockname())
 
     async def _pass(self, reader, writer):
-        far_reader, far_writer = await asyncio.open_connection(self.host, int(self.port))
-        await asyncio.gather(self._copy(reader, far_writer, 0), self._copy(far_reader, writer, 1))
+        upstream_reader, upstream_writer = await asyncio.open_connection(self.host, int(self.port))
+        await asyncio.gather(
+            self._copy(reader, upstream_writer, 0), self._copy(upstream_reader, writer, 1)
+        )
 
-    async def _copy(self, reader, writer, counts):
+    async def _copy(self, reader, writer, is_reply):
         while data := await reader.read(65536):
-            self.answered += counts * len(data)
+            self.reply_bytes += is_reply * len(data)
             writer.write(data)
         writer.close()
 
 
-def test_a_large_answer_is_a_tenth_on_the_wire_and_whole_at_the_caller():
+def test_a_large_reply_is_compressed_on_the_wire_and_complete_at_the_caller():
     async def scenario():
         async def answer(data):
             return LARGE
@@ -44,14 +46,14 @@
         proxy = CountingProxy(await server.start("127.0.0.1:0", {"Large": answer}))
         calls = PeerCalls()
         assert await calls.call(await proxy.start(), "Large", b"{}", 5.0) == LARGE
-        assert proxy.answered < len(LARGE) / 10
+        assert proxy.reply_bytes < len(LARGE) / 10
         await calls.close()
         await server.close()
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("broken", [b"x", pack(LARGE)[:-5], b"x" + LARGE])
-def test_a_packed_answer_that_is_broken_is_no_answer(broken):
+@pytest.mark.parametrize("broken", [b"x", compress(LARGE)[:-5], b"x" + LARGE])
+def test_an_invalid_compressed_reply_is_refused(broken):
     with pytest.raises(ValueError, match="answer"):
-        unpack(broken)
+        decompress(broken)
--- a/ferrydock/relay/tests/test_relay.py
+++ b/ferrydock/relay/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Following a daemon instead of the store."""
+"""Polling a hall's leader in place of the store."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from ...configuration import Configuration, ConfigurationUnreadable, CurrentConfiguration
 from ...store import Position
 from ...targets import Target, TargetChanges, TargetDirectory
-from .. import NewsAnswer, NewsRequest, RelayClient, RelayServer
+from .. import RelayClient, RelayServer, UpdateReply, UpdateRequest
 
 
 def configuration(version):
@@ -23,16 +23,18 @@
     return Target(name, "s", "127.0.0.1:1", "h", 1, draining)
 
 
-class Pair:
-    """A daemon that reads the store and one that follows it, on clocks of their own."""
+class LeaderAndFollower:
+    """A daemon that reads the store and one that follows it, with separate clocks."""
 
     def __init__(self):
         self.clock, self.follower_clock = ManualClock(1000.0), ManualClock(5.0)
         self.current, self.directory = CurrentConfiguration(), TargetDirectory()
         self.serves = True
         self.server = RelayServer(self.current, self.directory, lambda: self.serves, self.clock)
-        self.own_book, self.own_directory = CurrentConfiguration(), TargetDirectory()
-        self.client = RelayClient(self.own_book, self.own_directory, decode, self.follower_clock)
+        self.follower_current, self.follower_directory = CurrentConfiguration(), TargetDirectory()
+        self.client = RelayClient(
+            self.follower_current, self.follower_directory, decode, self.follower_clock
+        )
         self.address = ""
 
     async def __aenter__(self):
@@ -48,163 +50,165 @@
         await self.server.close()
 
 
-def play(scenario):
+def run_scenario(scenario):
     asyncio.run(scenario())
 
 
-def test_list_configuration_and_age_arrive():
+def test_a_follower_receives_target_list_configuration_and_its_age():
     async def scenario():
-        async with Pair() as pair:
+        async with LeaderAndFollower() as pair:
             assert await pair.client.pull(pair.address)
-            assert set(pair.own_directory.targets) == {"a", "b"}
-            assert pair.own_directory.position == Position(0, 7)
-            assert pair.own_book.version == 3
-            assert pair.own_book.age_s(5.0) == 0.5
+            assert set(pair.follower_directory.targets) == {"a", "b"}
+            assert pair.follower_directory.position == Position(0, 7)
+            assert pair.follower_current.version == 3
+            assert pair.follower_current.age_s(5.0) == 0.5
             pair.directory.put(target("a", draining=True))
             pair.directory.remove("b")
             assert await pair.client.pull(pair.address)
-            assert list(pair.own_directory.targets) == ["a"]
-            assert pair.own_directory.targets["a"].draining
+            assert list(pair.follower_directory.targets) == ["a"]
+            assert pair.follower_directory.targets["a"].draining
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_version_never_goes_back_and_its_age_is_not_lent_to_another():
+def test_an_older_version_neither_replaces_nor_confirms_a_newer_one():
     async def scenario():
-        async with Pair() as pair:
-            pair.own_book.offer(configuration(8), None)
+        async with LeaderAndFollower() as pair:
+            pair.follower_current.offer(configuration(8), None)
             await pair.client.pull(pair.address)
-            assert pair.own_book.version == 8
-            assert pair.own_book.confirmed_s is None
+            assert pair.follower_current.version == 8
+            assert pair.follower_current.confirmed_s is None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_older_list_is_not_taken():
+def test_an_older_target_list_is_not_applied():
     async def scenario():
-        async with Pair() as pair:
-            pair.own_directory.replace([target("c")])
-            pair.own_directory.position = Position(0, 9)
+        async with LeaderAndFollower() as pair:
+            pair.follower_directory.replace([target("c")])
+            pair.follower_directory.position = Position(0, 9)
             assert not await pair.client.pull(pair.address)
-            assert list(pair.own_directory.targets) == ["c"]
+            assert list(pair.follower_directory.targets) == ["c"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_daemon_that_does_not_read_the_store_is_not_followed():
+def test_replies_of_a_daemon_that_does_not_read_the_store_are_not_sufficient():
     async def scenario():
-        async with Pair() as pair:
+        async with LeaderAndFollower() as pair:
             pair.serves = False
             assert not await pair.client.pull(pair.address)
             pair.serves = True
-            pair.clock.advance(1.0)  # not confirmed for a second and a half
+            pair.clock.advance(1.0)  # last confirmed 1.5 s ago
             assert not await pair.client.pull(pair.address)
             await pair.server.close()
             assert not await pair.client.pull(pair.address)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_the_age_that_a_leader_tells_is_that_of_the_older_of_list_and_configuration():
+def test_the_age_in_a_reply_is_that_of_the_older_of_target_list_and_configuration():
     async def scenario():
-        async with Pair() as pair:
+        async with LeaderAndFollower() as pair:
             pair.current.confirm(3, 1000.0)
             assert await pair.client.pull(pair.address)
-            assert round(pair.own_directory.age_s(5.0), 6) == 0.4
-            assert round(pair.own_book.age_s(5.0), 6) == 0.4
+            assert round(pair.follower_directory.age_s(5.0), 6) == 0.4
+            assert round(pair.follower_current.age_s(5.0), 6) == 0.4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_leader_whose_list_is_old_is_not_followed_and_its_configuration_keeps_its_age():
+def test_a_stale_target_list_is_not_sufficient_but_its_leader_still_confirms_the_configuration():
     async def scenario():
-        async with Pair() as pair:
+        async with LeaderAndFollower() as pair:
             pair.clock.advance(0.9)
             pair.current.confirm(3, pair.clock.now_s())
             assert not await pair.client.pull(pair.address)
-            assert round(pair.own_directory.age_s(5.0), 6) == 1.3
+            assert round(pair.follower_directory.age_s(5.0), 6) == 1.3
             pair.serves = False
             assert not await pair.client.pull(pair.address)
-            assert pair.own_book.age_s(5.0) == 0.0
+            assert pair.follower_current.age_s(5.0) == 0.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_list_that_was_never_confirmed_is_no_reason_to_leave_the_store_alone():
+def test_a_target_list_that_was_never_confirmed_is_not_sufficient():
     async def scenario():
-        async with Pair() as pair:
+        async with LeaderAndFollower() as pair:
             pair.directory.confirmation.confirmed_s = None
             assert not await pair.client.pull(pair.address)
-            assert pair.own_directory.confirmation.confirmed_s is None
+            assert pair.follower_directory.confirmation.confirmed_s is None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_another_life_brings_the_whole_list():
-    pair = Pair()
+def test_a_follower_of_another_incarnation_gets_the_complete_list():
+    pair = LeaderAndFollower()
     pair.directory.replace([target("a")])
     pair.directory.put(target("b"))
-    known = pair.server.answer(NewsRequest(pair.server.life, 1, -1))
-    assert not known.whole and [t.target_id for t in known.entries] == ["b"]
-    other = pair.server.answer(NewsRequest("other", 1, -1))
-    assert other.whole and len(other.entries) == 2
-    assert isinstance(other, NewsAnswer)
+    incremental = pair.server.reply_to(UpdateRequest(pair.server.incarnation, 1, -1))
+    assert not incremental.whole and [t.target_id for t in incremental.entries] == ["b"]
+    complete = pair.server.reply_to(UpdateRequest("other", 1, -1))
+    assert complete.whole and len(complete.entries) == 2
+    assert isinstance(complete, UpdateReply)
 
 
-def test_broken_replicas_are_reported_both_ways_and_end_a_held_question():
+def test_broken_replicas_are_reported_both_ways_and_end_a_delayed_reply():
     async def scenario():
-        async with Pair() as pair:
-            heard, heard_back = [], []
-            pair.server.broken.on_received = heard.append
-            pair.client.broken.on_received = heard_back.append
+        async with LeaderAndFollower() as pair:
+            received_by_leader, received_by_follower = [], []
+            pair.server.broken.on_received = received_by_leader.append
+            pair.client.broken.on_received = received_by_follower.append
             assert await pair.client.pull(pair.address)
             pair.client.broken.note(("g1", 3), pair.follower_clock.now_s())
             pulling = asyncio.ensure_future(pair.client.pull(pair.address))
             await asyncio.sleep(0.1)
-            assert heard == [("g1", 3)]
-            pair.server.broken.note(("g2", 4), pair.clock.now_s())  # the clock stands still
+            assert received_by_leader == [("g1", 3)]
+            pair.server.broken.note(
+                ("g2", 4), pair.clock.now_s()
+            )  # the clock stands still, so the delay cannot expire
             assert await asyncio.wait_for(pulling, 2.0)
-            assert heard_back == [("g2", 4)]
+            assert received_by_follower == [("g2", 4)]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_followers_learn_how_many_they_are():
+def test_followers_receive_the_number_of_daemons():
     async def scenario():
-        async with Pair() as pair:
+        async with LeaderAndFollower() as pair:
             pair.client.name = "edge-2"
-            pair.server.daemon_counter.note_follower("edge-3", 1000.0)
+            pair.server.daemon_counter.record_request("edge-3", 1000.0)
             assert await pair.client.pull(pair.address)
             assert pair.client.daemon_counter.daemons(5.0) == 3
             assert pair.server.daemon_counter.count_followers(1000.0) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_follower_of_another_leader_gets_only_what_it_does_not_know():
+def test_a_follower_of_another_leader_gets_only_the_changes_after_its_position():
     async def scenario():
-        async with Pair() as pair:
+        async with LeaderAndFollower() as pair:
             pair.directory.take(TargetChanges(True, (target("a"), target("b")), (), Position(0, 7)))
             assert await pair.client.pull(pair.address)
             pair.directory.take(TargetChanges(False, (target("c"),), ("b",), Position(0, 9)))
-            # the next leader was a follower too, and numbers its changes differently
+            # The next leader is another process, which numbers its changes differently.
             await pair.client.close()
-            pair.server.life = "another"
-            answer = pair.server.answer(
-                NewsRequest(f"@{pair.own_directory.position.revision}", 0, 3)
+            pair.server.incarnation = "another"
+            reply = pair.server.reply_to(
+                UpdateRequest(f"@{pair.follower_directory.position.revision}", 0, 3)
             )
-            assert not answer.whole
-            assert [entry.target_id for entry in answer.entries] == ["c"]
+            assert not reply.whole
+            assert [entry.target_id for entry in reply.entries] == ["c"]
             assert await pair.client.pull(pair.address)
-            assert set(pair.own_directory.targets) == {"a", "c"}
-            assert pair.own_directory.position == Position(0, 9)
+            assert set(pair.follower_directory.targets) == {"a", "c"}
+            assert pair.follower_directory.position == Position(0, 9)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_follower_whose_list_is_older_than_the_leaders_changes_gets_the_whole():
-    pair = Pair()
+def test_a_follower_with_a_list_older_than_the_leaders_changes_gets_the_complete_list():
+    pair = LeaderAndFollower()
     pair.directory.take(TargetChanges(True, (target("a"),), (), Position(0, 7)))
-    assert pair.server.answer(NewsRequest("@6", 0, -1)).whole
-    assert not pair.server.answer(NewsRequest("@7", 0, -1)).whole
-    assert pair.server.answer(NewsRequest("@x", 0, -1)).whole
+    assert pair.server.reply_to(UpdateRequest("@6", 0, -1)).whole
+    assert not pair.server.reply_to(UpdateRequest("@7", 0, -1)).whole
+    assert pair.server.reply_to(UpdateRequest("@x", 0, -1)).whole
