--- a/ferrydock/crashes/_history.py
+++ b/ferrydock/crashes/_history.py
@@ -2,7 +2,7 @@
 
 Owns the crashes by request identity, in memory, bounded by `MAX_REQUESTS` and `RETENTION_S`. The
 history is lost with the process, but peers hold the same one (`_exchange`). If all daemons are lost
-at once, a request that crashes its targets is detected anew after three more crashes.
+at once, a request that crashes its targets is detected again after three more crashes.
 """
 
 import itertools
@@ -174,10 +174,10 @@
         return len(self._records)
 
     def _refused_until_s(self, record: RequestRecord) -> float:
-        last = max(record.crashes, key=lambda crash: crash.ended_s)
-        is_own = last.finder == self.life
+        last_crash = max(record.crashes, key=lambda crash: crash.ended_s)
+        is_own = last_crash.finder == self.life
         factor = 1.0 if is_own else 1.0 + OTHER_DAEMONS_DELAY_FRACTION
-        return last.ended_s + record.refusal_s * factor
+        return last_crash.ended_s + record.refusal_s * factor
 
     # Observations of this daemon ----------------------------------------------------------------
 
--- a/ferrydock/crashes/_log.py
+++ b/ferrydock/crashes/_log.py
@@ -33,5 +33,5 @@
         )
 
     def released(self, identity: str, reason: str) -> None:
-        """Log that a request is no longer refused."""
+        """Log that the refusal of a request has ended, and why."""
         log_event(_LOG, logging.WARNING, "crashing_request_released", identity=identity, why=reason)
--- a/ferrydock/crashes/_rule.py
+++ b/ferrydock/crashes/_rule.py
@@ -30,8 +30,8 @@
 CRASHES_TO_KNOW = 3
 
 # Threshold for a request that a target has answered before. A request that many callers send runs
-# on all targets, also on those that another request crashes consecutively. At six crashes it stays
-# within the three further targets that the platform tolerates.
+# on all targets, also on those that another request crashes consecutively. With six, a request that
+# does cause crashes costs three further targets at most, which the platform tolerates.
 CRASHES_TO_REFUSE_ANSWERED = 6
 
 # Maximum difference between the times at which two daemons observe the termination of one process.
--- a/ferrydock/relay/_messages.py
+++ b/ferrydock/relay/_messages.py
@@ -148,7 +148,7 @@
 
 
 def encode(message: UpdateRequest | UpdateReply) -> bytes:
-    """Encode a message as JSON, without the optional fields that are empty."""
+    """Encode a message as JSON, omitting `crashes`, `era` and `leaving` if they are empty."""
     fields = asdict(message)
     if fields["crashes"] is None:
         del fields["crashes"]
