--- a/ferrydock/scheduling/__init__.py
+++ b/ferrydock/scheduling/__init__.py
@@ -1,13 +1,14 @@
-"""Endpoint selection: which target gets a request, and who waits while all of them are full.
+"""Endpoint selection: which target gets a request, and which requests wait while all are full.
 
-The rules stand in `_selection` (which target), `_waiting_queue` (who is next) and `_endpoints`
-(which targets can serve a request at all, and how many requests each takes). They are used twice:
-by the hall scheduler, one daemon of each hall that sees the requests of all daemons, and by each
-daemon alone while the scheduler does not answer (`ferrydock.forwarding`). The rest of this package
-is the scheduler's state and its protocol between daemons.
+The rules are in `_selection` (which target), `_waiting_queue` (which request is next) and
+`_endpoints` (which targets can serve a request at all, and how many requests each takes). They are
+used twice: by the hall scheduler, which runs in one daemon of each hall and sees the requests of
+all its daemons, and by each daemon for its own requests while the scheduler does not reply
+(`ferrydock.forwarding`). The rest of this package is the scheduler's state and the protocol
+between it and the daemons.
 
-What does not belong here: forming replicas (`ferrydock.replicas`) and everything about one request
-after it has a target (`ferrydock.forwarding`).
+What does not belong here: forming replicas (`ferrydock.replicas`) and everything about a request
+after it has been assigned a target (`ferrydock.forwarding`).
 """
 
 from ._client import SchedulerClient
--- a/ferrydock/scheduling/_client.py
+++ b/ferrydock/scheduling/_client.py
@@ -1,7 +1,8 @@
-"""A daemon's side of the hall scheduler: asking it for slots, reporting what is in flight.
+"""A daemon's client of the hall scheduler: requests slots and reports requests in flight.
 
 Owns the connection to the scheduler and the grants received in the last 0.6 s. Relies on the hall
-leadership for the scheduler's address; without an answer the daemon decides alone.
+leadership for the scheduler's address. If the scheduler does not reply, the daemon chooses targets
+by itself (`forwarding.EndpointSelector`).
 """
 
 import asyncio
@@ -22,34 +23,35 @@
 
 _LOG = logging.getLogger("ferrydock.scheduling")
 
-# How long a reply may take, beyond the time that the request may wait in the scheduler's queue. A
-# request that gets no reply is decided here, late by this much, and so are all of this daemon's
-# for `SKIP_AFTER_TIMEOUT_S`, by its own counts alone. Half of the shortest objective for a first
-# answer (0.3 s).
+# How long a reply may take, beyond the time that the request may wait in the scheduler's queue.
+# After a timeout this daemon chooses the target by its own counts alone, late by this much, and
+# does the same for all its requests in the next `SKIP_AFTER_TIMEOUT_S`. Half of the shortest
+# objective for the time to a first answer (0.3 s).
 REPLY_TIMEOUT_S = 0.15
 
-# How long a scheduler that did not reply is not asked again.
+# How long no message is sent to a scheduler after it did not reply.
 SKIP_AFTER_TIMEOUT_S = 0.5
 
-# Ends of requests, and limits heard, within this time are reported in one message.
+# Requests that end within this time, and rate limits received in it, share one report.
 REPORT_DELAY_S = 0.02
 
-# How long a received grant is repeated in messages: longer than the scheduler counts a grant that
-# was not confirmed (`_in_flight.UNCONFIRMED_GRANT_S`), so that none is counted twice.
+# How long each message to the scheduler confirms a received grant: longer than the scheduler counts
+# an unconfirmed grant (`_in_flight.UNCONFIRMED_GRANT_S`). The scheduler would otherwise count the
+# request both as a grant and as in flight.
 REPEAT_GRANTS_S = 0.6
 
 
 class SchedulerClient:
-    """Reaches the hall scheduler, which may run in this daemon.
+    """Sends this daemon's messages to the hall scheduler, which may run in the same process.
 
     Parameters
     ----------
     name : str
-        Of this daemon.
+        Name of this daemon.
     scheduler : HallScheduler
-        This daemon's own, used while it leads the hall.
+        This daemon's own scheduler, called directly while this daemon leads the hall.
     address : callable
-        Returns ``IP:PORT`` of the hall leader; empty if it is not known.
+        Returns ``IP:PORT`` of the hall leader; an empty string if the leader is not known.
     own_address : str
         ``IP:PORT`` of this daemon.
     running : callable
@@ -58,8 +60,8 @@
 
     __slots__ = (
         "_grants",
-        "_report",
-        "_timed_out_s",
+        "_report_task",
+        "_last_timeout_s",
         "address",
         "calls",
         "clock",
@@ -85,52 +87,53 @@
         self.running = running
         self.clock = clock
         self.calls = PeerCalls()
-        self._timed_out_s = -SKIP_AFTER_TIMEOUT_S
+        self._last_timeout_s = -SKIP_AFTER_TIMEOUT_S
         self._grants: deque[tuple[float, int]] = deque()
-        self._report: asyncio.Task | None = None
+        self._report_task: asyncio.Task | None = None
 
     async def ask(self, request: SlotRequest) -> SlotReply | None:
         """Return the scheduler's reply, or None if the scheduler cannot be reached.
 
-        The sender's part of `request` (name, requests in flight, grants) is filled in here.
+        Fills in the fields of `request` that describe this daemon: `sender`, `running`, `seen` and
+        `limits`.
         """
-        asked_s = self.clock.now_s()
+        sent_s = self.clock.now_s()
         filled = replace(
             request,
             sender=self.name,
             running=self.running(),
             seen=self._recent_grants(),
-            limits=self._limits.reports(asked_s),
+            limits=self._limits.reports(sent_s),
         )
         address = self.address()
         if address == self.own_address:
             reply = await self.scheduler.acquire(filled)
-        elif not address or self._is_skipped():
+        elif not address or self._is_scheduler_skipped():
             return None
         else:
             timeout_s = request.hold_s + REPLY_TIMEOUT_S
             data = await self.calls.call(address, PLACE, encode(filled), timeout_s)
             if data is None:
-                self._skip(address)
+                self._skip_scheduler(address)
                 return None
             reply = decode_reply(data)
-            self._limits.merge(reply.limits, asked_s)
+            self._limits.merge(reply.limits, sent_s)
         if reply.target_id:
             self._grants.append((self.clock.now_s(), reply.grant))
         return reply
 
     def _recent_grants(self) -> tuple[int, ...]:
-        """Return the grants that the scheduler may not yet know to have arrived."""
+        """Return the numbers of the grants received in the last `REPEAT_GRANTS_S`."""
         now_s = self.clock.now_s()
         while self._grants and now_s - self._grants[0][0] > REPEAT_GRANTS_S:
             self._grants.popleft()
         return tuple(number for _, number in self._grants)
 
-    def _is_skipped(self) -> bool:
-        return self.clock.now_s() - self._timed_out_s < SKIP_AFTER_TIMEOUT_S
+    def _is_scheduler_skipped(self) -> bool:
+        return self.clock.now_s() - self._last_timeout_s < SKIP_AFTER_TIMEOUT_S
 
-    def _skip(self, address: str) -> None:
-        self._timed_out_s = self.clock.now_s()
+    def _skip_scheduler(self, address: str) -> None:
+        self._last_timeout_s = self.clock.now_s()
         log_event(_LOG, logging.WARNING, "dispatcher_lost", address=address)
 
     @property
@@ -138,11 +141,11 @@
         return self.scheduler.catalog.limits
 
     def report_soon(self) -> None:
-        """Report soon what has changed; changes that follow at once share the message."""
-        if self._report is None or self._report.done():
-            self._report = asyncio.get_running_loop().create_task(self._report_soon())
+        """Report requests in flight and limits within `REPORT_DELAY_S`, unless a report is due."""
+        if self._report_task is None or self._report_task.done():
+            self._report_task = asyncio.get_running_loop().create_task(self._send_report())
 
-    async def _report_soon(self) -> None:
+    async def _send_report(self) -> None:
         await asyncio.sleep(REPORT_DELAY_S)
         report = SlotRequest(
             self.name,
@@ -153,13 +156,13 @@
         address = self.address()
         if address == self.own_address:
             self.scheduler.receive_counts(report)
-        elif address and not self._is_skipped():
+        elif address and not self._is_scheduler_skipped():
             data = await self.calls.call(address, PLACE, encode(report), REPLY_TIMEOUT_S)
             if data is None:
-                self._skip(address)
+                self._skip_scheduler(address)
 
     async def close(self) -> None:
-        """Close the connection."""
-        if self._report is not None:
-            self._report.cancel()
+        """Cancel a report that is due and close the connection."""
+        if self._report_task is not None:
+            self._report_task.cancel()
         await self.calls.close()
--- a/ferrydock/scheduling/_demand.py
+++ b/ferrydock/scheduling/_demand.py
@@ -1,7 +1,7 @@
 """Demand by model: how many slots the requests of a hall, and of the site, fill on average.
 
-Owns the counts of this hall since its scheduler began, fading over some seconds, and the last
-demand that each other hall reported; both in memory. A new leader starts without an observation.
+Owns, in memory, the exponentially fading counts of this hall's requests and the last demand that
+each other hall reported. A daemon that becomes hall leader starts with no observations.
 """
 
 from collections import defaultdict
@@ -11,75 +11,82 @@
 
 __all__ = ["DemandMeter"]
 
-# Time over which past requests fade. Longer than the time between two bursts of a few callers,
-# shorter than the 12 to 16 s that a change of plan takes. Chosen, not measured.
-FADE_S = 5.0
+# Time constant with which counted arrivals fade. Longer than the pause between two bursts of a few
+# callers, shorter than the 12 to 16 s that it takes to carry out a changed plan of replicas.
+ARRIVAL_FADE_S = 5.0
 
-# Time over which the usual time in a slot fades: it changes with the kind of request, not with
-# their number. Chosen, not measured.
-HOLD_FADE_S = 20.0
+# Time constant with which observed holding times of slots fade. Longer than `ARRIVAL_FADE_S`,
+# since the holding time changes with the kind of requests, not with their number.
+HOLD_TIME_FADE_S = 20.0
 
-# Requests with the assumed time in a slot that the observed ones are mixed with, so that the first
-# few decide nothing. Chosen, not measured.
-ASSUMED_HOLD_S = 1.0
+# The mean holding time includes this many fictitious requests with this holding time, so that the
+# first few observed requests do not determine it.
+ASSUMED_HOLD_TIME_S = 1.0
 ASSUMED_REQUESTS = 3.0
 
-# Time from the first request on before which there is no observation: requests in flight, and so
-# the time in a slot, must have settled. Chosen, not measured.
-OBSERVE_S = 2.0
+# No demand is reported before requests have been observed for this long: the number of requests in
+# flight, from which the holding time is computed, must first settle.
+MIN_OBSERVATION_S = 2.0
 
-# How long another hall's report counts: some missed questions. Chosen, not measured.
-REPORT_VALID_S = 5.0
+# How long another hall's report counts. Reports are polled every 1 s
+# (`_remote_halls.DEMAND_POLL_S`), so a few polls may fail.
+REMOTE_REPORT_VALID_S = 5.0
 
 
 @dataclass(slots=True)
 class _ModelDemand:
-    """Fading sums for one model.
+    """Exponentially fading sums for one model of one service.
 
     Attributes
     ----------
-    asked, elapsed_s : float
-        Requests that asked for a slot, and the time in which they came.
-    granted, held_s : float
-        Requests that got one, and the time that slots were held.
+    arrivals : float
+        Requests that needed a slot; fades with `ARRIVAL_FADE_S`.
+    observed_s : float
+        Time in which `arrivals` were counted; fades like them.
+    granted : float
+        Requests that got a slot; fades with `HOLD_TIME_FADE_S`.
+    held_s : float
+        Time that all slots together were held; fades like `granted`.
     in_flight : int
-        Requests that hold one now.
+        Requests that hold a slot, as of the last sample.
     """
 
-    asked: float = 0.0
-    elapsed_s: float = 0.0
+    arrivals: float = 0.0
+    observed_s: float = 0.0
     granted: float = 0.0
     held_s: float = 0.0
     in_flight: int = 0
 
     def add_time(self, in_flight: int, seconds: float) -> None:
-        fade, hold_fade = exp(-seconds / FADE_S), exp(-seconds / HOLD_FADE_S)
-        self.asked *= fade
-        self.elapsed_s = self.elapsed_s * fade + seconds
+        fade, hold_fade = exp(-seconds / ARRIVAL_FADE_S), exp(-seconds / HOLD_TIME_FADE_S)
+        self.arrivals *= fade
+        self.observed_s = self.observed_s * fade + seconds
         self.granted *= hold_fade
         self.held_s = self.held_s * hold_fade + in_flight * seconds
         self.in_flight = in_flight
 
     @property
     def slots_wanted(self) -> float:
-        # Requests in flight have held their slot for half of their time, in the mean. Without this
-        # 18 slots were wanted after 2 s of a day, and 49 after 14 s (three halls, one model).
+        # Requests in flight have spent on average half of their holding time. If they counted as
+        # ended, the first seconds would show too little demand (with three halls and one model,
+        # 18 slots after 2 s and 49 after 14 s).
         ended = max(0.0, self.granted - self.in_flight / 2)
-        held_s = self.held_s + ASSUMED_REQUESTS * ASSUMED_HOLD_S
-        hold_s = held_s / (ended + ASSUMED_REQUESTS)
-        return self.asked / self.elapsed_s * hold_s if self.elapsed_s else 0.0
+        held_s = self.held_s + ASSUMED_REQUESTS * ASSUMED_HOLD_TIME_S
+        mean_hold_s = held_s / (ended + ASSUMED_REQUESTS)
+        return self.arrivals / self.observed_s * mean_hold_s if self.observed_s else 0.0
 
 
 class DemandMeter:
-    """Measures the slots wanted: arrivals a second times the time that a request holds a slot.
+    """Measures the slots wanted: arrivals a second times the mean time that a request holds a slot.
 
-    A request that finds no slot counts as well, so a model that is short shows more demand than it
-    has slots; a refused caller that comes back counts again.
+    Requests that find no slot count as arrivals, so a model with too few slots shows more demand
+    than it has slots. A refused request that the caller sends again counts again.
 
     Parameters
     ----------
     halls : int
-        Halls of the site; those that report nothing count like the mean of the others.
+        Number of halls of the site. A hall without a valid report counts like the mean of the
+        others.
 
     Examples
     --------
@@ -93,38 +100,49 @@
     True
     """
 
-    __slots__ = ("_began_s", "_halls", "_models", "_remote", "_sampled_s")
+    __slots__ = ("_observed_from_s", "_halls", "_models", "_remote_reports", "_last_sample_s")
 
     def __init__(self, halls: int):
         self._halls = halls
         self._models: defaultdict[tuple[str, str], _ModelDemand] = defaultdict(_ModelDemand)
-        self._remote: dict[str, tuple[float, Mapping[str, Mapping[str, float]]]] = {}
-        self._began_s: float | None = None
-        self._sampled_s: float | None = None
+        self._remote_reports: dict[str, tuple[float, Mapping[str, Mapping[str, float]]]] = {}
+        self._observed_from_s: float | None = None
+        self._last_sample_s: float | None = None
 
     def asked(self, service: str, model: str) -> None:
-        """Count a request that asks for a slot."""
-        self._models[service, model].asked += 1
+        """Count a request that needs a slot."""
+        self._models[service, model].arrivals += 1
 
     def granted(self, service: str, model: str) -> None:
         """Count a request that got a slot."""
         self._models[service, model].granted += 1
 
     def sample(self, in_flight: Mapping[tuple[str, str], int], now_s: float) -> None:
-        """Take in the requests in flight, by service and model, since the last sample."""
-        if self._sampled_s is None or not self._models:
-            self._sampled_s = now_s
+        """Add the time since the last sample to the sums.
+
+        Parameters
+        ----------
+        in_flight : mapping of (str, str) to int
+            This hall's requests in flight, by service and model.
+        now_s : float
+            Local time of the sample.
+        """
+        if self._last_sample_s is None or not self._models:
+            self._last_sample_s = now_s
             return
-        if self._began_s is None:
-            self._began_s = self._sampled_s
-        seconds = now_s - self._sampled_s
-        self._sampled_s = now_s
+        if self._observed_from_s is None:
+            self._observed_from_s = self._last_sample_s
+        seconds = now_s - self._last_sample_s
+        self._last_sample_s = now_s
         for key, demand in self._models.items():
             demand.add_time(in_flight.get(key, 0), seconds)
 
     def hall_slots_wanted(self, now_s: float) -> dict[str, dict[str, float]]:
-        """Return this hall's demand by service and model; empty before there is an observation."""
-        if self._began_s is None or now_s - self._began_s < OBSERVE_S:
+        """Return this hall's demand in slots, by service and model.
+
+        Empty until requests have been observed for `MIN_OBSERVATION_S`.
+        """
+        if self._observed_from_s is None or now_s - self._observed_from_s < MIN_OBSERVATION_S:
             return {}
         found: dict[str, dict[str, float]] = {}
         for (service, model), demand in self._models.items():
@@ -134,13 +152,17 @@
     def receive_remote(
         self, hall: str, demand: Mapping[str, Mapping[str, float]], now_s: float
     ) -> None:
-        """Replace the demand of another hall."""
-        self._remote[hall] = (now_s, demand)
+        """Replace the demand that another hall reported, in slots by service and model."""
+        self._remote_reports[hall] = (now_s, demand)
 
     def site_slots_wanted(self, service: str, now_s: float) -> dict[str, float]:
-        """Return the whole site's demand for a service by model; empty without an observation."""
+        """Return the site's demand for a service, in slots by model; empty without any report."""
         reports: list[Mapping[str, Mapping[str, float]]] = [self.hall_slots_wanted(now_s)]
-        reports += [d for at_s, d in self._remote.values() if now_s - at_s <= REPORT_VALID_S]
+        reports += [
+            demand
+            for received_s, demand in self._remote_reports.values()
+            if now_s - received_s <= REMOTE_REPORT_VALID_S
+        ]
         known = [report[service] for report in reports if service in report]
         if not known:
             return {}
@@ -151,7 +173,7 @@
         return dict(total)
 
     def forget(self) -> None:
-        """Drop this hall's observation: another daemon schedules it."""
+        """Drop what was observed in this hall, since another daemon schedules it."""
         self._models.clear()
-        self._began_s = None
-        self._sampled_s = None
+        self._observed_from_s = None
+        self._last_sample_s = None
--- a/ferrydock/scheduling/_endpoints.py
+++ b/ferrydock/scheduling/_endpoints.py
@@ -1,7 +1,8 @@
 """Which targets can serve a request, and how many requests each of them takes.
 
-Owns the set of replicas that this daemon considers broken, and the limits and rests that targets
-have named; relies on the target directory, which the store follower and the relay keep up to date.
+Owns the set of replicas that this daemon considers broken, and the rate limits and back-offs that
+targets have requested. Relies on the target directory, which the store follower and the relay keep
+up to date.
 """
 
 from dataclasses import dataclass
@@ -12,14 +13,20 @@
 
 __all__ = ["Endpoint", "EndpointCatalog", "max_requests"]
 
-# Requests a plain target gets at a time, as a multiple of the slots it reports. Above 1, so that
-# the next request is already there when a slot comes free.
-PLAIN_OVERCOMMIT = 1.5
+# Maximum of concurrent requests at a target of a service without an engine, as a multiple of the
+# slots that it reports. Above 1, so that the next request is at the target when a slot comes free.
+PLAIN_SERVICE_OVERCOMMIT = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A target that a request can be sent to, with its replica; None for a plain service."""
+    """A target that a request can be sent to.
+
+    Attributes
+    ----------
+    replica : ReplicaView or None
+        The replica whose head the target is; None for a plain service, one without an engine.
+    """
 
     target: Target
     replica: ReplicaView | None
@@ -31,17 +38,17 @@
     Parameters
     ----------
     directory : TargetDirectory
-        Targets and the replicas they form.
+        Targets, and the replicas that they form.
 
     Attributes
     ----------
     broken : set of (str, int)
         Replicas, by name and epoch, that get no requests: a member was found dead, or the hall
-        leader gave them up. An epoch is never used again, so entries are never taken back.
+        leader has abandoned them. Entries are never removed, since an epoch is not reused.
     limits : RateLimits
-        Limits that targets have named.
+        Rate limits that targets have set.
     rests : Rests
-        Rests that targets have asked this daemon for.
+        Back-offs that targets have requested of this daemon.
     """
 
     __slots__ = ("broken", "directory", "limits", "rests")
@@ -55,8 +62,7 @@
     def endpoints(self, service: ServiceSpec, model: str) -> list[Endpoint]:
         """Return the targets of a plain service, or the heads of the open replicas of `model`.
 
-        Draining targets, and replicas with a draining or broken member, are left out by the
-        directory.
+        The directory leaves out draining targets and replicas with a draining or broken member.
         """
         if service.engine is None:
             return [Endpoint(target, None) for target in self.directory.of_service(service.name)]
@@ -68,9 +74,9 @@
 
 
 def max_requests(service: ServiceSpec, target: Target) -> float:
-    """Return how many requests a target may have at a time.
+    """Return the maximum of concurrent requests at a target.
 
-    A replica answers as fast as an idle one until its slots are taken, and up to six times later
-    beyond (docs/design/scheduling.md), so it never gets more than its slots.
+    A replica answers as fast as an idle one while it has no more requests than slots, and up to six
+    times later beyond that (docs/design/scheduling.md), so it never gets more than its slots.
     """
-    return service.engine.slots if service.engine else target.slots * PLAIN_OVERCOMMIT
+    return service.engine.slots if service.engine else target.slots * PLAIN_SERVICE_OVERCOMMIT
--- a/ferrydock/scheduling/_messages.py
+++ b/ferrydock/scheduling/_messages.py
@@ -1,7 +1,7 @@
-"""Messages between the daemons of a hall and its scheduler.
+"""Messages between daemons and the scheduler of their hall, and between schedulers of two halls.
 
-The field names are the wire: daemons of two versions run side by side during an upgrade, so a
-field is never renamed (tests/test_outside.py).
+Field names are part of the wire format. Daemons of two versions run side by side during an upgrade,
+so a field is never renamed (tests/test_outside.py).
 """
 
 from collections.abc import Mapping
@@ -13,26 +13,26 @@
 from ..crashes import CrashNews, decode_crash_news
 
 __all__ = [
-    "HallNews",
+    "HallUpdate",
     "SlotReply",
     "SlotRequest",
-    "decode_hall",
-    "decode_question",
+    "decode_hall_reply",
+    "decode_hall_request",
     "decode_reply",
     "decode_request",
     "encode",
-    "encode_hall",
-    "encode_question",
+    "encode_hall_reply",
+    "encode_hall_request",
 ]
 
 
-# Fields that an older version does not know.
-_LEFT_OUT_IF_EMPTY = ("limits", "limited_for_s", "resting")
+# Fields that a daemon of an older version cannot decode, and so are sent only when needed.
+_OMITTED_IF_EMPTY = ("limits", "limited_for_s", "resting")
 
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """A daemon asks for a slot; with an empty `service` it only reports what it has in flight.
+    """A daemon's request for a slot; if `service` is empty, only a report of requests in flight.
 
     Attributes
     ----------
@@ -41,24 +41,26 @@
     running : mapping of str to int
         All its requests in flight, by target id.
     seen : tuple of int
-        Numbers of the grants it received in the last 0.6 s; they are counted in `running`.
+        Numbers of the grants that the daemon received in the last 0.6 s. `running` includes their
+        requests.
     service, model : str
-        What must serve the request; `model` is empty for a plain service.
+        Service and model that must serve the request; `model` is empty for a plain service.
     avoid : tuple of str
-        Ids of targets that were tried already or that this daemon considers broken.
+        Ids of targets to which an attempt was made, or that the sender considers broken.
     rank : tuple of int
-        Priority of the team, then of the route, then 1 for one whose answer will be late; the
-        smallest goes first.
+        Priority of the team, priority of the route, and 1 if the answer is expected to miss its
+        objective, else 0. Requests with the smallest rank go first.
     left_s : float
-        Seconds until the time that orders requests of equal rank (`forwarding._admission`).
+        Seconds until the point in time that orders requests of equal rank: the earliest goes first
+        (`forwarding._admission`).
     hold_s : float
         How many seconds the request may wait in the scheduler's queue.
     limits : tuple of LimitReport
-        Limits of targets that it knows; left out of the message where there are none, so that a
-        scheduler of an older version reads it.
+        Rate limits of targets that the sender knows. If empty, the field is omitted from the
+        message, so that a scheduler of an older version can decode it.
     resting : tuple of str
-        Ids of targets that want no request of the sender for a while; left out of the message where
-        there are none.
+        Ids of targets in a back-off that they requested of the sender. Omitted if empty, as
+        `limits` is.
     """
 
     sender: str
@@ -75,27 +77,27 @@
 
     @property
     def leaves_out(self) -> tuple[str, ...]:
-        """Ids of targets that it must not get."""
+        """Ids of targets that the request must not be sent to."""
         return (*self.avoid, *self.resting)
 
 
 @dataclass(frozen=True, slots=True)
 class SlotReply:
-    """The scheduler's answer.
+    """The scheduler's reply to a request for a slot.
 
     Attributes
     ----------
     target_id : str
-        Where the request goes; empty if no slot is free.
+        Target that the request is to be sent to; empty if no slot is free.
     candidates : int
-        Targets that could serve the request, full ones included.
+        How many targets could serve the request, full ones included.
     grant : int
-        Number under which the scheduler counts the slot as taken.
+        Number of the grant, by which the daemon confirms that it has received the slot.
     limited_for_s : float
-        Without a slot, where limits of all these targets are the reason: seconds until the request
-        may be sent. Left out of the message where it is 0.
+        If rate limits keep the request from all candidates, seconds until it may be sent, else 0.
+        Omitted from the message if 0.
     limits : tuple of LimitReport
-        Limits that the sender lacks or has wrong; left out where there are none.
+        Rate limits that the daemon does not know, or knows another value of. Omitted if empty.
     """
 
     target_id: str
@@ -106,22 +108,22 @@
 
 
 def encode(message: SlotRequest | SlotReply) -> bytes:
-    """Return a message's bytes."""
+    """Encode a message between a daemon and its scheduler."""
     fields = asdict(message)
     fields["limits"] = encode_limits(message.limits)
-    for name in _LEFT_OUT_IF_EMPTY:
+    for name in _OMITTED_IF_EMPTY:
         if not fields.get(name):
             fields.pop(name, None)
     return orjson.dumps(fields)
 
 
 def decode_request(data: bytes) -> SlotRequest:
-    """Return a request.
+    """Decode a daemon's request for a slot, or its report.
 
     Raises
     ------
     ValueError, TypeError
-        If the bytes are no such message.
+        If the bytes are not a valid message.
 
     Examples
     --------
@@ -139,24 +141,24 @@
 
 
 def decode_reply(data: bytes) -> SlotReply:
-    """Return a reply; raises ValueError or TypeError if the bytes are none."""
+    """Decode the scheduler's reply to a daemon; raises ValueError or TypeError if it is invalid."""
     fields = orjson.loads(data)
     fields["limits"] = decode_limits(fields.get("limits"))
     return SlotReply(**fields)
 
 
 @dataclass(frozen=True, slots=True)
-class HallNews:
-    """What the schedulers of two halls tell each other, in the question and in its answer.
+class HallUpdate:
+    """What the schedulers of two halls exchange: the content of a request and of its reply.
 
     Attributes
     ----------
     running : mapping of str to int
-        In an answer: requests in flight of the hall's daemons, by target id.
+        In a reply, the requests in flight of the hall's daemons, by target id.
     crashes : CrashNews or None
-        Requests that crash their targets.
+        Known requests that crash their targets.
     limits : tuple of LimitReport
-        Limits of targets; left out of the message where there are none.
+        Known rate limits of targets. Omitted from the message if empty.
     """
 
     running: Mapping[str, int] = field(default_factory=dict)
@@ -164,48 +166,58 @@
     limits: tuple[LimitReport, ...] = ()
 
 
-def encode_question(asked: HallNews) -> bytes:
-    """Return what a scheduler asks another hall's: never empty, as from an older version."""
-    return orjson.dumps(_shared_fields(asked))
+def encode_hall_request(request: HallUpdate) -> bytes:
+    """Encode a request to another hall's scheduler.
 
+    The result is never empty, which distinguishes it from the request of an older version.
+    """
+    return orjson.dumps(_shared_fields(request))
+
+
+def decode_hall_request(data: bytes) -> HallUpdate:
+    """Decode the request of another hall's scheduler.
 
-def decode_question(data: bytes) -> HallNews:
-    """Return what another hall's scheduler tells; raises ValueError, TypeError or KeyError."""
+    Raises ValueError, TypeError or KeyError if it is invalid.
+    """
     fields = orjson.loads(data)
     crashes = decode_crash_news(fields["crashes"])
-    return HallNews(crashes=crashes, limits=decode_limits(fields.get("limits")))
+    return HallUpdate(crashes=crashes, limits=decode_limits(fields.get("limits")))
+
 
+def encode_hall_reply(reply: HallUpdate) -> bytes:
+    """Encode the reply to another hall's scheduler."""
+    return orjson.dumps({"running": reply.running, **_shared_fields(reply)})
 
-def encode_hall(answer: HallNews) -> bytes:
-    """Return an answer's bytes."""
-    return orjson.dumps({"running": answer.running, **_shared_fields(answer)})
 
+def decode_hall_reply(data: bytes) -> HallUpdate:
+    """Decode the reply of another hall's scheduler.
 
-def decode_hall(data: bytes) -> HallNews:
-    """Return such an answer; one of an older version holds the requests in flight alone.
+    A reply of an older version is only the table of requests in flight by target id.
 
     Raises
     ------
     ValueError, TypeError, KeyError
-        If the bytes are none.
+        If the bytes are not a valid reply.
 
     Examples
     --------
-    >>> decode_hall(b'{"t":3}').running, decode_hall(encode_hall(HallNews({"running": 3}))).running
-    ({'t': 3}, {'running': 3})
+    >>> decode_hall_reply(b'{"t":3}').running
+    {'t': 3}
+    >>> decode_hall_reply(encode_hall_reply(HallUpdate({"running": 3}))).running
+    {'running': 3}
     """
     fields = orjson.loads(data)
     if not isinstance(fields, dict):
-        raise TypeError(f"an answer of another hall is a table, not {type(fields).__name__}")
+        raise TypeError(f"a reply of another hall must be a table, not {type(fields).__name__}")
     running = fields.get("running")
     if not isinstance(running, dict):
-        return HallNews(fields)
+        return HallUpdate(fields)
     crashes = decode_crash_news(fields["crashes"])
-    return HallNews(running, crashes, decode_limits(fields.get("limits")))
+    return HallUpdate(running, crashes, decode_limits(fields.get("limits")))
 
 
-def _shared_fields(news: HallNews) -> dict:
-    fields: dict = {"crashes": asdict(news.crashes) if news.crashes else None}
-    if news.limits:
-        fields["limits"] = encode_limits(news.limits)
+def _shared_fields(update: HallUpdate) -> dict:
+    fields: dict = {"crashes": asdict(update.crashes) if update.crashes else None}
+    if update.limits:
+        fields["limits"] = encode_limits(update.limits)
     return fields
--- a/ferrydock/scheduling/_remote_halls.py
+++ b/ferrydock/scheduling/_remote_halls.py
@@ -1,9 +1,8 @@
-"""Polling the schedulers of other halls for what their daemons have in flight.
+"""Polls the schedulers of other halls for their daemons' requests in flight.
 
-Owns the connections to them. Exchanges requests that crash their targets, and limits of targets,
-along with it. Asks for
-the demand of their halls as well, less often. A hall that does not answer keeps its last counts for
-a while (`_in_flight.REMOTE_REPORT_S`).
+Owns the connections to them. Each poll also exchanges known requests that crash their targets, and
+rate limits of targets. The demand of each hall is polled as well, less often. The last counts of a
+hall that does not reply stay valid for `_in_flight.REMOTE_REPORT_VALID_S`.
 """
 
 import logging
@@ -18,40 +17,41 @@
 from ..relay import PeerCalls
 from ._demand import DemandMeter
 from ._in_flight import InFlightCounts
-from ._messages import HallNews, decode_hall, encode_question
+from ._messages import HallUpdate, decode_hall_reply, encode_hall_request
 from ._server import DEMAND, RUNNING
 
 __all__ = ["RemoteHallPoller"]
 
 _LOG = logging.getLogger("ferrydock.scheduling")
 
-# How long another hall's scheduler may take to answer: no longer than the pause between two polls
+# How long another hall's scheduler may take to reply: no longer than the interval between two polls
 # (`route_daemon._daemon.POLL_REMOTE_HALLS_EVERY_S`).
 REPLY_TIMEOUT_S = 0.15
 
-# Pause between two questions for the demand of another hall: it fades over 5 s.
-DEMAND_EVERY_S = 1.0
+# Shortest interval between two polls of another hall's demand. Demand fades over 5 s
+# (`_demand.ARRIVAL_FADE_S`), so it need not be polled with the counts.
+DEMAND_POLL_S = 1.0
 
 
 class RemoteHallPoller:
-    """Keeps the in-flight counts informed of other halls.
+    """Updates this hall's counts, demand, crashes and limits with those of the other halls.
 
     Parameters
     ----------
     counts : InFlightCounts
-        Receives what the other halls report.
+        Receives the requests in flight that the other halls report.
     demand : DemandMeter
-        Receives the demand that they report.
+        Receives the demand that the other halls report.
     addresses : callable
         Returns ``IP:PORT`` of the other halls' leaders, by hall.
     crashes : CrashExchange
-        Requests that crash their targets.
+        Known requests that crash their targets; sent to the other halls and updated by them.
     limits : RateLimits
-        Limits of targets.
+        Known rate limits of targets; sent to the other halls and updated by them.
     """
 
     __slots__ = (
-        "_demand_asked_s",
+        "_demand_polled_s",
         "addresses",
         "calls",
         "clock",
@@ -73,41 +73,43 @@
         self.counts = counts
         self.limits = limits
         self.demand = demand
-        self._demand_asked_s = -DEMAND_EVERY_S
+        self._demand_polled_s = -DEMAND_POLL_S
         self.addresses = addresses
         self.clock = clock
         self.crashes = crashes
         self.calls = PeerCalls()
 
     async def step(self) -> None:
-        """Ask each known scheduler once, and for its demand if that is due."""
-        is_due = self.clock.now_s() - self._demand_asked_s >= DEMAND_EVERY_S
-        if is_due:
-            self._demand_asked_s = self.clock.now_s()
+        """Poll each known scheduler once, and its hall's demand if `DEMAND_POLL_S` has passed."""
+        is_demand_due = self.clock.now_s() - self._demand_polled_s >= DEMAND_POLL_S
+        if is_demand_due:
+            self._demand_polled_s = self.clock.now_s()
         for hall, address in self.addresses().items():
-            is_answered = await self._ask_running(hall, address)
-            if is_due and is_answered:
-                await self._ask_demand(hall, address)
+            has_replied = await self._poll_running(hall, address)
+            if is_demand_due and has_replied:
+                await self._poll_demand(hall, address)
 
-    async def _ask_running(self, hall: str, address: str) -> bool:
-        """Ask one scheduler, and tell it what it lacks; return whether it answered."""
-        asked_s = self.clock.now_s()
+    async def _poll_running(self, hall: str, address: str) -> bool:
+        """Exchange counts, crashes and limits with one scheduler; return whether it replied."""
+        sent_s = self.clock.now_s()
         crashes = self.crashes.question(address)
-        question = encode_question(HallNews(crashes=crashes, limits=self.limits.reports(asked_s)))
-        data = await self.calls.call(address, RUNNING, question, REPLY_TIMEOUT_S)
+        request = encode_hall_request(
+            HallUpdate(crashes=crashes, limits=self.limits.reports(sent_s))
+        )
+        data = await self.calls.call(address, RUNNING, request, REPLY_TIMEOUT_S)
         if data is None:
             return False
         try:
-            answer = decode_hall(data)
+            reply = decode_hall_reply(data)
         except (ValueError, TypeError, KeyError) as error:
             log_event(_LOG, logging.ERROR, "hall_unreadable", address=address, why=repr(error))
             return False
-        self.counts.receive_remote(hall, answer.running, self.clock.now_s())
-        self.crashes.take_answer(address, crashes, answer.crashes)
-        self.limits.merge(answer.limits, asked_s)
+        self.counts.receive_remote(hall, reply.running, self.clock.now_s())
+        self.crashes.take_answer(address, crashes, reply.crashes)
+        self.limits.merge(reply.limits, sent_s)
         return True
 
-    async def _ask_demand(self, hall: str, address: str) -> None:
+    async def _poll_demand(self, hall: str, address: str) -> None:
         data = await self.calls.call(address, DEMAND, b"", REPLY_TIMEOUT_S)
         if data is not None:
             self.demand.receive_remote(hall, orjson.loads(data), self.clock.now_s())
--- a/ferrydock/scheduling/_scheduler.py
+++ b/ferrydock/scheduling/_scheduler.py
@@ -1,8 +1,8 @@
-"""The hall scheduler: chooses the target of every request of a hall, and holds the hall's queue.
+"""The hall scheduler: chooses the target of every request of a hall and owns the hall's queue.
 
-Runs in the daemon that leads the hall. Owns the in-flight counts and the queue, both in memory: a
-new leader starts with empty counts and learns them from the daemons' next messages. Relies on the
-target directory and the configuration of its daemon.
+Runs in the daemon that leads the hall. Its in-flight counts and its queue are in memory: a new
+leader starts with empty counts and fills them from the daemons' next messages. Relies on the target
+directory and the configuration of its daemon.
 """
 
 import random
@@ -23,14 +23,16 @@
 
 __all__ = ["HallScheduler"]
 
-# How long a target that one daemon avoids is offered last to the others, in seconds: until a
-# verdict on its replica has reached the leader. A daemon notices a lost member by its own answers
-# after 0.15 s, the leader after 0.5 s or more, and ten requests a second would go there meanwhile.
-DOUBT_S = 0.6
+# How long a target stays suspected after a daemon avoided it: until the hall leader has found out
+# whether a member of its replica is dead. A daemon notices a lost member from its own attempts
+# after 0.15 s, the leader after 0.5 s or more. Without suspicion ten requests a second would be
+# sent to the replica in between.
+SUSPICION_S = 0.6
 
-# When a request may come again whose targets are all under limits of which this scheduler may grant
-# nothing: it does not lead its hall, and the leader is known within about this time.
-UNGRANTED_S = 1.0
+# When a request may be sent again if all its targets are under rate limits of which this scheduler
+# has no share. It has none while it does not lead its hall, and daemons learn of the new leader
+# within about this time.
+NO_SHARE_RETRY_S = 1.0
 
 
 class HallScheduler:
@@ -39,30 +41,31 @@
     Parameters
     ----------
     catalog : EndpointCatalog
-        Which targets can serve a request.
+        Looks up the targets that can serve a request.
     counts : InFlightCounts
-        What each daemon has in flight.
+        Requests in flight at each target.
     hall : str
-        Whose targets are preferred.
+        Hall of the scheduler; its targets are preferred.
     services : callable
         Returns the spec of a service by its name, or None.
     demand : DemandMeter, optional
-        Is told of each request for a model; one of its own by default.
+        Counts the requests for each model; by default a new one for a site of one hall.
     limit_share : callable, optional
-        Returns the part of a target's limit that this scheduler may grant, by the target's hall;
-        the whole by default.
+        Returns the share (0 to 1) of a target's rate limit that this scheduler may grant, by the
+        target's hall; by default the complete limit.
 
     Notes
     -----
-    No replica gets more requests than its slots; a request that finds all slots taken waits here.
-    What one daemon avoids, since a try there failed or its replica seems broken, is offered to the
-    others only if nothing else has room. A target under a limit is granted requests at the pace of
-    that limit; a request that limits keep from all targets for too long is refused at once.
+    No replica gets more requests than its slots; a request that finds no free slot waits in the
+    queue. If one daemon avoids a target, because an attempt there failed or its replica seems
+    broken, the other daemons get that target only if no other has a free slot. Requests to a target
+    under a rate limit are granted at the rate of that limit. A request that rate limits keep from
+    all targets for longer than it may wait is refused at once.
     Why one daemon decides for all: docs/design/scheduling.md.
     """
 
     __slots__ = (
-        "_doubted_s",
+        "_suspected_at_s",
         "_queue",
         "catalog",
         "clock",
@@ -94,29 +97,34 @@
         self.clock = clock
         self.rng = rng
         self._queue: WaitingQueue[SlotRequest, SlotReply] = WaitingQueue()
-        self._doubted_s: dict[str, float] = {}
+        self._suspected_at_s: dict[str, float] = {}
 
     @property
     def waiting(self) -> int:
-        """How many requests of the hall wait for a slot."""
+        """Number of requests in the queue."""
         return len(self._queue)
 
     def receive_counts(self, request: SlotRequest) -> None:
-        """Take over what a daemon reports; queued requests may fit now."""
+        """Apply a daemon's report, then assign the slots that it frees to queued requests."""
         now_s = self.clock.now_s()
         self.catalog.limits.merge(request.limits, now_s)
         self.counts.receive(request.sender, request.running, now_s, request.seen)
         self.assign_free_slots()
 
     async def acquire(self, request: SlotRequest) -> SlotReply:
-        """Return a slot, at once or within the `hold_s` of the request."""
+        """Grant a slot at once or within `request.hold_s`, if one is free.
+
+        The reply includes the rate limits of which the sender reports no value or another one.
+        """
         self.receive_counts(request)
         reply = await self._acquire(request)
-        lacking = self.catalog.limits.reports_beyond(request.limits, self.clock.now_s())
-        return replace(reply, limits=lacking) if lacking else reply
+        missing_limits = self.catalog.limits.reports_beyond(request.limits, self.clock.now_s())
+        return replace(reply, limits=missing_limits) if missing_limits else reply
 
     async def _acquire(self, request: SlotRequest) -> SlotReply:
-        self._note_doubts(request)
+        self._note_suspected(request)
+        # A daemon sends a request first with `hold_s` 0 and, if no slot is free, once more with the
+        # time that it may wait in the queue; only the first counts as demand.
         if request.model and request.hold_s <= 0:
             self.demand.asked(request.service, request.model)
         endpoints = self._endpoints(request)
@@ -126,7 +134,7 @@
         needs = (request.service, request.model)
         reply = None
         if not self._queue.must_wait(rank, needs):
-            reply = self._take(request, endpoints)
+            reply = self._grant_slot(request, endpoints)
         if reply is not None:
             return reply
         limited_for_s = self._limited_for_s(needs, endpoints)
@@ -136,23 +144,23 @@
 
     def assign_free_slots(self) -> None:
         """Assign free slots to queued requests, highest priority first."""
-        self._queue.assign_free_slots(lambda r: self._take(r, self._endpoints(r)))
+        self._queue.assign_free_slots(lambda r: self._grant_slot(r, self._endpoints(r)))
 
     def _limited_for_s(self, needs: tuple[str, str], endpoints: list[Endpoint]) -> float:
-        """Return in how many seconds limits allow a request that waits behind all others.
+        """Return in how many seconds rate limits permit a request that is last in the queue.
 
-        0 if some endpoint is not held back by a limit now.
+        0 if the limit of some endpoint permits a request now, or it has none.
         """
         now_s = self.clock.now_s()
         targets = [endpoint.target for endpoint in endpoints]
-        first_s = min(self.pacer.wait_s(target, now_s) for target in targets)
-        if first_s <= 0 or isinf(first_s):
-            return min(first_s, UNGRANTED_S)
+        min_wait_s = min(self.pacer.wait_s(target, now_s) for target in targets)
+        if min_wait_s <= 0 or isinf(min_wait_s):
+            return min(min_wait_s, NO_SHARE_RETRY_S)
         granted_per_s = sum(self.pacer.rate_per_s(target) or 0.0 for target in targets)
-        return first_s + self._queue.waiting_for(needs) / granted_per_s
+        return min_wait_s + self._queue.waiting_for(needs) / granted_per_s
 
-    def _take(self, request: SlotRequest, endpoints: list[Endpoint]) -> SlotReply | None:
-        """Return a slot of the least loaded endpoint, counted as taken; None if all are full."""
+    def _grant_slot(self, request: SlotRequest, endpoints: list[Endpoint]) -> SlotReply | None:
+        """Grant a slot of the least loaded endpoint; return None if all are full or limited."""
         service = self.services(request.service)
         if service is None:
             return None
@@ -162,9 +170,9 @@
                 endpoint,
                 self.counts.total(endpoint.target.target_id),
                 max_requests(service, endpoint.target),
-                self._is_doubtful(endpoint.target.target_id),
+                self._is_suspected(endpoint.target.target_id),
             )
-            for endpoint in self._within_limits(endpoints, now_s)
+            for endpoint in self._permitted_endpoints(endpoints, now_s)
         ]
         chosen = least_loaded(candidates, self.hall, HALL_SELECTION, self.rng)
         if chosen is None:
@@ -176,26 +184,28 @@
         grant = self.counts.grant(request.sender, target_id, now_s)
         return SlotReply(target_id, len(endpoints), grant)
 
-    def _within_limits(self, endpoints: list[Endpoint], now_s: float) -> list[Endpoint]:
-        """Return the endpoints that limits allow a request now."""
+    def _permitted_endpoints(self, endpoints: list[Endpoint], now_s: float) -> list[Endpoint]:
+        """Return the endpoints whose rate limits permit a request now."""
         if not self.catalog.limits:
             return endpoints
         return [e for e in endpoints if self.pacer.wait_s(e.target, now_s) <= 0]
 
-    def _note_doubts(self, request: SlotRequest) -> None:
-        """Note the targets that the sender of a request for a model avoids."""
+    def _note_suspected(self, request: SlotRequest) -> None:
+        """Record the targets that the sender of a request for a model avoids."""
         now_s = self.clock.now_s()
         if request.model and request.avoid:
-            self._doubted_s = {
-                i: at_s for i, at_s in self._doubted_s.items() if now_s - at_s < DOUBT_S
+            self._suspected_at_s = {
+                i: recorded_s
+                for i, recorded_s in self._suspected_at_s.items()
+                if now_s - recorded_s < SUSPICION_S
             }
-            self._doubted_s.update(dict.fromkeys(request.avoid, now_s))
+            self._suspected_at_s.update(dict.fromkeys(request.avoid, now_s))
 
-    def _is_doubtful(self, target_id: str) -> bool:
-        return self.clock.now_s() - self._doubted_s.get(target_id, float("-inf")) < DOUBT_S
+    def _is_suspected(self, target_id: str) -> bool:
+        return self.clock.now_s() - self._suspected_at_s.get(target_id, float("-inf")) < SUSPICION_S
 
     def sample_demand(self) -> None:
-        """Take the hall's requests in flight, by model, into the demand."""
+        """Pass the hall's requests in flight, by service and model, to the demand meter."""
         in_flight: Counter[tuple[str, str]] = Counter()
         for target_id, count in self.counts.of_hall().items():
             target = self.catalog.directory.targets.get(target_id)
@@ -204,10 +214,10 @@
         self.demand.sample(in_flight, self.clock.now_s())
 
     def _endpoints(self, request: SlotRequest) -> list[Endpoint]:
-        """Return the endpoints that the sender does not leave out."""
+        """Return the endpoints of a request without those that its sender excludes."""
         service = self.services(request.service)
         if service is None:
             return []
         endpoints = self.catalog.endpoints(service, request.model)
-        left_out = request.leaves_out
-        return [e for e in endpoints if e.target.target_id not in left_out]
+        excluded = request.leaves_out
+        return [e for e in endpoints if e.target.target_id not in excluded]
--- a/ferrydock/scheduling/_selection.py
+++ b/ferrydock/scheduling/_selection.py
@@ -1,7 +1,7 @@
-"""The rule that chooses a target: the one with the smallest load, targets of the own hall first.
+"""The rule that chooses a target: the one with the smallest load, preferring those of the own hall.
 
-Pure: no state, no clock. The hall scheduler and a daemon that decides alone use the same rule with
-different weights, since they know different counts.
+Stateless and without a clock. The hall scheduler and a daemon that chooses by itself use the same
+rule with different weights, since the daemon counts only its own requests.
 """
 
 import random
@@ -15,27 +15,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint with what is known of its load.
+    """An endpoint and its load.
 
     Attributes
     ----------
     in_flight : int
-        Requests that the endpoint has, as far as the chooser counts them.
+        Requests in flight at the endpoint, as counted by the scheduler or daemon that chooses.
     slots : float
-        Requests that it may have at a time (`max_requests`).
-    is_doubtful : bool
-        Whether a daemon has just taken its requests away from it.
+        Maximum of concurrent requests at the endpoint (`max_requests`).
+    is_suspected : bool
+        Whether a daemon of the hall has avoided the endpoint within `_scheduler.SUSPICION_S`.
     """
 
     endpoint: Endpoint
     in_flight: int
     slots: float
-    is_doubtful: bool = False
+    is_suspected: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SelectionWeights:
-    """Numbers of the rule.
+    """Parameters of `least_loaded`.
 
     Attributes
     ----------
@@ -45,26 +45,25 @@
         Slots of a target in another hall that stay free for that hall.
     tie_break : float
         Largest random addition to a load; spreads requests over equally loaded targets.
-    doubt_penalty : float
-        Added to the load of a doubtful target. Above all that a load can be, it gets a request only
-        if no other target has room.
+    suspicion_penalty : float
+        Added to the load of a suspected target. The default exceeds any load with the other
+        additions, so the target gets a request only if no other has a free slot.
     """
 
     remote_hall_penalty: float
     remote_hall_reserve: int
     tie_break: float
-    doubt_penalty: float = 2.0
+    suspicion_penalty: float = 2.0
 
 
-# Weights of a daemon that decides alone. It sees only its own requests, so small differences in
-# load mean little and the random part is larger; 0.25 keeps requests in the hall until its targets
-# are a quarter fuller. Chosen, not measured.
+# Weights of a daemon that chooses by itself. It counts only its own requests, so small differences
+# in load mean little and the random addition is larger. The penalty of 0.25 keeps requests in the
+# hall until its targets are fuller by a quarter of their slots.
 DAEMON_SELECTION = SelectionWeights(remote_hall_penalty=0.25, remote_hall_reserve=0, tie_break=0.05)
 
-# Weights of the hall scheduler. It sees all requests of its hall, but what other halls have in
-# flight only as of 0.15 s ago, so it keeps out of a remote target's last slot and goes there only
-# when the own targets are half a load fuller. Chosen with the scheduler and measured with it as a
-# whole, not one by one: docs/MEASUREMENTS.md, second sitting, "the hall's dispatcher places".
+# Weights of the hall scheduler. It counts all requests of its hall, but knows those of other halls
+# only as of 0.15 s ago. So it leaves the last slot of a remote target free, and chooses one only
+# when the targets of the hall are fuller by half of their slots.
 HALL_SELECTION = SelectionWeights(remote_hall_penalty=0.5, remote_hall_reserve=1, tie_break=0.01)
 
 
@@ -76,17 +75,17 @@
 ) -> Endpoint | None:
     """Return the endpoint with the smallest load, or None if all are full.
 
-    The load is the part of the slots that is taken (0 to 1), plus the penalty of a remote hall,
-    plus the penalty of doubt, plus a random tie-break.
+    The load is the part of the slots that is taken (0 to 1), plus the penalty for a remote hall,
+    plus the penalty for a suspected target, plus a random tie-break.
 
     Parameters
     ----------
     candidates : iterable of Candidate
-        Endpoints that could serve the request.
+        Endpoints that can serve the request.
     own_hall : str
-        Hall of the daemon that decides.
+        Hall of the daemon or scheduler that chooses.
     rng : random.Random
-        Source of the tie-break; drawn once for each endpoint that is not full.
+        Source of the tie-break; one number is drawn for each endpoint that is not full.
 
     Examples
     --------
@@ -111,8 +110,8 @@
         load = candidate.in_flight / candidate.slots + weights.tie_break * rng.random()
         if is_remote:
             load += weights.remote_hall_penalty
-        if candidate.is_doubtful:
-            load += weights.doubt_penalty
+        if candidate.is_suspected:
+            load += weights.suspicion_penalty
         if load < best_load:
             best, best_load = candidate.endpoint, load
     return best
--- a/ferrydock/scheduling/_server.py
+++ b/ferrydock/scheduling/_server.py
@@ -1,11 +1,11 @@
-"""The scheduler's calls as other daemons make them; stateless.
-
-``Place``: a daemon of the hall asks for a slot, or reports what it has in flight.
-``Running``: another hall's scheduler asks what this hall's daemons have in flight, and tells and
-asks for requests that crash their targets, and limits of targets. One of an older version sends no
-bytes, and gets the counts alone.
-``Demand``: another hall's scheduler asks how many slots this hall's requests want, by service and
-model; the answer is empty before there is an observation.
+"""Server side of the calls to the hall scheduler; stateless.
+
+``Place``: a daemon of the hall requests a slot, or reports its requests in flight.
+``Running``: another hall's scheduler requests the counts of requests in flight of this hall's
+daemons. Both sides also exchange known requests that crash their targets, and rate limits of
+targets. A scheduler of an older version sends an empty request and gets the counts alone.
+``Demand``: another hall's scheduler requests this hall's demand, in slots by service and model. The
+reply is empty until the demand has been observed for 2 s (`_demand.MIN_OBSERVATION_S`).
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 from ..crashes import CrashExchange
 from ..relay import PeerMethod
-from ._messages import HallNews, decode_question, decode_request, encode, encode_hall
+from ._messages import HallUpdate, decode_hall_request, decode_request, encode, encode_hall_reply
 from ._scheduler import HallScheduler
 
 __all__ = ["DEMAND", "PLACE", "RUNNING", "scheduler_methods"]
@@ -25,10 +25,10 @@
 
 
 def scheduler_methods(scheduler: HallScheduler, crashes: CrashExchange) -> Mapping[str, PeerMethod]:
-    """Return the calls by their names on the wire.
+    """Return the handlers of the calls, by their names on the wire.
 
-    A call raises ValueError, TypeError or KeyError for bytes that it cannot decode; the server then
-    answers INVALID_ARGUMENT.
+    A handler raises ValueError, TypeError or KeyError for bytes that it cannot decode; the server
+    then replies with INVALID_ARGUMENT.
     """
 
     async def place(data: bytes) -> bytes:
@@ -42,12 +42,12 @@
         running = scheduler.counts.of_hall()
         if not data:
             return orjson.dumps(running)
-        asked = decode_question(data)
-        crashes.receive(asked.crashes)
+        request = decode_hall_request(data)
+        crashes.receive(request.crashes)
         limits, now_s = scheduler.catalog.limits, scheduler.clock.now_s()
-        limits.merge(asked.limits, now_s)
-        answer = HallNews(running, crashes.answer(asked.crashes), limits.reports(now_s))
-        return encode_hall(answer)
+        limits.merge(request.limits, now_s)
+        reply = HallUpdate(running, crashes.answer(request.crashes), limits.reports(now_s))
+        return encode_hall_reply(reply)
 
     async def demand(data: bytes) -> bytes:
         return orjson.dumps(scheduler.demand.hall_slots_wanted(scheduler.clock.now_s()))
--- a/ferrydock/scheduling/_waiting_queue.py
+++ b/ferrydock/scheduling/_waiting_queue.py
@@ -1,7 +1,7 @@
 """The queue of requests for which no slot is free, ordered by priority.
 
-Owns the waiting entries, in memory only; a request that waits is lost with its process, and its
-caller's connection ends with it.
+Owns the queued requests, in memory only. They are lost if the process ends, which also closes the
+connections of their callers.
 """
 
 import asyncio
@@ -18,15 +18,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Waiter(Generic[Request]):
+class _QueuedRequest(Generic[Request]):
     """One request in the queue.
 
     Attributes
     ----------
     key : tuple
-        Its rank and the number of its arrival.
+        Rank of the request and the number of its arrival; the queue is sorted by it.
+    needs : hashable
+        What the request needs (`WaitingQueue`).
     leaves_out : tuple of str
-        Ids of targets that it does not go to; a slot there may suit others with the same needs.
+        Ids of targets that the request must not be sent to. Other requests with the same needs may
+        use a slot there.
     """
 
     key: tuple
@@ -36,40 +39,38 @@
     leaves_out: tuple[str, ...]
 
     @property
-    def is_assigned(self) -> bool:
-        """Whether it has a slot."""
+    def has_slot(self) -> bool:
+        """Whether a slot was assigned to the request."""
         return self.future.done() and not self.future.cancelled()
 
 
 class WaitingQueue(Generic[Request, Slot]):
-    """Requests that wait for a slot; the smallest rank is served first, then the oldest.
+    """Requests that wait for a slot; the smallest rank is served first, then the oldest request.
 
-    Each request says what it needs (for example service and model). Requests with different needs
-    do not hold each other up.
+    Each request has `needs`, for example a service and a model. Requests with different needs do
+    not block each other.
     """
 
-    __slots__ = ("_numbers", "_waiters")
+    __slots__ = ("_arrival_numbers", "_queued")
 
     def __init__(self):
-        self._waiters: list[_Waiter[Request]] = []
-        self._numbers = itertools.count()
+        self._queued: list[_QueuedRequest[Request]] = []
+        self._arrival_numbers = itertools.count()
 
     def __len__(self) -> int:
-        return len(self._waiters)
+        return len(self._queued)
 
     def must_wait(self, rank: tuple, needs: Hashable) -> bool:
-        """Return whether a request with the same needs and no larger rank waits already.
+        """Return whether a request with the same needs and the same or a smaller rank is queued.
 
-        A new request may not overtake it, even if a slot is free at this moment. One that leaves
-        targets out does not count: a slot that is still free is one that it cannot use.
+        A new request must not overtake it, even if a slot is free. Queued requests that exclude
+        targets do not count: a slot that is free while they wait is one that they cannot use.
         """
-        return any(
-            w.needs == needs and not w.leaves_out and w.key[0] <= rank for w in self._waiters
-        )
+        return any(q.needs == needs and not q.leaves_out and q.key[0] <= rank for q in self._queued)
 
     def waiting_for(self, needs: Hashable) -> int:
-        """Return how many requests with these needs wait."""
-        return sum(w.needs == needs for w in self._waiters)
+        """Return how many requests with these needs are queued."""
+        return sum(q.needs == needs for q in self._queued)
 
     async def wait(
         self,
@@ -80,31 +81,33 @@
         leaves_out: tuple[str, ...] = (),
         give_back: Callable[[Slot], None] = lambda slot: None,
     ) -> Slot | None:
-        """Wait for a slot; return None if none came free in time.
+        """Wait for a slot; return None if none was assigned within `timeout_s`.
 
         Parameters
         ----------
         leaves_out : tuple of str, optional
-            Ids of targets that the request does not go to, and others with the same needs may.
+            Ids of targets that the request must not be sent to.
         give_back : callable, optional
-            Gets a slot that was assigned just before the waiting task was cancelled.
+            Called with the slot if the waiting task is cancelled after a slot was assigned to it.
         """
         future = asyncio.get_running_loop().create_future()
-        waiter = _Waiter((rank, next(self._numbers)), needs, request, future, leaves_out)
-        bisect.insort(self._waiters, waiter, key=lambda w: w.key)
+        queued = _QueuedRequest(
+            (rank, next(self._arrival_numbers)), needs, request, future, leaves_out
+        )
+        bisect.insort(self._queued, queued, key=lambda q: q.key)
         try:
             async with asyncio.timeout(timeout_s):
-                return await waiter.future
+                return await queued.future
         except TimeoutError:
-            # A slot may have been assigned in the very turn in which the time was over.
-            return waiter.future.result() if waiter.is_assigned else None
+            # A slot may have been assigned in the same iteration of the event loop as the timeout.
+            return queued.future.result() if queued.has_slot else None
         except asyncio.CancelledError:
-            if waiter.is_assigned:
-                give_back(waiter.future.result())
+            if queued.has_slot:
+                give_back(queued.future.result())
             raise
         finally:
-            if waiter in self._waiters:
-                self._waiters.remove(waiter)
+            if queued in self._queued:
+                self._queued.remove(queued)
 
     def assign_free_slots(self, take: Callable[[Request], Slot | None]) -> None:
         """Assign free slots to queued requests, highest priority first.
@@ -112,19 +115,19 @@
         Parameters
         ----------
         take : callable
-            Takes a slot for a request, or returns None if there is no room; then all requests
-            with the same needs go on waiting, unless it was one that leaves targets out. A retry
-            that avoids the target it has tried held up all requests for its model for up to 1 s,
-            while slots were free.
+            Takes a slot for a request, or returns None if no slot is free. Then all other requests
+            with the same needs stay queued, unless the request excludes targets: in that case only
+            those that exclude the same targets do. Otherwise a retry that avoids its first target
+            blocks all requests for its model, for up to 1 s, while slots are free.
         """
         full: set[tuple[Hashable, tuple[str, ...]]] = set()
-        for waiter in list(self._waiters):
-            wants = (waiter.needs, waiter.leaves_out)
-            if waiter.future.done() or wants in full or (waiter.needs, ()) in full:
+        for queued in list(self._queued):
+            kind = (queued.needs, queued.leaves_out)
+            if queued.future.done() or kind in full or (queued.needs, ()) in full:
                 continue
-            slot = take(waiter.request)
+            slot = take(queued.request)
             if slot is None:
-                full.add(wants)
+                full.add(kind)
                 continue
-            self._waiters.remove(waiter)
-            waiter.future.set_result(slot)
+            self._queued.remove(queued)
+            queued.future.set_result(slot)
--- a/ferrydock/scheduling/tests/test_demand.py
+++ b/ferrydock/scheduling/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand by model: what is measured, what a new leader knows, what other halls add."""
+"""Demand by model: measurement, the start of a new hall leader, and reports of other halls."""
 
 import asyncio
 import random
@@ -12,81 +12,81 @@
 SAMPLE_S = 0.15
 
 
-def play(meter, seconds, per_s, hold_s, granted=1.0, began_s=0.0, seed=1):
-    """Let requests for one model come evenly, and hold a slot for a time; return the time."""
+def simulate_requests(meter, seconds, per_s, hold_s, granted_ratio=1.0, began_s=0.0, seed=1):
+    """Sample evenly spaced requests that hold a slot for `hold_s`; return the time at the end."""
     rng = random.Random(seed)
-    ends, now_s, due = [], began_s, 0.0
+    end_times_s, now_s, pending = [], began_s, 0.0
     meter.sample({}, now_s)
     while now_s < began_s + seconds:
         now_s += SAMPLE_S
-        due += per_s * SAMPLE_S
-        while due >= 1:
-            due -= 1
+        pending += per_s * SAMPLE_S
+        while pending >= 1:
+            pending -= 1
             meter.asked("engines", "large")
-            if rng.random() < granted:
+            if rng.random() < granted_ratio:
                 meter.granted("engines", "large")
-                ends.append(now_s + hold_s)
-        ends = [end_s for end_s in ends if end_s > now_s]
-        meter.sample({("engines", "large"): len(ends)}, now_s)
+                end_times_s.append(now_s + hold_s)
+        end_times_s = [end_s for end_s in end_times_s if end_s > now_s]
+        meter.sample({("engines", "large"): len(end_times_s)}, now_s)
     return now_s
 
 
-def test_it_is_requests_a_second_times_the_time_in_a_slot():
+def test_demand_is_arrivals_a_second_times_holding_time():
     for per_s, hold_s in ((20, 1.5), (40, 0.4), (5, 4.0)):
         meter = DemandMeter(halls=1)
-        now_s = play(meter, 40.0, per_s, hold_s)
+        now_s = simulate_requests(meter, 40.0, per_s, hold_s)
         wanted = meter.site_slots_wanted("engines", now_s)["large"]
         assert 0.85 * per_s * hold_s < wanted < 1.15 * per_s * hold_s
 
 
-def test_the_first_seconds_do_not_show_too_little():
+def test_demand_is_not_underestimated_in_the_first_seconds():
     meter = DemandMeter(halls=1)
-    now_s = play(meter, 2.5, 20, 1.5)
+    now_s = simulate_requests(meter, 2.5, 20, 1.5)
     assert meter.site_slots_wanted("engines", now_s)["large"] > 0.7 * 20 * 1.5
 
 
-def test_requests_that_found_no_slot_count_as_well():
+def test_requests_without_a_slot_count_as_demand():
     meter = DemandMeter(halls=1)
-    now_s = play(meter, 40.0, 40, 1.0, granted=0.5)
+    now_s = simulate_requests(meter, 40.0, 40, 1.0, granted_ratio=0.5)
     assert meter.site_slots_wanted("engines", now_s)["large"] > 0.85 * 40
 
 
-def test_demand_that_ends_fades():
+def test_demand_fades_after_the_last_request():
     meter = DemandMeter(halls=1)
-    now_s = play(meter, 20.0, 20, 1.0)
+    now_s = simulate_requests(meter, 20.0, 20, 1.0)
     for _ in range(200):
         now_s += SAMPLE_S
         meter.sample({}, now_s)
     assert meter.site_slots_wanted("engines", now_s)["large"] < 1.0
 
 
-def test_before_two_seconds_and_after_a_term_there_is_no_observation():
+def test_no_demand_is_reported_in_the_first_two_seconds_or_after_a_reset():
     meter = DemandMeter(halls=1)
-    now_s = play(meter, 1.5, 20, 1.0)
+    now_s = simulate_requests(meter, 1.5, 20, 1.0)
     assert meter.site_slots_wanted("engines", now_s) == {}
-    now_s = play(meter, 5.0, 20, 1.0, began_s=now_s)
+    now_s = simulate_requests(meter, 5.0, 20, 1.0, began_s=now_s)
     assert meter.site_slots_wanted("engines", now_s)
     meter.forget()
     assert meter.site_slots_wanted("engines", now_s) == {}
 
 
-def test_halls_add_up_and_a_silent_one_counts_like_the_others():
+def test_demand_of_halls_adds_up_and_a_silent_hall_counts_like_the_mean():
     meter = DemandMeter(halls=3)
     meter.receive_remote("hall-b", {"engines": {"large": 10.0, "small": 4.0}}, 100.0)
     assert meter.site_slots_wanted("engines", 100.0) == {"large": 30.0, "small": 12.0}
     meter.receive_remote("hall-c", {"engines": {"large": 20.0}}, 101.0)
     assert meter.site_slots_wanted("engines", 101.0) == {"large": 45.0, "small": 6.0}
-    assert meter.site_slots_wanted("engines", 105.5) == {"large": 60.0}  # hall-b fell silent
+    assert meter.site_slots_wanted("engines", 105.5) == {"large": 60.0}  # hall-b has expired
     assert meter.site_slots_wanted("engines", 120.0) == {}
     assert meter.site_slots_wanted("other", 101.0) == {}
 
 
-def test_the_scheduler_counts_each_request_once_and_samples_by_model():
+def test_the_scheduler_counts_a_request_that_queues_only_once():
     async def scenario():
         clock, directory = ManualClock(100.0), TargetDirectory()
-        place = Membership("g", 1, 0, ReplicaState.OPEN)
+        membership = Membership("g", 1, 0, ReplicaState.OPEN)
         head = ("a", "engines", "127.0.0.1:1", "hall-a", 9)
-        directory.put(Target(*head, models=("large",), membership=place))
+        directory.put(Target(*head, models=("large",), membership=membership))
         spec = ServiceSpec("engines", 300, two_models())
         scheduler = HallScheduler(
             EndpointCatalog(directory),
@@ -104,11 +104,11 @@
             clock.advance(0.1)
             scheduler.sample_demand()
         now_s = clock.now_s()
-        # Ten requests a second; with 9 in flight and no end, the time in a slot is still growing.
+        # Ten requests a second, none of which ends: the holding time is still growing.
         assert scheduler.demand.hall_slots_wanted(now_s)["engines"]["large"] > 5.0
-        asked = SlotRequest("d", {"a": 9}, service="engines", model="large", hold_s=0.01)
+        queued_request = SlotRequest("d", {"a": 9}, service="engines", model="large", hold_s=0.01)
         before = scheduler.demand.hall_slots_wanted(now_s)
-        await scheduler.acquire(asked)  # the same request again, now with a place in the queue
+        await scheduler.acquire(queued_request)  # the same request again, this time queued
         assert scheduler.demand.hall_slots_wanted(now_s) == before
 
     asyncio.run(scenario())
--- a/ferrydock/scheduling/tests/test_waiting_queue.py
+++ b/ferrydock/scheduling/tests/test_waiting_queue.py
@@ -1,4 +1,4 @@
-"""The queue shared by the hall scheduler and a daemon that decides alone."""
+"""The queue used by the hall scheduler and by a daemon that chooses targets by itself."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 from .. import WaitingQueue
 
 
-def play(scenario):
+def run(scenario):
     return asyncio.run(scenario())
 
 
-def test_the_smallest_rank_is_first_then_the_oldest():
+def test_the_smallest_rank_is_served_first_then_the_oldest():
     async def scenario():
         queue, served = WaitingQueue(), []
 
@@ -27,10 +27,10 @@
         await asyncio.gather(*tasks)
         assert served == ["a", "b", "c"] and len(queue) == 0
 
-    play(scenario)
+    run(scenario)
 
 
-def test_a_full_service_does_not_hold_up_another():
+def test_a_full_service_does_not_block_requests_for_another():
     async def scenario():
         queue = WaitingQueue()
         full = asyncio.ensure_future(queue.wait((1,), "full", "f", 0.2))
@@ -40,10 +40,10 @@
         assert await free == "slot"
         assert await full is None
 
-    play(scenario)
+    run(scenario)
 
 
-def test_a_newcomer_waits_behind_those_of_its_own_need_and_rank():
+def test_a_new_request_waits_behind_queued_ones_of_its_needs_and_rank():
     async def scenario():
         queue = WaitingQueue()
         waiting = asyncio.ensure_future(queue.wait((1, 5.0), "x", "w", 5.0))
@@ -53,32 +53,30 @@
         queue.assign_free_slots(lambda name: "slot")
         assert await waiting == "slot"
 
-    play(scenario)
+    run(scenario)
 
 
-def test_a_slot_assigned_as_the_time_is_over_is_not_lost():
+def test_a_slot_assigned_at_the_moment_of_the_timeout_is_not_lost():
     async def scenario():
-        queue, given_back = WaitingQueue(), []
+        queue, released = WaitingQueue(), []
         loop = asyncio.get_running_loop()
-        # Both timers are due at the same moment: the slot is assigned first, then the time is over.
+        # Both timers are due at the same moment: the slot is assigned just before the timeout.
         loop.call_at(loop.time() + 5.0, queue.assign_free_slots, lambda request: "slot")
-        got = await queue.wait((1,), "x", "r", 5.0, give_back=given_back.append)
-        assert [got, *given_back] in (["slot"], [None, "slot"])
+        slot = await queue.wait((1,), "x", "r", 5.0, give_back=released.append)
+        assert [slot, *released] in (["slot"], [None, "slot"])
 
     run_virtually(scenario())
 
 
-def test_a_slot_assigned_to_a_caller_that_leaves_is_given_back():
+def test_a_slot_assigned_to_a_cancelled_request_is_released():
     async def scenario():
-        queue, given_back = WaitingQueue(), []
-        waiting = asyncio.ensure_future(
-            queue.wait((1,), "x", "r", 5.0, give_back=given_back.append)
-        )
+        queue, released = WaitingQueue(), []
+        waiting = asyncio.ensure_future(queue.wait((1,), "x", "r", 5.0, give_back=released.append))
         await asyncio.sleep(0)
         queue.assign_free_slots(lambda r: "slot")
         waiting.cancel()
         with pytest.raises(asyncio.CancelledError):
             await waiting
-        assert given_back == ["slot"]
+        assert released == ["slot"]
 
-    play(scenario)
+    run(scenario)
