--- a/ferrydock/backpressure/__init__.py
+++ b/ferrydock/backpressure/__init__.py
@@ -1,20 +1,21 @@
-"""What targets say in their answers about the requests that they want.
+"""Backpressure: rate limits and back-offs that targets request in their answers.
 
-Any answer of a target may carry such a statement: a success, a refusal, the head of a stream. The
-adapter decodes it, `forwarding` notes it here as the answer comes, and whatever chooses a target
-asks here first. `_rate_limits` holds the limit that each target has named, `_messages` is what
-daemons tell each other of it, `_shares` has the rules on who may use which part of a limit, and
-`_pacing` keeps to them. `_rests` holds the rests that targets have asked this daemon for.
+Any answer of a target may request either: a success, a refusal, the head of a stream. The adapter
+decodes it, `forwarding` records it here when the answer arrives, and the code that chooses a target
+checks it here. `_rate_limits` holds the rate limit of each target, and `_messages` is the form in
+which daemons exchange these limits. `_shares` has the rules on which share of a limit each daemon
+may use, and `_pacing` enforces them. `_rests` holds the back-offs that targets have requested of
+this daemon.
 
-What does not belong here: whether a target is broken or leaves (`ferrydock.targets`), and failures
+What does not belong here: whether a target is broken or leaving (`ferrydock.targets`), and failures
 of a target, for which it is ejected (`forwarding.TargetLoads`).
 """
 
 from ._messages import LimitReport, decode_limits, encode_limits
 from ._pacing import HallPacer, LonePacer
 from ._rate_limits import RateLimit, RateLimits
-from ._rests import Rests
-from ._shares import hall_share, lone_requests
+from ._rests import TargetBackoffs
+from ._shares import hall_share, leaderless_requests
 
 __all__ = [
     "HallPacer",
@@ -22,9 +23,9 @@
     "LonePacer",
     "RateLimit",
     "RateLimits",
-    "Rests",
+    "TargetBackoffs",
     "decode_limits",
     "encode_limits",
     "hall_share",
-    "lone_requests",
+    "leaderless_requests",
 ]
--- a/ferrydock/backpressure/_messages.py
+++ b/ferrydock/backpressure/_messages.py
@@ -1,7 +1,7 @@
-"""What daemons tell each other of the limits that targets have named.
+"""The form in which daemons exchange the rate limits of targets.
 
-Stateless. Times travel as ages, since daemons share no clock. The form is the wire: daemons of two
-versions run side by side during an upgrade (tests/test_outside.py).
+Stateless. Times are sent as ages, since daemons share no clock. Daemons of two versions run side by
+side during an upgrade, so the form must not change (tests/test_outside.py).
 """
 
 from collections.abc import Iterable, Mapping
@@ -9,21 +9,21 @@
 
 __all__ = ["LimitReport", "decode_limits", "encode_limits"]
 
-# Digits of an age in seconds: milliseconds are finer than the time a message takes.
+# Decimal digits of an age in seconds. A message takes longer than the 1 ms that this resolves.
 AGE_DIGITS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class LimitReport:
-    """What a daemon knows of the limit of one target.
+    """The rate limit of one target, as known to the daemon that reports it.
 
     Attributes
     ----------
     rate_per_s : float or None
-        Requests a second that the target takes from all daemons together; None once it names no
-        limit any more.
+        Requests a second that the target accepts from all daemons together; None if it has ended
+        its limit.
     age_s : float
-        Seconds since the answer that said so.
+        Seconds since the answer that set or ended the limit.
     """
 
     target_id: str
@@ -32,7 +32,7 @@
 
 
 def encode_limits(reports: Iterable[LimitReport]) -> dict[str, list[float | None]]:
-    """Return reports as they are sent: rate and age by target id.
+    """Return the fields to send: rate in requests a second and age in seconds, by target id.
 
     Examples
     --------
@@ -43,12 +43,12 @@
 
 
 def decode_limits(fields: Mapping | None) -> tuple[LimitReport, ...]:
-    """Return the reports in decoded fields; none where there are no fields.
+    """Return the reports that received fields contain; an empty tuple if `fields` is None.
 
     Raises
     ------
     TypeError, ValueError
-        If a field is of another type.
+        If the fields do not have the form that `encode_limits` returns.
 
     Examples
     --------
@@ -56,7 +56,7 @@
     ((LimitReport(target_id='t', rate_per_s=None, age_s=0.25),), ())
     """
     if not isinstance(fields, Mapping | None):
-        raise TypeError(f"limits are a table, not {type(fields).__name__}")
+        raise TypeError(f"limits must be a table, not {type(fields).__name__}")
     return tuple(
         LimitReport(str(target_id), None if rate is None else float(rate), float(age_s))
         for target_id, (rate, age_s) in (fields or {}).items()
--- a/ferrydock/backpressure/_pacing.py
+++ b/ferrydock/backpressure/_pacing.py
@@ -1,7 +1,7 @@
-"""Keeping to the limits of targets: as a hall's scheduler, and as a daemon that decides alone.
+"""Enforces the rate limits of targets: in a hall's scheduler, and in a daemon without a scheduler.
 
-Owns when the next request may go to each target under a limit, in memory. Relies on `RateLimits`
-for the limits and on `_shares` for the part of them that may be used.
+Owns, in memory, when each target under a rate limit may get its next request. Relies on
+`RateLimits` for the limits and on `_shares` for the share of them that may be used.
 """
 
 from collections import deque
@@ -10,26 +10,26 @@
 
 from ..targets import Target
 from ._rate_limits import RateLimits
-from ._shares import LONE_WINDOW_S, MIN_RATE_PER_S, burst_s, lone_requests
+from ._shares import LEADERLESS_WINDOW_S, MIN_RATE_PER_S, burst_allowance_s, leaderless_requests
 
 __all__ = ["HallPacer", "LonePacer"]
 
 
 class HallPacer:
-    """Spaces the requests that a hall's scheduler grants to targets under a limit.
+    """Spaces the requests that a hall's scheduler grants to targets under a rate limit.
 
     Parameters
     ----------
     limits : RateLimits
-        Limits that targets have named.
+        Rate limits of targets.
     share : callable
-        Returns the part of a limit that this scheduler may grant, by the hall of the target; 0 for
-        nothing.
+        Returns the share (0 to 1) of a limit that this scheduler may grant, by the hall of the
+        target.
 
     Notes
     -----
-    The first grant comes a full interval after the target was first looked at: a scheduler that has
-    just begun does not know what another one has granted.
+    The first grant for a target is permitted a full interval after the first call of `wait_s` for
+    it, since a scheduler that has just started does not know what the previous one has granted.
 
     Examples
     --------
@@ -39,16 +39,16 @@
     >>> pacer, target = HallPacer(limits, lambda hall: 1.0), Target("t", "s", "", "h", 1)
     >>> pacer.wait_s(target, 0.0), pacer.wait_s(target, 0.5)
     (0.5, 0.0)
-    >>> pacer.take(target, 0.5); pacer.wait_s(target, 0.6)
+    >>> pacer.note_granted(target, 0.5); pacer.wait_s(target, 0.6)
     0.4
     """
 
-    __slots__ = ("_turns_s", "limits", "share")
+    __slots__ = ("_next_permitted_s", "limits", "share")
 
     def __init__(self, limits: RateLimits, share: Callable[[str], float]):
         self.limits = limits
         self.share = share
-        self._turns_s: dict[str, float] = {}
+        self._next_permitted_s: dict[str, float] = {}
 
     def rate_per_s(self, target: Target) -> float | None:
         """Return how many requests a second may be granted; None if the target has no limit."""
@@ -56,46 +56,51 @@
         return None if limit is None else max(limit, MIN_RATE_PER_S) * self.share(target.hall)
 
     def wait_s(self, target: Target, now_s: float) -> float:
-        """Return in how many seconds a request may go to a target; infinite for never.
+        """Return in how many seconds a request to a target is permitted; infinite for never.
 
-        The first look at a target under a limit begins its first interval.
+        The first call for a target under a rate limit starts its first interval.
         """
         rate_per_s = self.rate_per_s(target)
         if rate_per_s is None:
-            self._turns_s.pop(target.target_id, None)
+            self._next_permitted_s.pop(target.target_id, None)
             return 0.0
         if rate_per_s <= 0:
             return inf
-        early_s = burst_s(rate_per_s)
-        latest_s = now_s + early_s + 1.0 / rate_per_s
-        turn_s = min(self._turns_s.get(target.target_id, latest_s), latest_s)
-        self._turns_s[target.target_id] = turn_s
-        return max(0.0, turn_s - early_s - now_s)
-
-    def take(self, target: Target, now_s: float) -> None:
-        """Count a request that is granted, which `wait_s` allows now."""
+        allowance_s = burst_allowance_s(rate_per_s)
+        latest_s = now_s + allowance_s + 1.0 / rate_per_s
+        next_s = min(self._next_permitted_s.get(target.target_id, latest_s), latest_s)
+        self._next_permitted_s[target.target_id] = next_s
+        return max(0.0, next_s - allowance_s - now_s)
+
+    def note_granted(self, target: Target, now_s: float) -> None:
+        """Count a granted request, for which `wait_s` has returned 0."""
         rate_per_s = self.rate_per_s(target)
         if rate_per_s:
-            turn_s = max(now_s, self._turns_s[target.target_id])
-            self._turns_s[target.target_id] = turn_s + 1.0 / rate_per_s
+            next_s = max(now_s, self._next_permitted_s[target.target_id])
+            self._next_permitted_s[target.target_id] = next_s + 1.0 / rate_per_s
 
     def tidy(self) -> None:
-        """Drop targets that have no limit any more."""
-        for target_id in [i for i in self._turns_s if self.limits.rate_per_s(i) is None]:
-            del self._turns_s[target_id]
+        """Remove targets without a rate limit."""
+        for target_id in [i for i in self._next_permitted_s if self.limits.rate_per_s(i) is None]:
+            del self._next_permitted_s[target_id]
 
     def forget(self) -> None:
-        """Drop what was granted: another scheduler grants now, and this one begins anew."""
-        self._turns_s.clear()
+        """Remove all targets, since another scheduler grants requests.
+
+        If this scheduler grants requests again, each target starts with a full interval.
+        """
+        self._next_permitted_s.clear()
 
 
 class LonePacer:
-    """Bounds the requests that a daemon sends by itself to targets under a limit.
+    """Bounds the requests that a daemon without a scheduler sends to targets under a rate limit.
 
     Parameters
     ----------
+    limits : RateLimits
+        Rate limits of targets.
     daemons : callable
-        Returns how many daemons the site has.
+        Returns the number of daemons of the site.
 
     Examples
     --------
@@ -103,7 +108,7 @@
     >>> limits.note("t", 10.0, sent_s=0.0, now_s=0.0)
     True
     >>> pacer = LonePacer(limits, lambda: 9)
-    >>> pacer.may_send("t", 1.0), pacer.may_send("free", 1.0)
+    >>> pacer.may_send("t", 1.0), pacer.may_send("unlimited", 1.0)
     (True, True)
     >>> pacer.note_sent("t", 1.0); pacer.may_send("t", 4.9), pacer.may_send("t", 5.0)
     (False, True)
@@ -117,23 +122,23 @@
         self._sent_s: dict[str, deque[float]] = {}
 
     def may_send(self, target_id: str, now_s: float) -> bool:
-        """Return whether a request may go to a target now."""
+        """Return whether a request to a target is permitted now."""
         limit = self.limits.rate_per_s(target_id)
         if limit is None:
             self._sent_s.pop(target_id, None)
             return True
         sent_s = self._sent_s.get(target_id, deque())
-        while sent_s and now_s - sent_s[0] >= LONE_WINDOW_S:
+        while sent_s and now_s - sent_s[0] >= LEADERLESS_WINDOW_S:
             sent_s.popleft()
-        return len(sent_s) < lone_requests(limit, self.daemons())
+        return len(sent_s) < leaderless_requests(limit, self.daemons())
 
     def note_sent(self, target_id: str, now_s: float) -> None:
-        """Count a request that goes to a target."""
+        """Count a request that is sent to a target."""
         if self.limits.rate_per_s(target_id) is not None:
             self._sent_s.setdefault(target_id, deque()).append(now_s)
 
     def tidy(self, now_s: float) -> None:
-        """Drop targets to which nothing was sent for a window."""
+        """Remove targets to which nothing was sent for `LEADERLESS_WINDOW_S`."""
         for target_id, sent_s in list(self._sent_s.items()):
-            if not sent_s or now_s - sent_s[-1] >= LONE_WINDOW_S:
+            if not sent_s or now_s - sent_s[-1] >= LEADERLESS_WINDOW_S:
                 del self._sent_s[target_id]
--- a/ferrydock/backpressure/_rate_limits.py
+++ b/ferrydock/backpressure/_rate_limits.py
@@ -1,7 +1,7 @@
-"""The rate limits that targets name in their answers, for as long as they name them.
+"""The rate limits that targets set in their answers.
 
-Owns the newest statement of each target, in memory. It is filled by this daemon's own attempts
-(`forwarding.AnswerNotices`) and by the reports of other daemons (`scheduling`).
+Owns the newest known rate limit of each target, in memory. The sources are the answers to this
+daemon's own attempts (`forwarding.AnswerNotices`) and the reports of other daemons (`scheduling`).
 """
 
 import logging
@@ -15,39 +15,39 @@
 
 _LOG = logging.getLogger("ferrydock.backpressure")
 
-# How long other daemons are told that a limit has ended. Limits in force are told for as long as
-# they are.
-ENDED_TOLD_S = 10.0
+# How long the end of a limit is reported to other daemons. A limit in force is always reported.
+ENDED_LIMIT_REPORT_S = 10.0
 
-# How long the limit of a target that is not listed is kept. An entry may go while the store is away
-# and come back, and the target still counts what it gets.
-UNLISTED_KEPT_S = 60.0
+# How long the limit of a target is kept after it was received if the target is not listed. The
+# entry of a target may be missing while the store is unreachable, and the target still counts the
+# requests that it gets.
+UNLISTED_RETENTION_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """The newest statement of a target about its limit.
+    """The newest known rate limit of a target.
 
     Attributes
     ----------
     rate_per_s : float or None
-        Requests a second that it takes from all daemons together; None once it names no limit
-        any more.
-    heard_s : float
-        Local time of the answer that said so.
+        Requests a second that the target accepts from all daemons together; None if it has ended
+        its limit.
+    received_s : float
+        Local time at which a daemon received the answer that set or ended the limit.
     """
 
     rate_per_s: float | None
-    heard_s: float
+    received_s: float
 
 
 class RateLimits:
-    """The limits of all targets that have named one.
+    """The rate limits of all targets that have set one.
 
     Parameters
     ----------
     is_listed : callable, optional
-        Returns whether a target, by its id, is in the list of targets.
+        Returns whether a target, by its id, is in the list of targets; by default always true.
 
     Examples
     --------
@@ -70,28 +70,28 @@
         return len(self._limits)
 
     def rate_per_s(self, target_id: str) -> float | None:
-        """Return how many requests a second a target takes; None if it has no limit."""
+        """Return how many requests a second a target accepts; None if it has no limit."""
         limit = self._limits.get(target_id)
         return limit.rate_per_s if limit else None
 
     @property
     def limited_count(self) -> int:
-        """How many listed targets are under a limit."""
+        """Number of listed targets under a limit."""
         limited = (i for i, limit in self._limits.items() if limit.rate_per_s is not None)
         return sum(self.is_listed(target_id) for target_id in limited)
 
     def note(self, target_id: str, rate_per_s: float | None, sent_s: float, now_s: float) -> bool:
-        """Note what an answer says of its target's limit.
+        """Record the rate limit in an answer, or its absence; return whether the limit has changed.
 
         An answer without a limit ends the limit only if its request was sent after the limit was
-        heard: otherwise the target may have written it before it named the limit.
+        received: otherwise the target may have written the answer before it set the limit.
 
         Parameters
         ----------
         rate_per_s : float or None
-            The limit in the answer; None if it names none.
+            The limit in the answer, in requests a second; None if it contains none.
         sent_s, now_s : float
-            Local times of the request and of its answer.
+            Local times at which the request was sent and its answer received.
 
         Returns
         -------
@@ -99,54 +99,65 @@
             Whether the limit has changed.
         """
         known = self._limits.get(target_id)
-        if rate_per_s is None and (known is None or sent_s <= known.heard_s):
+        if rate_per_s is None and (known is None or sent_s <= known.received_s):
             return False
         has_changed = known is None or known.rate_per_s != rate_per_s
-        self._put(target_id, RateLimit(rate_per_s, now_s))
+        self._set_limit(target_id, RateLimit(rate_per_s, now_s))
         return has_changed
 
     def reports(self, now_s: float) -> tuple[LimitReport, ...]:
-        """Return what other daemons are told."""
+        """Return the limits to report to other daemons."""
         return tuple(
-            LimitReport(target_id, limit.rate_per_s, now_s - limit.heard_s)
+            LimitReport(target_id, limit.rate_per_s, now_s - limit.received_s)
             for target_id, limit in self._limits.items()
-            if limit.rate_per_s is not None or now_s - limit.heard_s < ENDED_TOLD_S
+            if limit.rate_per_s is not None or now_s - limit.received_s < ENDED_LIMIT_REPORT_S
         )
 
-    def reports_beyond(self, told: Iterable[LimitReport], now_s: float) -> tuple[LimitReport, ...]:
-        """Return what a daemon lacks or has wrong that has just told what it knows."""
-        theirs = {report.target_id: report.rate_per_s for report in told}
+    def reports_beyond(
+        self, received: Iterable[LimitReport], now_s: float
+    ) -> tuple[LimitReport, ...]:
+        """Return the limits that a daemon does not know, or knows another value of.
+
+        Parameters
+        ----------
+        received : iterable of LimitReport
+            The limits that the daemon has just reported.
+        now_s : float
+            Local time.
+        """
+        received_rates = {report.target_id: report.rate_per_s for report in received}
         return tuple(
-            LimitReport(target_id, limit.rate_per_s, now_s - limit.heard_s)
+            LimitReport(target_id, limit.rate_per_s, now_s - limit.received_s)
             for target_id, limit in self._limits.items()
-            if theirs.get(target_id) != limit.rate_per_s
+            if received_rates.get(target_id) != limit.rate_per_s
         )
 
     def merge(self, reports: Iterable[LimitReport], now_s: float) -> None:
-        """Take over what another daemon reports; of each target the newest statement counts.
+        """Merge the reports of another daemon; for each target the newest limit is kept.
 
         Parameters
         ----------
         now_s : float
-            Local time that the ages count from: that of the question where the report is an answer.
+            Local time at which the ages in the reports apply. If they come in a reply, the time at
+            which the request was sent, so that no limit seems newer than it is.
         """
         for report in reports:
-            heard_s = now_s - report.age_s
+            received_s = now_s - report.age_s
             known = self._limits.get(report.target_id)
-            is_newer = known is None or heard_s > known.heard_s
-            if is_newer and self._is_kept(report.target_id, report.age_s):
-                self._put(report.target_id, RateLimit(report.rate_per_s, heard_s))
+            is_newer = known is None or received_s > known.received_s
+            if is_newer and self._is_retained(report.target_id, report.age_s):
+                self._set_limit(report.target_id, RateLimit(report.rate_per_s, received_s))
 
     def tidy(self, now_s: float) -> None:
-        """Drop targets that have not been listed or heard for long."""
+        """Remove unlisted targets whose limit was received over `UNLISTED_RETENTION_S` ago."""
         for target_id, limit in list(self._limits.items()):
-            if not self._is_kept(target_id, now_s - limit.heard_s):
+            if not self._is_retained(target_id, now_s - limit.received_s):
                 del self._limits[target_id]
 
-    def _is_kept(self, target_id: str, age_s: float) -> bool:
-        return age_s <= UNLISTED_KEPT_S or self.is_listed(target_id)
+    def _is_retained(self, target_id: str, age_s: float) -> bool:
+        return age_s <= UNLISTED_RETENTION_S or self.is_listed(target_id)
 
-    def _put(self, target_id: str, limit: RateLimit) -> None:
+    def _set_limit(self, target_id: str, limit: RateLimit) -> None:
         before = self.rate_per_s(target_id)
         self._limits[target_id] = limit
         if before is None and limit.rate_per_s is not None:
--- a/ferrydock/backpressure/_rests.py
+++ b/ferrydock/backpressure/_rests.py
@@ -1,7 +1,8 @@
-"""Rests that targets have asked this daemon for: how long each wants no request of it.
+"""Back-offs that targets have requested of this daemon: how long each must get no request from it.
 
-Owns the ends of the rests by target id, in memory. It is filled by this daemon's own attempts
-(`forwarding.AnswerNotices`): what a target asks of one daemon it does not ask of the others.
+Owns the ends of the back-offs by target id, in memory. They come from the answers to this daemon's
+own attempts (`forwarding.AnswerNotices`): a back-off that a target requests of one daemon does not
+apply to the others.
 """
 
 import logging
@@ -11,71 +12,76 @@
 from ..logs import log_event
 from ..targets import Target
 
-__all__ = ["Rests"]
+__all__ = ["TargetBackoffs"]
 
 _LOG = logging.getLogger("ferrydock.backpressure")
 
 
 @dataclass(frozen=True, slots=True)
-class _Rest:
-    """A rest, and which life of the target's process asked for it."""
+class _Backoff:
+    """The end of a back-off, in local time, and the incarnation of the target that requested it."""
 
     until_s: float
-    life: int
+    incarnation: int
 
 
-class Rests:
-    """The rests that have not ended.
+class TargetBackoffs:
+    """The back-offs in force.
 
-    A rest has no upper bound: a target that is asked sooner than it said has to refuse once more.
-    It ends early only if the target's process has started again.
+    The length of a back-off has no upper bound, since a target that gets a request before the end
+    has to refuse again. A back-off ends early only if the target's process has restarted.
 
     Examples
     --------
-    >>> rests, target = Rests(), Target("t", "s", "127.0.0.1:1", "h", 1)
-    >>> rests.note(target, rest_s=3.0, now_s=0.0)
-    >>> rests.note(target, rest_s=1.0, now_s=1.0)
-    >>> rests.left_s(target, 1.0), rests.left_s(target, 3.0)
+    >>> backoffs, target = TargetBackoffs(), Target("t", "s", "127.0.0.1:1", "h", 1)
+    >>> backoffs.note(target, backoff_s=3.0, now_s=0.0)
+    >>> backoffs.note(target, backoff_s=1.0, now_s=1.0)
+    >>> backoffs.left_s(target, 1.0), backoffs.left_s(target, 3.0)
     (2.0, 0.0)
     """
 
-    __slots__ = ("_rests",)
+    __slots__ = ("_backoffs",)
 
     def __init__(self):
-        self._rests: dict[str, _Rest] = {}
+        self._backoffs: dict[str, _Backoff] = {}
 
     def __len__(self) -> int:
-        return len(self._rests)
+        return len(self._backoffs)
 
     def count(self, target_ids: Container[str]) -> int:
-        """Return how many of some targets rest."""
-        return sum(target_id in target_ids for target_id in self._rests)
+        """Return how many of the given targets have a back-off."""
+        return sum(target_id in target_ids for target_id in self._backoffs)
 
-    def note(self, target: Target, rest_s: float, now_s: float) -> None:
-        """Note that a target asks for a rest; a shorter one does not shorten one under way.
+    def note(self, target: Target, backoff_s: float, now_s: float) -> None:
+        """Record that a target requests a back-off; it never shortens one in force.
 
         Parameters
         ----------
+        backoff_s : float
+            Length of the back-off; 0 for none.
         now_s : float
-            Local time of the answer, from which the rest counts.
+            Local time at which the answer was received and the back-off starts.
         """
-        if rest_s <= 0:
+        if backoff_s <= 0:
             return
         left_s = self.left_s(target, now_s)
-        self._rests[target.target_id] = _Rest(now_s + max(rest_s, left_s), target.life)
+        self._backoffs[target.target_id] = _Backoff(now_s + max(backoff_s, left_s), target.life)
         if left_s <= 0:
-            log_event(_LOG, logging.INFO, "target_rests", target=target.target_id, for_s=rest_s)
+            log_event(_LOG, logging.INFO, "target_rests", target=target.target_id, for_s=backoff_s)
 
     def left_s(self, target: Target, now_s: float) -> float:
-        """Return how many seconds a target still wants no request; 0 if it does not rest."""
-        rest = self._rests.get(target.target_id)
-        if rest is None or rest.life != target.life:
+        """Return how many seconds remain of a target's back-off; 0 if it has none."""
+        backoff = self._backoffs.get(target.target_id)
+        if backoff is None or backoff.incarnation != target.life:
             return 0.0
-        return max(0.0, rest.until_s - now_s)
+        return max(0.0, backoff.until_s - now_s)
 
     def tidy(self, now_s: float) -> None:
-        """Drop rests that have ended; an entry may go and come back before that."""
-        for target_id, rest in list(self._rests.items()):
-            if rest.until_s <= now_s:
-                del self._rests[target_id]
+        """Remove back-offs that have ended.
+
+        Those of unlisted targets are kept until then, since a target may be listed again.
+        """
+        for target_id, backoff in list(self._backoffs.items()):
+            if backoff.until_s <= now_s:
+                del self._backoffs[target_id]
                 log_event(_LOG, logging.INFO, "target_rest_ended", target=target_id)
--- a/ferrydock/scheduling/_endpoints.py
+++ b/ferrydock/scheduling/_endpoints.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from ..backpressure import RateLimits, Rests
+from ..backpressure import RateLimits, TargetBackoffs
 from ..configuration import ServiceSpec
 from ..targets import ReplicaView, Target, TargetDirectory
 
@@ -47,7 +47,7 @@
         leader has abandoned them. Entries are never removed, since an epoch is not reused.
     limits : RateLimits
         Rate limits that targets have set.
-    rests : Rests
+    rests : TargetBackoffs
         Back-offs that targets have requested of this daemon.
     """
 
@@ -57,7 +57,7 @@
         self.directory = directory
         self.broken: set[tuple[str, int]] = set()
         self.limits = RateLimits(lambda target_id: target_id in directory.targets)
-        self.rests = Rests()
+        self.rests = TargetBackoffs()
 
     def endpoints(self, service: ServiceSpec, model: str) -> list[Endpoint]:
         """Return the targets of a plain service, or the heads of the open replicas of `model`.
--- a/ferrydock/scheduling/_scheduler.py
+++ b/ferrydock/scheduling/_scheduler.py
@@ -180,7 +180,7 @@
         target_id = chosen.target.target_id
         if request.model:
             self.demand.granted(request.service, request.model)
-        self.pacer.take(chosen.target, now_s)
+        self.pacer.note_granted(chosen.target, now_s)
         grant = self.counts.grant(request.sender, target_id, now_s)
         return SlotReply(target_id, len(endpoints), grant)
 
