--- a/ferrydock/routing/__init__.py
+++ b/ferrydock/routing/__init__.py
@@ -1,10 +1,10 @@
-"""Which replica takes a model request of the table's daemon.
+"""Which replica gets a model request, in the table's daemon.
 
-The rule is a registered policy (`_policies`); what it sees of a replica is a `Candidate`, made from
-what this daemon remembers (`_replica_loads`). The route daemon's rule is another,
-`scheduling.least_loaded`: it knows the exact counts of a hall, while a daemon here knows reports
-that are a second old, prefix caches and latencies. What does not belong here: whether a replica may
-get work at all (`ferrydock.hall`), queues (`ferrydock.requests`).
+The rule is a registered policy (`_policies`). It chooses among `Candidate` objects, made from the
+state that this daemon keeps of each replica (`_replica_loads`). The route daemon has another rule,
+`scheduling.least_loaded`: it uses the exact counts of a hall, while the policies here use load
+reports that are a second old, prefix caches and latencies. What does not belong here: whether a
+replica may get requests at all (`ferrydock.hall`), queues (`ferrydock.requests`).
 """
 
 from ._candidate import Candidate, RouteRequest
--- a/ferrydock/routing/_candidate.py
+++ b/ferrydock/routing/_candidate.py
@@ -1,7 +1,7 @@
-"""What a routing policy sees: the replicas that may take a request, and the request.
+"""The input of a routing policy: the replicas that a request may be sent to, and the request.
 
-Data only. Both are made for each request, so they are not frozen: that would double the time of
-making them.
+Data only. Both classes are instantiated for each request, so they are not frozen: that would double
+the time of instantiation.
 """
 
 from dataclasses import dataclass
@@ -10,71 +10,72 @@
 
 __all__ = ["Candidate", "RouteRequest"]
 
-# Weight of the reported load in `Candidate.balance`; the rest is this daemon's own estimate.
-# Measured as a part of the policy, not by itself: docs/MEASUREMENTS.md, benchmarks.routing.
+# Weight of the reported load in `Candidate.balanced_load`. The remaining weight is that of this
+# daemon's own estimate.
 REPORT_WEIGHT = 0.5
 
 
 @dataclass(eq=False, slots=True)
 class Candidate:
-    """A replica that may take the request.
+    """A replica that the request may be sent to.
 
     Attributes
     ----------
     replica : Replica
         An attested replica of the model.
     reported_load : int
-        Requests that its head last reported, running and waiting.
-    sent_since : int
-        Requests that this daemon has sent since that report, and that have not ended.
+        Running and waiting requests in the last report of the replica's head.
+    sent_since_report : int
+        Requests that this daemon has sent to the replica since that report and that are in flight.
     own_in_flight : int
-        Requests of this daemon at the replica now.
+        Requests of this daemon that are in flight at the replica.
     cached_blocks : int
-        Leading blocks of the prompt that its cache is believed to hold.
+        Leading blocks of the prompt that are probably in the replica's prefix cache.
     first_token_s : float
-        Its usual time to the first token as this daemon measured it; 0 if unknown.
+        The replica's average time to the first token, as measured by this daemon; 0 if unknown.
     daemons : int
-        Daemons that send to the same replicas.
+        How many daemons send requests to the same replicas.
     """
 
     replica: Replica
     reported_load: int
-    sent_since: int
+    sent_since_report: int
     own_in_flight: int
     cached_blocks: int = 0
     first_token_s: float = 0.0
     daemons: int = 1
 
     @property
-    def balance(self) -> float:
-        """Estimate of the load that does not send all daemons to the same replica.
+    def balanced_load(self) -> float:
+        """Estimated requests at the replica, from the last report and this daemon's own requests.
 
-        The report is late and the same for all daemons. Their own requests are known at once and
-        differ; times the number of daemons they are an estimate of their own. The mean of both
-        follows the truth and keeps daemons from running together.
+        The report is late and the same for all daemons, so by itself it would make all daemons
+        choose the same replica. A daemon's own requests are known at once and differ between
+        daemons; multiplied by the number of daemons they are a second estimate. The weighted mean
+        of both follows the actual load, and the daemons choose different replicas.
         """
-        reported = self.reported_load + self.sent_since
+        reported = self.reported_load + self.sent_since_report
         own_estimate = self.daemons * self.own_in_flight
         return REPORT_WEIGHT * reported + (1 - REPORT_WEIGHT) * own_estimate
 
     @property
     def load(self) -> int:
-        """Best estimate of the requests at the replica."""
-        return max(self.reported_load + self.sent_since, self.own_in_flight)
+        """Estimated requests at the replica: never fewer than this daemon's own."""
+        return max(self.reported_load + self.sent_since_report, self.own_in_flight)
 
 
 @dataclass(eq=False, slots=True)
 class RouteRequest:
-    """What a policy may look at in a request.
+    """The properties of a request that a policy may use.
 
     Attributes
     ----------
     model : str
-        The model asked for.
+        The requested model.
     blocks : tuple of int
         Chained hashes of the prompt's blocks.
     priority : int
-        0 to 9, 9 is the highest.
+        0 (lowest) to 9 (highest).
     """
 
     model: str
--- a/ferrydock/routing/_policies.py
+++ b/ferrydock/routing/_policies.py
@@ -1,7 +1,7 @@
-"""Rule: which of several replicas with room takes a model request; a registry of policies.
+"""Routing policies: which of several replicas with free slots gets a model request.
 
-Policies keep nothing between requests but their random source (and round robin its turn). Their
-figures against each other: docs/MEASUREMENTS.md, benchmarks.routing.
+Policies have no state between requests except their random source and, for round robin, the index
+of the last choice. `benchmarks.routing` compares them.
 """
 
 import random
@@ -21,63 +21,64 @@
 ]
 
 
-# Each daemon begins its round robin at a random turn, so that all do not send to the same replica.
-MAX_FIRST_TURN = 1 << 16
+# Round robin starts at a random one of this many indices, so that daemons that start together do
+# not all send to the same replica.
+FIRST_INDEX_COUNT = 1 << 16
 
 
 class RoutingPolicy(Protocol):
-    """Chooses a replica. All policies are made with the random source that they draw from."""
+    """Chooses a replica. The first argument of each policy's constructor is its random source."""
 
     def choose(self, candidates: Sequence[Candidate], request: RouteRequest) -> Candidate | None:
-        """Return the candidate that takes the request, or None where there is none."""
+        """Return the candidate that gets the request, or None if there are no candidates."""
 
 
 _POLICIES: dict[str, type] = {}
 
 
 def register_routing_policy(name: str) -> Callable[[type], type]:
-    """Return a decorator that enters a `RoutingPolicy` class under `name`."""
+    """Return a decorator that registers a `RoutingPolicy` class under `name`."""
 
-    def _enter(cls: type) -> type:
+    def _register(cls: type) -> type:
         if name in _POLICIES:
             raise AssertionError(f"routing policy {name!r} is registered twice")
         _POLICIES[name] = cls
         return cls
 
-    return _enter
+    return _register
 
 
 def routing_policies() -> tuple[str, ...]:
-    """Return the registered names, sorted."""
+    """Return the names of the registered policies, sorted."""
     return tuple(sorted(_POLICIES))
 
 
 def make_routing_policy(name: str, random_source: random.Random, **parameters) -> RoutingPolicy:
-    """Make the policy `name`."""
+    """Return a new instance of the policy `name`."""
     return _POLICIES[name](random_source, **parameters)
 
 
 @register_routing_policy("round_robin")
 class RoundRobin:
-    """Each replica in its turn."""
+    """Chooses the replicas one after the other."""
 
-    __slots__ = ("_turn", "random_source")
+    __slots__ = ("_index", "random_source")
 
     def __init__(self, random_source: random.Random):
         self.random_source = random_source
-        self._turn = random_source.randrange(MAX_FIRST_TURN)
+        self._index = random_source.randrange(FIRST_INDEX_COUNT)
 
     def choose(self, candidates: Sequence[Candidate], request: RouteRequest) -> Candidate | None:
-        """Return the next candidate in turn."""
+        """Return the candidate after the last one chosen."""
         if not candidates:
             return None
-        self._turn += 1
-        return candidates[self._turn % len(candidates)]
+        self._index += 1
+        return candidates[self._index % len(candidates)]
 
 
 @register_routing_policy("least_outstanding")
 class LeastOutstanding:
-    """The replica with the fewest requests of this daemon; ties are drawn."""
+    """Chooses the replica with the fewest requests of this daemon; breaks ties at random."""
 
     __slots__ = ("random_source",)
 
@@ -94,29 +95,33 @@
 
 @register_routing_policy("prefix_affinity")
 class PrefixAffinity:
-    """The replica expected to give the first token soonest, with a bounded advantage by its cache.
+    """Chooses the replica with the smallest expected time to the first token.
+
+    A replica whose cache holds the prompt's prefix has an advantage, unless it is overloaded.
 
     Parameters
     ----------
     random_source : random.Random
-        Draws the candidates that are compared.
+        Breaks ties.
     step_s : float, default=0.02
-        Time of one batch step; a full replica makes a request wait for several.
+        Time of one batch step of an engine. A request at a full replica waits for several steps.
     block_s : float, default=0.0025
-        Time to work off one prompt block that is not cached.
+        Time to process one prompt block that is not cached.
     service_steps : float, default=150.0
-        Steps that a request usually stays.
+        Steps for which a request usually occupies its slot.
     load_factor : float, default=1.25
-        A replica loaded beyond this times the mean gets no advantage by its cache.
+        The cache of a replica whose load exceeds the mean load times this factor, plus one request,
+        is not taken into account.
     slow_factor : float, default=4.0
-        A replica this much slower than the median is judged by its own latency.
+        For a replica whose time to the first token exceeds the median times this factor, the excess
+        over the median is added to the expected time.
     use_load, use_cache, use_latency : bool, default=True
-        Switch an ingredient off.
+        Whether the reported load, the cached blocks and the measured latency are used.
 
     Notes
     -----
-    Load is `Candidate.balance`: reported load alone is late and the same for all daemons, so
-    that all would run to the same replica. Ties are drawn at random.
+    The load is `Candidate.balanced_load`. The reported load alone is late and the same for all
+    daemons, so all would choose the same replica.
     """
 
     __slots__ = (
@@ -161,20 +166,20 @@
             return candidates[0]
         mean_load = sum(self._load(c) for c in candidates) / len(candidates)
         usual_s = self._usual_first_token_s(candidates)
-        best, best_rank = None, None
+        best, best_key = None, None
         for candidate in candidates:
             cost_s = self._cost_s(candidate, request, mean_load, usual_s)
-            rank = (cost_s, self.random_source.random())
-            if best_rank is None or rank < best_rank:
-                best, best_rank = candidate, rank
+            sort_key = (cost_s, self.random_source.random())
+            if best_key is None or sort_key < best_key:
+                best, best_key = candidate, sort_key
         return best
 
     def _load(self, candidate: Candidate) -> float:
-        return candidate.balance if self.use_load else candidate.own_in_flight
+        return candidate.balanced_load if self.use_load else candidate.own_in_flight
 
     def _usual_first_token_s(self, candidates: Sequence[Candidate]) -> float:
-        known = sorted(c.first_token_s for c in candidates if c.first_token_s > 0)
-        return known[len(known) // 2] if known else 0.0
+        known_s = sorted(c.first_token_s for c in candidates if c.first_token_s > 0)
+        return known_s[len(known_s) // 2] if known_s else 0.0
 
     def _cost_s(
         self, candidate: Candidate, request: RouteRequest, mean_load: float, usual_s: float
@@ -182,15 +187,15 @@
         """Return the expected time to the first token."""
         load = self._load(candidate)
         slots = candidate.replica.slots
-        over = max(0.0, load + 1 - slots)
-        wait_s = over * self.service_steps * self.step_s / slots
+        excess_requests = max(0.0, load + 1 - slots)
+        wait_s = excess_requests * self.service_steps * self.step_s / slots
         crowding_s = self.step_s * load / slots
         cached = candidate.cached_blocks if self.use_cache else 0
         if load > self.load_factor * mean_load + 1:
             cached = 0
         prefill_s = (len(request.blocks) - cached) * self.block_s
         cost_s = wait_s + crowding_s + prefill_s
-        slow = self.use_latency and usual_s > 0
-        if slow and candidate.first_token_s > self.slow_factor * usual_s:
+        has_usual_latency = self.use_latency and usual_s > 0
+        if has_usual_latency and candidate.first_token_s > self.slow_factor * usual_s:
             cost_s += candidate.first_token_s - usual_s
         return cost_s
--- a/ferrydock/routing/_replica_loads.py
+++ b/ferrydock/routing/_replica_loads.py
@@ -1,6 +1,6 @@
-"""What a daemon remembers of the replicas it sends to: own requests, latencies, caches.
+"""The state that a daemon keeps of each replica: its own requests in flight, latency, cache.
 
-Owns this memory, lost with the process. Relies on attestations for which replicas are whole.
+Owns this state, in memory. Relies on attestations for which replicas may get requests.
 """
 
 from collections import OrderedDict
@@ -17,37 +17,61 @@
 __all__ = ["Flight", "ReplicaLoads"]
 
 
-# Weight of the newest time to a first token in the usual one; after how long without one it is
-# forgotten; and how many must have been measured before it counts. Chosen, not measured.
+# Weight of the newest time to the first token in the moving average.
 LATENCY_WEIGHT = 0.2
-LATENCY_FORGET_S = 30.0
+
+# How long the moving average is valid after its last measurement, and how many measurements it must
+# contain before it is used.
+LATENCY_EXPIRY_S = 30.0
 MIN_MEASUREMENTS = 6
 
-# Blocks remembered of a replica's cache. Bounds the memory of a daemon. Chosen, not measured.
-KNOWN_BLOCKS = 8192
+# How many blocks of each replica's cache are recorded. Bounds the memory use of a daemon.
+MAX_KNOWN_BLOCKS = 8192
 
-# How old a reported load may be when it arrives: requests sent since then are added to it. The lag
-# that benchmarks.routing assumes.
+# How much older a reported load may be than its attestation. The requests that this daemon has sent
+# since then are added to the load. `benchmarks.routing` assumes the same lag.
 LOAD_REPORT_LAG_S = 1.0
 
 
 @dataclass(eq=False, slots=True)
 class Flight:
-    """One request of this daemon at a replica."""
+    """A request of this daemon in flight at a replica; `sent_s` is in local time."""
 
     replica_id: str
     sent_s: float
 
 
 @dataclass(slots=True)
-class _Memory:
-    """What is remembered of one replica."""
+class _ReplicaState:
+    """State of one replica.
+
+    Attributes
+    ----------
+    in_flight : set of Flight
+        Requests of this daemon in flight at the replica.
+    first_token_s : float
+        Moving average of the time to the first token; 0 before the first measurement.
+    last_measured_s : float
+        Local time of the last measurement.
+    measurements : int
+        How many measurements the average contains.
+    last_sent_s : float
+        Local time at which this daemon last sent a request to the replica.
+    blocks : OrderedDict
+        Hashes of the blocks that are probably cached, least recently used first.
+    incarnation : str
+        Incarnation of the cache that the last events came from.
+    sequence : int
+        Sequence number of the last applied cache event.
+    gaps : int
+        How often cache events were missing between two that arrived.
+    """
 
-    flights: set[Flight] = field(default_factory=set)
+    in_flight: set[Flight] = field(default_factory=set)
     first_token_s: float = 0.0
-    measured_s: float = 0.0
+    last_measured_s: float = 0.0
     measurements: int = 0
-    sent_s: float = float("-inf")
+    last_sent_s: float = float("-inf")
     blocks: OrderedDict[int, None] = field(default_factory=OrderedDict)
     incarnation: str = ""
     sequence: int = 0
@@ -55,19 +79,19 @@
 
 
 class ReplicaLoads:
-    """Keeps what routing needs beside the placement record.
+    """Keeps the state of replicas that routing needs in addition to the placement record.
 
     Parameters
     ----------
     attestations : Attestations
-        Only attested replicas are candidates.
+        Attestations of replicas; only attested ones get requests.
     """
 
-    __slots__ = ("_memories", "_placement", "_serving", "_view", "attestations")
+    __slots__ = ("_states", "_placement", "_serving", "_view", "attestations")
 
     def __init__(self, attestations: Attestations):
         self.attestations = attestations
-        self._memories: dict[str, _Memory] = {}
+        self._states: dict[str, _ReplicaState] = {}
         self._placement: HallPlacement | None = None
         self._view: TableView | None = None
         self._serving: dict[str, list[Replica]] = {}
@@ -75,19 +99,22 @@
     def serving(
         self, placement: HallPlacement, view: TableView, model: str, now_s: float
     ) -> list[Replica]:
-        """Return the replicas of `model` that may get work: serving, attested, none leaving."""
+        """Return the replicas of `model` that may get requests.
+
+        These are in phase SERVING, attested at `now_s`, and without a box that is leaving.
+        """
         if placement is not self._placement or view is not self._view:
-            self._note_serving(placement, view)
+            self._cache_serving(placement, view)
         attested = self.attestations.whole
         return [r for r in self._serving.get(model, ()) if attested(r, now_s)]
 
-    def _note_serving(self, placement: HallPlacement, view: TableView) -> None:
-        """Keep, for one record and one table, the replicas that would get work if attested."""
+    def _cache_serving(self, placement: HallPlacement, view: TableView) -> None:
+        """Cache, for one placement and one table, the replicas that get requests if attested."""
         self._placement, self._view = placement, view
         self._serving = {}
         for replica in placement.replicas.values():
-            leaving = any(view.box_leaving(box) for box in replica.boxes)
-            if replica.phase is ReplicaPhase.SERVING and not leaving:
+            has_leaving_box = any(view.box_leaving(box) for box in replica.boxes)
+            if replica.phase is ReplicaPhase.SERVING and not has_leaving_box:
                 self._serving.setdefault(replica.model, []).append(replica)
 
     def candidates(
@@ -97,114 +124,119 @@
         now_s: float,
         daemons: int = 1,
     ) -> list[Candidate]:
-        """Return what is known of `replicas`, for a prompt with these blocks.
+        """Return a candidate for each of `replicas`, for a prompt with these blocks.
 
         Parameters
         ----------
         replicas : iterable of Replica
-            Replicas that may get work.
+            Replicas that may get requests.
         blocks : tuple of int
             Chained hashes of the prompt's blocks.
         now_s : float
-            The present time.
+            Local time.
         daemons : int, default=1
-            Daemons that send to the same replicas.
+            How many daemons send requests to the same replicas.
         """
         return [self._candidate(replica, blocks, now_s, daemons) for replica in replicas]
 
     def _candidate(
         self, replica: Replica, blocks: tuple[int, ...], now_s: float, daemons: int
     ) -> Candidate:
-        memory = self._memory(replica.replica_id)
-        statement = self.attestations.get(replica.replica_id)
-        reported = statement.running + statement.waiting if statement is not None else 0
-        seen_s = statement.probed_s - LOAD_REPORT_LAG_S if statement is not None else 0.0
-        since = sum(1 for flight in memory.flights if flight.sent_s > seen_s)
-        latency_s = memory.first_token_s
-        stale = now_s - memory.measured_s > LATENCY_FORGET_S
-        if stale or memory.measurements < MIN_MEASUREMENTS:
+        state = self._state(replica.replica_id)
+        attestation = self.attestations.get(replica.replica_id)
+        reported = attestation.running + attestation.waiting if attestation is not None else 0
+        load_observed_s = (
+            attestation.probed_s - LOAD_REPORT_LAG_S if attestation is not None else 0.0
+        )
+        sent_since_report = sum(1 for flight in state.in_flight if flight.sent_s > load_observed_s)
+        latency_s = state.first_token_s
+        is_expired = now_s - state.last_measured_s > LATENCY_EXPIRY_S
+        if is_expired or state.measurements < MIN_MEASUREMENTS:
             latency_s = 0.0
-        cached = sum(1 for _ in takewhile(memory.blocks.__contains__, blocks))
-        own = len(memory.flights)
-        return Candidate(replica, reported, since, own, cached, latency_s, daemons)
-
-    def _memory(self, replica_id: str) -> _Memory:
-        memory = self._memories.get(replica_id)
-        if memory is None:
-            memory = self._memories[replica_id] = _Memory()
-        return memory
+        cached = sum(1 for _ in takewhile(state.blocks.__contains__, blocks))
+        own_in_flight = len(state.in_flight)
+        return Candidate(
+            replica, reported, sent_since_report, own_in_flight, cached, latency_s, daemons
+        )
+
+    def _state(self, replica_id: str) -> _ReplicaState:
+        state = self._states.get(replica_id)
+        if state is None:
+            state = self._states[replica_id] = _ReplicaState()
+        return state
 
     def keep_only(self, placement: HallPlacement) -> None:
-        """Forget replicas that are no longer recorded and have no request under way."""
-        for replica_id, memory in list(self._memories.items()):
-            if replica_id not in placement.replicas and not memory.flights:
-                del self._memories[replica_id]
+        """Remove replicas that are not in the placement and have no request of this daemon."""
+        for replica_id, state in list(self._states.items()):
+            if replica_id not in placement.replicas and not state.in_flight:
+                del self._states[replica_id]
 
-    # What happened ------------------------------------------------------------------------
+    # Events of requests -------------------------------------------------------------------
 
     def sent(self, replica: Replica, blocks: tuple[int, ...], now_s: float) -> Flight:
-        """Note that a request goes to a replica; its prompt will be in the cache."""
-        memory = self._memory(replica.replica_id)
+        """Record that a request is sent to a replica, which will cache the prompt's blocks."""
+        state = self._state(replica.replica_id)
         flight = Flight(replica.replica_id, now_s)
-        memory.flights.add(flight)
-        memory.sent_s = now_s
-        self._remember_blocks(memory, blocks)
+        state.in_flight.add(flight)
+        state.last_sent_s = now_s
+        self._add_blocks(state, blocks)
         return flight
 
     def first_token(self, flight: Flight, now_s: float) -> None:
-        """Note how long the first token took."""
-        memory = self._memory(flight.replica_id)
+        """Record that a request got its first token, and update the average latency."""
+        state = self._state(flight.replica_id)
         took_s = now_s - flight.sent_s
-        fresh = now_s - memory.measured_s <= LATENCY_FORGET_S and memory.first_token_s > 0
-        weight = LATENCY_WEIGHT if fresh else 1.0
-        memory.first_token_s += weight * (took_s - memory.first_token_s)
-        memory.measured_s = now_s
-        memory.measurements = memory.measurements + 1 if fresh else 1
+        is_recent = now_s - state.last_measured_s <= LATENCY_EXPIRY_S and state.first_token_s > 0
+        weight = LATENCY_WEIGHT if is_recent else 1.0
+        state.first_token_s += weight * (took_s - state.first_token_s)
+        state.last_measured_s = now_s
+        state.measurements = state.measurements + 1 if is_recent else 1
 
     def ended(self, flight: Flight) -> None:
-        """Note that a request is no longer at its replica."""
-        self._memory(flight.replica_id).flights.discard(flight)
+        """Record that a request has ended."""
+        self._state(flight.replica_id).in_flight.discard(flight)
 
     def own_in_flight(self, replica_id: str) -> int:
-        """Return how many requests of this daemon are at a replica."""
-        return len(self._memory(replica_id).flights)
+        """Return how many requests of this daemon are in flight at a replica."""
+        return len(self._state(replica_id).in_flight)
 
     def used_since(self, replica_id: str, since_s: float) -> bool:
-        """Return whether this daemon has sent the replica anything since `since_s`."""
-        return self._memory(replica_id).sent_s >= since_s
+        """Return whether this daemon has sent the replica a request since local time `since_s`."""
+        return self._state(replica_id).last_sent_s >= since_s
 
-    def _remember_blocks(self, memory: _Memory, blocks: tuple[int, ...]) -> None:
+    def _add_blocks(self, state: _ReplicaState, blocks: tuple[int, ...]) -> None:
         for block in blocks:
-            memory.blocks[block] = None
-            memory.blocks.move_to_end(block)
-        while len(memory.blocks) > KNOWN_BLOCKS:
-            memory.blocks.popitem(last=False)
+            state.blocks[block] = None
+            state.blocks.move_to_end(block)
+        while len(state.blocks) > MAX_KNOWN_BLOCKS:
+            state.blocks.popitem(last=False)
 
     # Cache events -------------------------------------------------------------------------
 
     def last_sequence(self, replica_id: str) -> int:
-        """Return the number of the last cache event taken from a replica."""
-        return self._memory(replica_id).sequence
+        """Return the sequence number of the last cache event applied for a replica."""
+        return self._state(replica_id).sequence
 
-    def take_events(self, replica_id: str, news: CacheEvents) -> None:
-        """Apply cache events.
+    def take_events(self, replica_id: str, update: CacheEvents) -> None:
+        """Apply cache events of a replica.
 
-        A gap makes the memory stale, not harmful: a block that was dropped unseen costs a cache
-        miss, and the least recently used are forgotten first.
+        Missing events make the recorded blocks outdated, which is harmless: a block that the
+        replica has evicted meanwhile only costs a cache miss. Beyond `MAX_KNOWN_BLOCKS` the least
+        recently used blocks are removed first.
         """
-        memory = self._memory(replica_id)
-        if news.incarnation != memory.incarnation:
-            memory.incarnation = news.incarnation
-            memory.sequence = 0
-            memory.blocks.clear()
-        for event in news.events:
-            if event.sequence <= memory.sequence:
+        state = self._state(replica_id)
+        if update.incarnation != state.incarnation:
+            state.incarnation = update.incarnation
+            state.sequence = 0
+            state.blocks.clear()
+        for event in update.events:
+            if event.sequence <= state.sequence:
                 continue
-            if event.sequence != memory.sequence + 1:
-                memory.gaps += 1
-            memory.sequence = event.sequence
+            if event.sequence != state.sequence + 1:
+                state.gaps += 1
+            state.sequence = event.sequence
             if event.stored:
-                self._remember_blocks(memory, event.blocks)
+                self._add_blocks(state, event.blocks)
             else:
                 for block in event.blocks:
-                    memory.blocks.pop(block, None)
+                    state.blocks.pop(block, None)
--- a/ferrydock/routing/tests/test_routing.py
+++ b/ferrydock/routing/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Checks that every routing policy passes, and what a daemon remembers of replicas."""
+"""Checks that every routing policy passes, and the state that a daemon keeps of replicas."""
 
 import random
 
@@ -28,13 +28,13 @@
     return make_routing_policy(request.param, random.Random(1))
 
 
-def test_none_of_none_and_one_of_one(policy):
+def test_no_candidates_give_none_and_one_candidate_is_chosen(policy):
     only = candidate("a", load=99)
     assert policy.choose([], REQUEST) is None
     assert policy.choose([only], REQUEST) is only
 
 
-def test_equal_replicas_are_all_used(policy):
+def test_all_of_several_equal_replicas_get_requests(policy):
     found = {
         policy.choose([candidate("a"), candidate("b"), candidate("c")], REQUEST).replica.replica_id
         for _ in range(60)
@@ -47,20 +47,20 @@
 
 
 def test_a_cached_prefix_attracts_but_not_to_an_overloaded_replica():
-    warm, cold = candidate("warm", load=3, cached=20), candidate("cold", load=3)
-    assert affinity().choose([warm, cold], REQUEST) is warm
-    hot, cold = candidate("hot", load=40, cached=20), candidate("cold", load=2)
-    assert affinity().choose([hot, cold], REQUEST) is cold
+    cached, uncached = candidate("warm", load=3, cached=20), candidate("cold", load=3)
+    assert affinity().choose([cached, uncached], REQUEST) is cached
+    overloaded, uncached = candidate("hot", load=40, cached=20), candidate("cold", load=2)
+    assert affinity().choose([overloaded, uncached], REQUEST) is uncached
 
 
-def test_a_slow_replica_is_found_by_its_own_latency():
+def test_a_replica_with_a_far_higher_latency_is_not_chosen():
     slow, usual = candidate("slow", first_s=3.0), candidate("usual", first_s=0.2)
     third = candidate("third", first_s=0.2)
     chosen = {affinity().choose([slow, usual, third], REQUEST).replica.replica_id for _ in range(9)}
     assert "slow" not in chosen
 
 
-def test_own_requests_correct_a_report_that_is_late():
+def test_own_requests_count_when_the_reported_load_is_outdated():
     late = Candidate(replica("late"), 0, 30, 30)
     free = Candidate(replica("free"), 2, 0, 0)
     assert affinity().choose([late, free], REQUEST) is free
@@ -69,43 +69,43 @@
 VIEW = Table({RowKey("models", "draft"): {}}, 1).view()
 
 
-def test_only_serving_attested_replicas_get_work():
-    loads = Attestations(2.0)
-    routes = ReplicaLoads(loads)
+def test_only_serving_attested_replicas_get_requests():
+    attestations = Attestations(2.0)
+    loads = ReplicaLoads(attestations)
     good, draining = replica("good"), replica("draining", phase=ReplicaPhase.DRAINING, number=2)
     unknown = replica("unknown", number=3)
     placement = HallPlacement(
         "h", Fence(1, 0, 4), {r.replica_id: r for r in (good, draining, unknown)}
     )
     for known in (good, draining):
-        loads.accept(Attestation(known.replica_id, known.generation, 10.0))
-    assert routes.serving(placement, VIEW, "draft", 11.0) == [good]
-    assert routes.serving(placement, VIEW, "draft", 12.1) == []
+        attestations.accept(Attestation(known.replica_id, known.generation, 10.0))
+    assert loads.serving(placement, VIEW, "draft", 11.0) == [good]
+    assert loads.serving(placement, VIEW, "draft", 12.1) == []
 
 
-def test_a_box_that_operators_mark_as_leaving_takes_its_replica_out_at_once():
-    loads = Attestations(2.0)
+def test_a_replica_with_a_box_marked_as_leaving_gets_no_requests():
+    attestations = Attestations(2.0)
     good = replica("good")
-    loads.accept(Attestation("good", good.generation, 10.0))
+    attestations.accept(Attestation("good", good.generation, 10.0))
     cells = {"kind": "model_engine", "boxes": "good-2", "leaving": "true"}
     view = Table({RowKey("models", "draft"): {}, RowKey("targets", "t"): cells}, 2).view()
     placement = HallPlacement("h", Fence(1, 0, 4), {"good": good})
-    assert ReplicaLoads(loads).serving(placement, VIEW, "draft", 10.5) == [good]
-    assert ReplicaLoads(loads).serving(placement, view, "draft", 10.5) == []
+    assert ReplicaLoads(attestations).serving(placement, VIEW, "draft", 10.5) == [good]
+    assert ReplicaLoads(attestations).serving(placement, view, "draft", 10.5) == []
 
 
-def test_events_with_gaps_and_of_a_new_cache():
-    routes = ReplicaLoads(Attestations(2.0))
+def test_cache_events_with_gaps_repeated_and_of_a_new_cache():
+    loads = ReplicaLoads(Attestations(2.0))
     good = replica("good")
 
     def cached(blocks):
-        return routes.candidates([good], blocks, 0.0)[0].cached_blocks
+        return loads.candidates([good], blocks, 0.0)[0].cached_blocks
 
-    routes.take_events("good", CacheEvents("c1", (CacheEvent(1, True, (1, 2, 3)),)))
+    loads.take_events("good", CacheEvents("c1", (CacheEvent(1, True, (1, 2, 3)),)))
     assert cached((1, 2, 3, 4)) == 3
-    routes.take_events("good", CacheEvents("c1", (CacheEvent(5, False, (2,)),)))
+    loads.take_events("good", CacheEvents("c1", (CacheEvent(5, False, (2,)),)))
     assert cached((1, 2, 3, 4)) == 1
-    routes.take_events("good", CacheEvents("c1", (CacheEvent(4, True, (2,)),)))
-    assert cached((1, 2, 3, 4)) == 1, "an event that comes late again changes nothing"
-    routes.take_events("good", CacheEvents("c2", ()))
+    loads.take_events("good", CacheEvents("c1", (CacheEvent(4, True, (2,)),)))
+    assert cached((1, 2, 3, 4)) == 1, "an event that arrives late is ignored"
+    loads.take_events("good", CacheEvents("c2", ()))
     assert cached((1, 2, 3, 4)) == 0
