--- a/ferrydock/teams/_bucket.py
+++ b/ferrydock/teams/_bucket.py
@@ -1,25 +1,28 @@
-"""A token bucket whose rate may change while it is in use.
+"""A token bucket whose rate and burst can be changed at any time.
 
-Owns its level. Time is an argument, so that it can be tested without waiting.
+Owns the number of tokens. Time is passed as an argument, so tests need not wait.
 """
 
 __all__ = ["TokenBucket"]
 
-# Rounding that is allowed when tokens are compared, and the time to come back that is told when the
-# rate is 0. Chosen, not measured.
-ROUNDING = 1e-9
-NEVER_S = 3600.0
+# By how much rounding errors may leave the bucket short of the tokens to take.
+TOLERANCE_TOKENS = 1e-9
+
+# Wait that is reported if the rate is 0, so that the tokens never arrive.
+ZERO_RATE_WAIT_S = 3600.0
 
 
 class TokenBucket:
-    """Admits `rate_per_s` on average and `burst` at once.
+    """Allows `rate_per_s` tokens a second on average and up to `burst` at once.
 
     Parameters
     ----------
-    rate_per_s, burst : float
-        Tokens that come in a second, and tokens that it holds.
+    rate_per_s : float
+        Tokens added in a second.
+    burst : float
+        Maximum number of tokens in the bucket.
     now_s : float
-        When it starts, full.
+        Time at which the bucket starts, full.
 
     Examples
     --------
@@ -28,38 +31,38 @@
     (True, False, True)
     """
 
-    __slots__ = ("_level", "_seen_s", "burst", "rate_per_s")
+    __slots__ = ("_tokens", "_refilled_s", "burst", "rate_per_s")
 
     def __init__(self, rate_per_s: float, burst: float, now_s: float):
         self.rate_per_s = rate_per_s
         self.burst = burst
-        self._level = burst
-        self._seen_s = now_s
+        self._tokens = burst
+        self._refilled_s = now_s
 
     def _refill(self, now_s: float) -> None:
-        gained = max(0.0, now_s - self._seen_s) * self.rate_per_s
-        self._level = min(self.burst, self._level + gained)
-        self._seen_s = max(now_s, self._seen_s)
+        gained = max(0.0, now_s - self._refilled_s) * self.rate_per_s
+        self._tokens = min(self.burst, self._tokens + gained)
+        self._refilled_s = max(now_s, self._refilled_s)
 
-    def change(self, rate_per_s: float, burst: float, now_s: float) -> None:
-        """Go on with another rate; what was saved up beyond the new burst is lost."""
+    def set_rate(self, rate_per_s: float, burst: float, now_s: float) -> None:
+        """Change rate and burst; tokens beyond the new burst are dropped."""
         self._refill(now_s)
         self.rate_per_s = rate_per_s
         self.burst = burst
-        self._level = min(self._level, burst)
+        self._tokens = min(self._tokens, burst)
 
     def take(self, now_s: float, tokens: float = 1.0) -> bool:
-        """Take tokens if they are there."""
+        """Take tokens if there are enough; return whether they were taken."""
         self._refill(now_s)
-        if self._level + ROUNDING < tokens:
+        if self._tokens + TOLERANCE_TOKENS < tokens:
             return False
-        self._level -= tokens
+        self._tokens -= tokens
         return True
 
     def wait_s(self, now_s: float, tokens: float = 1.0) -> float:
-        """Return in how many seconds there will be so many tokens."""
+        """Return in how many seconds the bucket will have `tokens` tokens."""
         self._refill(now_s)
-        missing = tokens - self._level
+        missing = tokens - self._tokens
         if missing <= 0:
             return 0.0
-        return missing / self.rate_per_s if self.rate_per_s > 0 else NEVER_S
+        return missing / self.rate_per_s if self.rate_per_s > 0 else ZERO_RATE_WAIT_S
--- a/ferrydock/teams/_queue.py
+++ b/ferrydock/teams/_queue.py
@@ -1,6 +1,7 @@
-"""Rule: the order of requests that wait for a model on one daemon.
+"""The queue of requests that wait for a model on one daemon.
 
-Strict by priority; among equals fair by the teams' weights. Owns the waiting requests, in memory.
+Strictly by priority; within a priority, fair by the weights of the teams. Owns the waiting
+requests, in memory.
 """
 
 import heapq
@@ -10,8 +11,8 @@
 
 __all__ = ["FairQueue", "Waiting"]
 
-# Requests that may wait for a model on one daemon. Chosen, not measured.
-DEFAULT_LENGTH = 256
+# How many requests may wait for a model on one daemon.
+DEFAULT_MAX_LENGTH = 256
 
 
 Handle = TypeVar("Handle")
@@ -26,15 +27,19 @@
     team : str
         Name of the team.
     weight : float
-        The team's weight under contention.
+        The team's weight: its share of the work under contention is proportional to it.
     cost : float
-        Expected work, such as tokens.
+        Expected work, for example in tokens.
     priority : int
-        9 goes first.
+        Priority, 0 to 9; 9 is served first.
     deadline_s : float
-        Local time after which it need not be served any more.
+        Local time after which the request is not served.
     wake : Handle or None
-        The owner's handle, given back with the request.
+        Handle by which the owner of the queue identifies the request.
+    virtual_finish : float
+        Virtual finish time (`FairQueue`).
+    removed : bool
+        Whether the request has been served or removed. Its entry may still be in the heap.
     """
 
     team: str
@@ -43,8 +48,8 @@
     priority: int
     deadline_s: float
     wake: Handle | None = None
-    virtual_end: float = field(default=0.0, init=False)
-    gone: bool = field(default=False, init=False)
+    virtual_finish: float = field(default=0.0, init=False)
+    removed: bool = field(default=False, init=False)
 
 
 class FairQueue(Generic[Handle]):
@@ -53,13 +58,16 @@
     Parameters
     ----------
     length : int, default=256
-        How many may wait. Beyond it the lowest priority is shed first, the newcomer included.
+        How many requests may wait. Beyond that, one of the lowest priority is shed; if none has a
+        lower priority than the new request, the new one is.
 
     Notes
     -----
-    Start-time fair queueing: each request ends at a virtual time that lies its cost, over its
-    team's weight, behind the team's last one; the earliest end goes first. A team that was idle
-    starts at the present virtual time, so that idling saves nothing up.
+    Each request has a virtual finish time: its virtual start time plus its cost divided by its
+    team's weight. The earliest finish time is served first. The virtual start time is the virtual
+    finish time of the team's previous request, but not before the current virtual time, so that
+    a team gains no advantage from having been idle. The current virtual time is the largest
+    virtual start time of the requests that were taken from the queue (start-time fair queueing).
 
     Examples
     --------
@@ -70,69 +78,78 @@
     ['a', 'b', 'a']
     """
 
-    __slots__ = ("_heap", "_size", "_team_end", "_ticket", "_virtual", "length")
+    __slots__ = ("_heap", "_size", "_team_finish", "_arrival_numbers", "_virtual_time", "length")
 
-    def __init__(self, length: int = DEFAULT_LENGTH):
+    def __init__(self, length: int = DEFAULT_MAX_LENGTH):
         self.length = length
         self._heap: list[tuple[int, float, int, Waiting[Handle]]] = []
-        self._team_end: dict[str, float] = {}
-        self._ticket = itertools.count()
-        self._virtual = 0.0
+        self._team_finish: dict[str, float] = {}
+        self._arrival_numbers = itertools.count()
+        self._virtual_time = 0.0
         self._size = 0
 
     def __len__(self) -> int:
         return self._size
 
     def push(self, waiting: Waiting[Handle]) -> Waiting[Handle] | None:
-        """Add a request; return the one that is shed for it, which may be itself."""
+        """Add a request; return the one that is shed for it, which may be the new one, or None."""
         shed = None
         if self._size >= self.length:
-            shed = self._lowest(waiting)
+            shed = self._request_to_shed(waiting)
             if shed is waiting:
                 return shed
             self.remove(shed)
-        start = max(self._virtual, self._team_end.get(waiting.team, 0.0))
-        waiting.virtual_end = start + waiting.cost / waiting.weight
-        self._team_end[waiting.team] = waiting.virtual_end
-        entry = (-waiting.priority, waiting.virtual_end, next(self._ticket), waiting)
+        start = max(self._virtual_time, self._team_finish.get(waiting.team, 0.0))
+        waiting.virtual_finish = start + waiting.cost / waiting.weight
+        self._team_finish[waiting.team] = waiting.virtual_finish
+        entry = (-waiting.priority, waiting.virtual_finish, next(self._arrival_numbers), waiting)
         heapq.heappush(self._heap, entry)
         self._size += 1
         return shed
 
-    def _lowest(self, newcomer: Waiting[Handle]) -> Waiting[Handle]:
-        """Return the request to shed: of the lowest priority, the one that would be served last."""
-        entries = [entry for entry in self._heap if not entry[3].gone]
-        last = max(entries)[3]
-        return last if last.priority < newcomer.priority else newcomer
+    def _request_to_shed(self, new_request: Waiting[Handle]) -> Waiting[Handle]:
+        """Return the request to shed when `new_request` arrives at a full queue.
+
+        It is the queued request that would be served last, if its priority is lower than that of
+        the new request, or else the new request.
+        """
+        entries = [entry for entry in self._heap if not entry[3].removed]
+        last_served = max(entries)[3]
+        return last_served if last_served.priority < new_request.priority else new_request
 
     def pop(self, now_s: float) -> Waiting[Handle] | None:
-        """Return the next request whose deadline has not passed, or None."""
+        """Remove and return the next request whose deadline has not passed, or return None.
+
+        Requests whose deadline has passed are removed from the queue.
+        """
         while self._heap:
             waiting = heapq.heappop(self._heap)[3]
-            if waiting.gone:
+            if waiting.removed:
                 continue
-            waiting.gone = True
+            waiting.removed = True
             self._size -= 1
-            self._virtual = max(self._virtual, waiting.virtual_end - waiting.cost / waiting.weight)
+            self._virtual_time = max(
+                self._virtual_time, waiting.virtual_finish - waiting.cost / waiting.weight
+            )
             if waiting.deadline_s >= now_s:
                 return waiting
         if not self._heap:
-            self._team_end.clear()
-            self._virtual = 0.0
+            self._team_finish.clear()
+            self._virtual_time = 0.0
         return None
 
     def peek(self) -> Waiting[Handle] | None:
-        """Return the next request without taking it."""
-        while self._heap and self._heap[0][3].gone:
+        """Return the next request without removing it, or None if the queue is empty."""
+        while self._heap and self._heap[0][3].removed:
             heapq.heappop(self._heap)
         return self._heap[0][3] if self._heap else None
 
     def remove(self, waiting: Waiting[Handle]) -> None:
-        """Take a request out, wherever it stands."""
-        if not waiting.gone:
-            waiting.gone = True
+        """Remove a request from any position in the queue."""
+        if not waiting.removed:
+            waiting.removed = True
             self._size -= 1
 
     def ahead_of(self, priority: int) -> int:
-        """Return how many would be served before a newcomer of this priority."""
-        return sum(1 for e in self._heap if not e[3].gone and e[3].priority >= priority)
+        """Return how many queued requests have this priority or a higher one."""
+        return sum(1 for e in self._heap if not e[3].removed and e[3].priority >= priority)
