--- a/ferrydock/retry_budget.py
+++ b/ferrydock/retry_budget.py
@@ -1,36 +1,43 @@
-"""A budget that keeps retries a small part of the first attempts.
+"""A budget that limits retries to a small ratio of the first attempts.
 
-Owns the retries saved up, in memory. Both programs use it: the table's daemon with one budget for
-all requests, the route daemon with one for each service (`route_daemon.RetryShares`).
+Owns the number of available retries, in memory. The table's daemon uses one budget for all
+requests, the route daemon one for each service (`route_daemon.RetryShares`).
 """
 
 import random
 
 __all__ = ["DEFAULT_RETRY_RATIO", "RetryBudget", "backoff_s"]
 
-# Retries as a part of first attempts until the table names a ratio. Chosen, not measured.
+# Ratio of retries to first attempts until the table sets one.
 DEFAULT_RETRY_RATIO = 0.1
 
-# Retries that may be saved up, and that a new budget starts with. Chosen, not measured.
-MAX_SAVED = 20.0
-START = 5.0
+# How many retries may be saved up, and how many a new budget starts with.
+MAX_SAVED_RETRIES = 20.0
+INITIAL_RETRIES = 5.0
 
-# Pause before the first retry and the longest pause before a later one. Chosen, not measured.
+# Longest pause before the first retry, and before any later one.
 BACKOFF_START_S = 0.05
 BACKOFF_MAX_S = 1.0
 
 
 class RetryBudget:
-    """Each first attempt pays in `ratio`, each retry costs 1.
+    """Counts available retries: each first attempt adds `ratio`, each retry costs 1.
 
     Parameters
     ----------
     ratio : float
-        Retries as a part of the first attempts, over time.
-    max_saved : float, default=MAX_SAVED
+        Ratio of retries to first attempts, over time.
+    max_saved : float, default=MAX_SAVED_RETRIES
         How many retries may be saved up.
-    start : float, default=START
-        Retries that may be spent before any first attempt.
+    initial : float, default=INITIAL_RETRIES
+        Retries that are available before any first attempt.
+
+    Attributes
+    ----------
+    spent : int
+        Retries that the budget has paid for.
+    refused : int
+        Retries that it has refused.
 
     Examples
     --------
@@ -42,40 +49,42 @@
     (True, False)
     """
 
-    __slots__ = ("_saved", "max_saved", "ratio", "refused", "spent")
+    __slots__ = ("_available", "max_saved", "ratio", "refused", "spent")
 
-    def __init__(self, ratio: float, max_saved: float = MAX_SAVED, start: float = START):
+    def __init__(
+        self, ratio: float, max_saved: float = MAX_SAVED_RETRIES, initial: float = INITIAL_RETRIES
+    ):
         self.ratio = ratio
         self.max_saved = max_saved
-        self._saved = start
+        self._available = initial
         self.spent = 0
         self.refused = 0
 
     @property
     def left(self) -> float:
-        """Retries that may be spent now."""
-        return self._saved
+        """Number of available retries."""
+        return self._available
 
     def first_attempt(self) -> None:
-        """Note a first attempt."""
-        self._saved = min(self.max_saved, self._saved + self.ratio)
+        """Count a first attempt."""
+        self._available = min(self.max_saved, self._available + self.ratio)
 
     def limit(self, max_saved: float) -> None:
-        """Change how many retries may be saved up."""
+        """Change how many retries may be saved up; any beyond that are dropped."""
         self.max_saved = max_saved
-        self._saved = min(self._saved, max_saved)
+        self._available = min(self._available, max_saved)
 
     def spend(self) -> bool:
-        """Pay for one retry, if there is enough."""
-        if self._saved < 1:
+        """Pay for one retry; return False if none is available."""
+        if self._available < 1:
             self.refused += 1
             return False
-        self._saved -= 1
+        self._available -= 1
         self.spent += 1
         return True
 
 
 def backoff_s(attempt: int, random_source: random.Random) -> float:
-    """Return a pause before retry number `attempt` (from 1), exponential with full jitter."""
-    max_s = min(BACKOFF_MAX_S, BACKOFF_START_S * 2 ** (attempt - 1))
-    return random_source.uniform(0, max_s)
+    """Return the pause before retry number `attempt` (from 1): exponential, with full jitter."""
+    max_pause_s = min(BACKOFF_MAX_S, BACKOFF_START_S * 2 ** (attempt - 1))
+    return random_source.uniform(0, max_pause_s)
