--- a/ferrydock/backpressure/_messages.py
+++ b/ferrydock/backpressure/_messages.py
@@ -56,7 +56,7 @@
     ((LimitReport(target_id='t', rate_per_s=None, age_s=0.25),), ())
     """
     if not isinstance(fields, Mapping | None):
-        raise TypeError(f"limits must be a table, not {type(fields).__name__}")
+        raise TypeError(f"limits are a table, not {type(fields).__name__}")
     return tuple(
         LimitReport(str(target_id), None if rate is None else float(rate), float(age_s))
         for target_id, (rate, age_s) in (fields or {}).items()
--- a/ferrydock/scheduling/_messages.py
+++ b/ferrydock/scheduling/_messages.py
@@ -46,7 +46,8 @@
     service, model : str
         Service and model that must serve the request; `model` is empty for a plain service.
     avoid : tuple of str
-        Ids of targets to which an attempt was made, or that the sender considers broken.
+        Ids of targets to which an attempt was made, or that the sender has ejected or considers
+        broken.
     rank : tuple of int
         Priority of the team, priority of the route, and 1 if the answer is expected to miss its
         objective, else 0. Requests with the smallest rank go first.
@@ -208,7 +209,7 @@
     """
     fields = orjson.loads(data)
     if not isinstance(fields, dict):
-        raise TypeError(f"a reply of another hall must be a table, not {type(fields).__name__}")
+        raise TypeError(f"an answer of another hall is a table, not {type(fields).__name__}")
     running = fields.get("running")
     if not isinstance(running, dict):
         return HallUpdate(fields)
--- a/ferrydock/scheduling/_waiting_queue.py
+++ b/ferrydock/scheduling/_waiting_queue.py
@@ -23,7 +23,7 @@
 
     Attributes
     ----------
-    key : tuple
+    sort_key : tuple
         Rank of the request and the number of its arrival; the queue is sorted by it.
     needs : hashable
         What the request needs (`WaitingQueue`).
@@ -32,7 +32,7 @@
         use a slot there.
     """
 
-    key: tuple
+    sort_key: tuple
     needs: Hashable
     request: Request
     future: asyncio.Future
@@ -66,7 +66,9 @@
         A new request must not overtake it, even if a slot is free. Queued requests that exclude
         targets do not count: a slot that is free while they wait is one that they cannot use.
         """
-        return any(q.needs == needs and not q.leaves_out and q.key[0] <= rank for q in self._queued)
+        return any(
+            q.needs == needs and not q.leaves_out and q.sort_key[0] <= rank for q in self._queued
+        )
 
     def waiting_for(self, needs: Hashable) -> int:
         """Return how many requests with these needs are queued."""
@@ -94,7 +96,7 @@
         queued = _QueuedRequest(
             (rank, next(self._arrival_numbers)), needs, request, future, leaves_out
         )
-        bisect.insort(self._queued, queued, key=lambda q: q.key)
+        bisect.insort(self._queued, queued, key=lambda q: q.sort_key)
         try:
             async with asyncio.timeout(timeout_s):
                 return await queued.future
@@ -115,10 +117,10 @@
         Parameters
         ----------
         take : callable
-            Takes a slot for a request, or returns None if no slot is free. Then all other requests
-            with the same needs stay queued, unless the request excludes targets: in that case only
-            those that exclude the same targets do. Otherwise a retry that avoids its first target
-            blocks all requests for its model, for up to 1 s, while slots are free.
+            Acquires a slot for a request, or returns None if no slot is free. Then all other
+            requests with the same needs stay queued, unless the request excludes targets: in that
+            case only those that exclude the same targets do. Otherwise a retry that avoids its
+            first target blocks all requests for its model, for up to 1 s, while slots are free.
         """
         full: set[tuple[Hashable, tuple[str, ...]]] = set()
         for queued in list(self._queued):
