--- a/ferrydock/replicas/__init__.py
+++ b/ferrydock/replicas/__init__.py
@@ -1,12 +1,13 @@
 """Forming replicas from targets, repairing and dissolving them: the hall leader's controller.
 
 The decisions are pure or nearly so: `_plan` (which replicas a domain holds, which targets form the
-next), `_staging` (which weights idle targets load), `_health` (whether a replica can stay). The
-rest carries them out: `_controller` (rounds), `_planning` (what the decisions are fed with),
-`_forming` (steps of one replica), `_order_sender` (orders that may be lost or late), `_record` (the
-plan in the store). What does not belong here: who leads (`ferrydock.route_daemon`), which target
-gets a request (`ferrydock.scheduling`), placement by the operators' table (`ferrydock.placement`,
-the other program).
+next), `_staging` (which weights idle targets load), `_turn_over` (which replica is dissolved so
+that its targets serve another model), `_health` (whether a replica is kept). The rest carries them
+out: `_controller` (control rounds), `_planning` (inputs of the decisions), `_forming` (steps of one
+replica), `_order_sender` (orders that may be lost or late), `_record` (the plan in the store). What
+does not belong here: leader election (`ferrydock.route_daemon`), which target gets a request
+(`ferrydock.scheduling`), placement by the operators' table (`ferrydock.placement`, used by another
+program).
 """
 
 from ._controller import ControllerSettings, ReplicaController
--- a/ferrydock/replicas/_controller.py
+++ b/ferrydock/replicas/_controller.py
@@ -1,7 +1,7 @@
-"""The controller of a hall's replicas: rounds of looking, deciding and setting work going.
+"""The controller of a hall's replicas: in each round it checks, decides and starts tasks.
 
-Acts only while its daemon leads the hall. Owns the work under way, in memory: a new leader finds
-the replicas again by the target list, and plans under a higher epoch.
+Acts only while its daemon leads the hall. Owns the running tasks, in memory: a new leader finds
+the replicas in the target list and plans under a higher epoch.
 """
 
 import asyncio
@@ -19,26 +19,26 @@
 from ..targets import OrderDone, StageOrder, Target, TargetDirectory
 from ._forming import PlannedReplica, ReplicaFormer
 from ._hall_state import HallState
-from ._health import GiveUpReason, HealthResult, ReplicaHealthCheck, Verdict
+from ._health import DissolveReason, HealthResult, ReplicaHealthCheck, Verdict
 from ._observed import ObservedReplica, observed_replicas
 from ._order_sender import OrderSender
 from ._plan import Formation
 from ._planning import ControllerSettings, HallPlan, HallPlanner
 from ._record import PlacementRecord
-from ._turn_over import TurnOver
+from ._turn_over import Reassignment
 
 __all__ = ["ControllerSettings", "ReplicaController"]
 
 _LOG = logging.getLogger("ferrydock.replicas")
 
-# How long an order to stage weights is sent until it is answered. Chosen, not measured.
-STAGE_WITHIN_S = 2.0
+# An order to stage weights that gets no answer is sent again until this time is over.
+STAGE_ORDER_TIMEOUT_S = 2.0
 
-# Pause between two looks at the demand, which fades over 5 s. Chosen, not measured.
+# Interval between two evaluations of the demand, whose average decays over 5 s.
 FOLLOW_DEMAND_EVERY_S = 0.5
 
-# Hexadecimal digits in the name of a replica: enough that no two of a hall share a name.
-NAME_DIGITS = 8
+# Hexadecimal digits in the name of a replica: enough to keep the names in a hall distinct.
+REPLICA_NAME_DIGITS = 8
 
 
 class ReplicaController:
@@ -49,23 +49,23 @@
     settings : ControllerSettings
         Hall and bounds on weight loads.
     lease : ControllerLease
-        The controller acts only while it is held.
+        The controller acts only while its daemon holds this lease.
     store : Store
-        Keeps the hall's placement record.
+        Stores the hall's placement record.
     current : CurrentConfiguration
-        Services, models and their times.
+        Services, their models, and the models' load and warm-up times.
     order_sender : OrderSender
-        Sends orders to targets; knows the target directory and the clock.
+        Sends orders to targets; gives access to the target directory and the clock.
     on_broken : callable
-        Takes name and epoch of a replica that was given up.
+        Called with name and epoch of a replica whose requests in flight are lost.
     demand : callable, optional
-        Returns the slots that requests for each model of a service fill on the whole site; empty
-        before there is an observation.
+        Returns, for a service, the slots that requests for each model fill on the whole site; empty
+        before demand has been observed.
 
     Attributes
     ----------
     plans : dict of str to HallPlan
-        What the hall should hold, by service; empty while it does not lead.
+        What the hall should hold, by service; empty while the daemon does not lead the hall.
 
     Notes
     -----
@@ -98,41 +98,41 @@
         self.health_check = ReplicaHealthCheck(self.state, order_sender, self._spawn)
         self.former = ReplicaFormer(order_sender)
         self._tasks: set[asyncio.Task] = set()
-        self._lost: set[tuple[str, int]] = set()
+        self._reported_all_dead: set[tuple[str, int]] = set()
         self.plans: dict[str, HallPlan] = {}
-        self._demand_looked_s = -FOLLOW_DEMAND_EVERY_S
+        self._demand_checked_s = -FOLLOW_DEMAND_EVERY_S
 
     @property
     def is_acting(self) -> bool:
-        """Whether it leads, and replicas are being formed or dissolved."""
+        """Whether the daemon leads the hall and controller tasks are running."""
         return self.lease.valid and bool(self._tasks)
 
     def suspect(self, target_ids: Iterable[str], reason: str) -> None:
-        """Consider targets dead for some seconds: they did not answer when asked."""
+        """Suspect targets, which did not answer a request for a report, for `SUSPICION_S`."""
         self.state.suspect(target_ids, reason)
 
     def stand_down(self) -> None:
-        """Stop what is under way: the lease is gone."""
+        """Cancel all tasks and clear the state, after the lease was lost or released."""
         for task in list(self._tasks):
             task.cancel()
-        self.record.forget()
+        self.record.reset()
         self.state.clear()
-        self.planner.forget()
-        self._lost.clear()
+        self.planner.reset()
+        self._reported_all_dead.clear()
         self.plans.clear()
 
     # One round --------------------------------------------------------------------------------
 
     async def step(self) -> None:
-        """Look at the hall's targets, and set going what is missing."""
+        """Check the hall's targets and replicas once, and start the tasks that are due."""
         if self.current.lookup is None or not self.directory.loaded or not self.lease.valid:
             return
         if not await self.record.read():
             return
         now_s = self.clock.now_s()
-        is_demand_due = now_s - self._demand_looked_s >= FOLLOW_DEMAND_EVERY_S
+        is_demand_due = now_s - self._demand_checked_s >= FOLLOW_DEMAND_EVERY_S
         if is_demand_due:
-            self._demand_looked_s = now_s
+            self._demand_checked_s = now_s
         for service in self.current.engine_services():
             engine = existing(service.engine, "the engine")
             await self._step_service(service.name, engine, is_demand_due)
@@ -143,21 +143,21 @@
             for target in self.directory.targets.values()
             if target.service == service and target.hall == self.hall
         ]
-        self.state.forget(targets)
+        self.state.prune(targets)
         members = [t for t in targets if t.membership is not None and not self.state.has_left(t)]
         observed = observed_replicas(members)
-        staying = [replica for replica in observed if self._check(replica, engine)]
-        self.health_check.forget_others({replica.key for replica in observed})
+        staying = [replica for replica in observed if self._handle_replica(replica, engine)]
+        self.health_check.prune({replica.key for replica in observed})
         if is_demand_due:
             self._follow_demand(service, targets, staying, engine)
         formations = self.planner.formations(service, targets, staying, engine)
         if formations:
-            await self._begin(formations)
+            await self._begin_forming(formations)
         for target, model in self.planner.stagings(service, targets, staying, engine):
             self._stage(target, model)
 
     def _note_plan(self, service: str, targets: list[Target], engine: EngineSpec) -> None:
-        """Keep the plan for the metrics, and log it when the weights change."""
+        """Store the plan for the metrics, and log it when the weights change."""
         before = self.plans.get(service)
         plan = self.plans[service] = self.planner.plan(service, targets, engine)
         if before is not None and before.weights == plan.weights:
@@ -180,42 +180,42 @@
         staying: list[ObservedReplica],
         engine: EngineSpec,
     ) -> None:
-        """Give up a replica that another model needs more; it is taken out of `staying`."""
+        """Dissolve a replica if another model needs its targets; remove it from `staying`."""
         turn_over = self.planner.turn_over(service, targets, staying, engine)
         if turn_over is not None:
-            self._turn_over(turn_over, service)
+            self._begin_reassignment(turn_over, service)
             staying.remove(turn_over.replica)
         self._note_plan(service, targets, engine)
 
-    def _check(self, replica: ObservedReplica, engine: EngineSpec) -> bool:
-        """Do what a replica needs; return whether it is there to stay."""
-        result = self.health_check.judge(replica, engine)
+    def _handle_replica(self, replica: ObservedReplica, engine: EngineSpec) -> bool:
+        """Act on the health of a replica; return whether it is kept."""
+        result = self.health_check.evaluate(replica, engine)
         match result.verdict:
             case Verdict.ADOPT:
                 return self._adopt(replica, engine)
-            case Verdict.GIVE_UP:
-                self._give_up(replica, result)
+            case Verdict.DISSOLVE:
+                self._begin_dissolving(replica, result)
             case Verdict.ALL_DEAD:
-                self._note_lost(replica)
+                self._note_all_dead(replica)
         return result.verdict is Verdict.STAYS
 
-    # Replicas that are there ------------------------------------------------------------------
+    # Existing replicas ------------------------------------------------------------------------
 
-    def _give_up(self, replica: ObservedReplica, result: HealthResult) -> None:
-        """Dissolve a replica that cannot serve any more.
+    def _begin_dissolving(self, replica: ObservedReplica, result: HealthResult) -> None:
+        """Start to dissolve a replica.
 
-        Only one that is whole may finish its requests: a member is leaving, or its model has
-        replicas to spare. Any other is cut.
+        A complete replica finishes its requests first: one with a leaving member, or one whose
+        model has a surplus. The requests of any other replica are cut.
         """
-        self._log_given_up(replica, result)
-        cut = result.why not in (GiveUpReason.LEAVING, GiveUpReason.SURPLUS)
+        self._log_removal(replica, result)
+        cut = result.reason not in (DissolveReason.LEAVING, DissolveReason.SURPLUS)
         if cut:
             self.on_broken(replica.key)
-            self.state.freeing[replica.domain] += 1
+            self.state.dissolving[replica.domain] += 1
         self._spawn(self._dissolve(replica, set(result.dead), cut))
 
-    def _turn_over(self, found: TurnOver, service: str) -> None:
-        """Let a replica that nobody needs finish, so that its targets serve another model."""
+    def _begin_reassignment(self, found: Reassignment, service: str) -> None:
+        """Start to dissolve a surplus replica, so that its targets can serve another model."""
         log_event(
             _LOG,
             logging.INFO,
@@ -226,16 +226,18 @@
             to_model=found.model.name,
             slots_wanted=_by_model(self.planner.demand(service)),
         )
-        self._give_up(found.replica, HealthResult(Verdict.GIVE_UP, GiveUpReason.SURPLUS))
+        self._begin_dissolving(
+            found.replica, HealthResult(Verdict.DISSOLVE, DissolveReason.SURPLUS)
+        )
 
-    def _note_lost(self, replica: ObservedReplica) -> None:
-        """Log once that all members of a replica are dead: there is nothing to dissolve."""
-        if replica.key not in self._lost:
-            self._lost.add(replica.key)
-            self._log_given_up(replica, HealthResult(Verdict.ALL_DEAD, GiveUpReason.ALL_DEAD))
+    def _note_all_dead(self, replica: ObservedReplica) -> None:
+        """Report once that all members of a replica are dead; no order is sent to them."""
+        if replica.key not in self._reported_all_dead:
+            self._reported_all_dead.add(replica.key)
+            self._log_removal(replica, HealthResult(Verdict.ALL_DEAD, DissolveReason.ALL_DEAD))
             self.on_broken(replica.key)
 
-    def _log_given_up(self, replica: ObservedReplica, result: HealthResult) -> None:
+    def _log_removal(self, replica: ObservedReplica, result: HealthResult) -> None:
         log_event(
             _LOG,
             logging.WARNING,
@@ -243,20 +245,20 @@
             replica=replica.name,
             epoch=replica.epoch,
             model=replica.model,
-            why=result.why,
+            why=result.reason,
             members=",".join(t.target_id for t in replica.members),
             dead=",".join(result.dead) or None,
         )
-        self.metrics.repairs.labels(str(result.why)).inc()
+        self.metrics.repairs.labels(str(result.reason)).inc()
 
     def _adopt(self, replica: ObservedReplica, engine: EngineSpec) -> bool:
-        """Go on with a replica that another leader had begun to form.
+        """Continue to form a replica that another leader began to form.
 
-        Returns False if its model is configured no longer: it is given up.
+        Returns False, and dissolves the replica, if its model is not configured.
         """
         model = engine.model(replica.model)
         if model is None:
-            self._give_up(replica, HealthResult(Verdict.GIVE_UP, GiveUpReason.ORPHANED))
+            self._begin_dissolving(replica, HealthResult(Verdict.DISSOLVE, DissolveReason.ORPHANED))
             return False
         members = tuple(replica.members)
         formation = Formation(model, members, 0, model.load_s)
@@ -276,13 +278,15 @@
         finally:
             self.state.busy -= ids
             if cut:
-                self.state.freeing[replica.domain] -= 1
+                self.state.dissolving[replica.domain] -= 1
 
-    # Replicas that are missing ----------------------------------------------------------------
+    # Missing replicas -------------------------------------------------------------------------
 
-    async def _begin(self, formations: list[Formation]) -> None:
-        """Write the plans to the record, and form them under the epoch of that write."""
-        plans = {f"g{uuid.uuid4().hex[:NAME_DIGITS]}": formation for formation in formations}
+    async def _begin_forming(self, formations: list[Formation]) -> None:
+        """Write the plans to the placement record, and form them under the epoch of that write."""
+        plans = {
+            f"g{uuid.uuid4().hex[:REPLICA_NAME_DIGITS]}": formation for formation in formations
+        }
         epoch = await self.record.write(plans)
         if epoch is None or not self.lease.valid:
             return
@@ -299,28 +303,28 @@
     async def _form(self, plan: PlannedReplica, joined: bool = False) -> None:
         began_s = self.clock.now_s()
         try:
-            end = await self.former.form(plan, joined)
+            result = await self.former.form(plan, joined)
             took_s = self.clock.now_s() - began_s
-            self.metrics.forming.labels("failed" if end.why else "open").observe(took_s)
-            self.state.note_left(end.left, plan.key)
+            self.metrics.forming.labels("failed" if result.failure else "open").observe(took_s)
+            self.state.note_left(result.left_ids, plan.key)
             for member_id in plan.member_ids:
-                if member_id in end.why:
+                if member_id in result.failure:
                     self.state.pause(member_id)
         finally:
             self.state.forming.pop(plan.key, None)
             self.state.busy.difference_update(plan.member_ids)
 
     def _stage(self, target: Target, model: ModelSpec) -> None:
-        """Load weights to the host of an idle target."""
+        """Start to load a model's weights to the host of an idle target."""
         now_s = self.clock.now_s()
         self.planner.loads.begin(1, now_s)
         self.state.staging.begin(target.target_id, model.name, model.load_s, now_s)
         self._spawn(self._stage_one(target, model.name))
 
     async def _stage_one(self, target: Target, model: str) -> None:
-        outcome = await self.order_sender.send(target, StageOrder(model), STAGE_WITHIN_S)
+        outcome = await self.order_sender.send(target, StageOrder(model), STAGE_ORDER_TIMEOUT_S)
         if not isinstance(outcome, OrderDone):
-            self.state.staging.forget(target.target_id)
+            self.state.staging.remove(target.target_id)
             self.state.pause(target.target_id)
 
     # Tasks ------------------------------------------------------------------------------------
--- a/ferrydock/replicas/_forming.py
+++ b/ferrydock/replicas/_forming.py
@@ -1,7 +1,7 @@
 """Forming one replica and dissolving one, step by step, by orders to its members.
 
-`ReplicaFormer` keeps nothing between two replicas. It follows the steps in the target list and,
-when the list is late, in the members' reports.
+`ReplicaFormer` holds no state of its own. It reads the members' progress from the target list and,
+when the list lags behind, from the members' reports.
 """
 
 import asyncio
@@ -25,45 +25,41 @@
 from ._order_sender import OrderSender
 from ._plan import Formation
 
-__all__ = ["FormEnd", "PlannedReplica", "ReplicaFormer"]
+__all__ = ["FormingResult", "PlannedReplica", "ReplicaFormer"]
 
 _LOG = logging.getLogger("ferrydock.replicas")
 
-# How long an order to join or open is sent until it is answered. Chosen, not measured.
-ORDER_WITHIN_S = 3.0
+# An order to join or open that gets no answer is sent again until this time is over.
+ORDER_TIMEOUT_S = 3.0
 
-# How long members may take to be ready: a multiple of the configured time, and some seconds. After
-# that the replica is given up, so that it does not bind its ready members. Measured in
-# docs/MEASUREMENTS.md, second sitting, "weights staged first", which names this rule too.
-READY_FACTOR = 3
-READY_SLACK_S = 2.0
+# Members may take this multiple of the configured time, and the slack on top, to be ready. After
+# that the replica is dissolved, because it would otherwise occupy its ready members.
+READY_TIMEOUT_FACTOR = 3
+READY_TIMEOUT_SLACK_S = 2.0
 
-# How long after a step was due the members are asked themselves, again and again: the target list
-# may stand still. Chosen, not measured.
-LIST_LATE_S = 0.3
+# Members that are not listed as ready this long after they were due are asked for a report, and
+# again at this interval: the target list may lag behind or receive no updates.
+REPORT_DELAY_S = 0.3
 
-# Pause between two looks at the target list, and between two open orders to a head that is not
-# ready yet. Chosen, not measured.
-LOOK_S = 0.03
-OPEN_AGAIN_S = 0.09
+# Interval between two checks of the target list, and between two open orders to a head that refuses
+# the first because it is not ready.
+POLL_INTERVAL_S = 0.03
+OPEN_RETRY_PAUSE_S = 0.09
 
-# How long a member may take for its report. Chosen, not measured.
 REPORT_TIMEOUT_S = 0.5
 
-# How long opening is tried while the head refuses it. Chosen, not measured.
-OPEN_WITHIN_S = 3.0
+# How long the open order is repeated while the head refuses it.
+OPEN_RETRY_TIMEOUT_S = 3.0
 
-# How long a closing head may take to end its requests, if they are waited for and if they are cut.
-# Chosen, not measured.
-CLOSE_WAIT_S = 4.0
-CUT_WAIT_S = 1.5
+# How long to wait for a closing head: while it finishes its requests, or after they are cut.
+CLOSE_TIMEOUT_S = 4.0
+CUT_TIMEOUT_S = 1.5
 
-# How long an order to close or leave is sent until it is answered. Chosen, not measured.
-LEAVE_WITHIN_S = 1.5
+# An order to close or leave that gets no answer is sent again until this time is over.
+LEAVE_ORDER_TIMEOUT_S = 1.5
 
-# How long to wait until the target list shows an open that the head has answered. Chosen, not
-# measured.
-SHOWN_WITHIN_S = 2.0
+# How long to wait, after the head has accepted the open order, until the target list shows it open.
+OPEN_SHOWN_TIMEOUT_S = 2.0
 
 _READY = (ReplicaState.READY, ReplicaState.OPEN)
 _SERVING = (ReplicaState.OPEN, ReplicaState.CLOSING)
@@ -71,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedReplica:
-    """A replica to form, with the name and epoch it was given."""
+    """A replica to form, with its name and epoch."""
 
     name: str
     epoch: int
@@ -89,19 +85,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FormEnd:
-    """What came of forming a replica.
+class FormingResult:
+    """Result of forming a replica.
 
     Attributes
     ----------
-    why : str
-        Why it came to nothing; empty if it serves.
-    left : tuple of str
-        Members that certainly left it again.
+    failure : str
+        Why the replica was not formed; empty if it serves.
+    left_ids : tuple of str
+        After a failure, ids of the members that have certainly left the replica.
     """
 
-    why: str = ""
-    left: tuple[str, ...] = ()
+    failure: str = ""
+    left_ids: tuple[str, ...] = ()
 
 
 class ReplicaFormer:
@@ -120,15 +116,15 @@
         self.directory: TargetDirectory = orders.directory
         self.clock: Clock = orders.clock
 
-    async def form(self, plan: PlannedReplica, joined: bool = False) -> FormEnd:
-        """Let all members join, wait until they are ready, open the head.
+    async def form(self, plan: PlannedReplica, is_joined: bool = False) -> FormingResult:
+        """Order all members to join, wait until they are ready, and open the head.
 
         Parameters
         ----------
-        joined : bool, default=False
-            Whether the members were told to join before, by another leader.
+        is_joined : bool, default=False
+            Whether another leader has already ordered the members to join.
         """
-        refused = [] if joined else await self._join(plan)
+        refused = [] if is_joined else await self._join(plan)
         why = f"no join: {','.join(refused)}" if refused else await self._open(plan)
         left: tuple[str, ...] = ()
         if why:
@@ -143,12 +139,12 @@
             members=",".join(plan.member_ids),
             why=why or None,
         )
-        return FormEnd(why, left)
+        return FormingResult(why, left)
 
     async def dissolve(
         self, key: tuple[str, int], members: tuple[Target, ...], cut: bool
     ) -> tuple[str, ...]:
-        """End a replica; return the ids of the members that certainly left it.
+        """Dissolve a replica; return the ids of the members that have certainly left it.
 
         Parameters
         ----------
@@ -161,16 +157,20 @@
 
         Notes
         -----
-        The head goes first: once it has closed and left, no open order sent before can bring it
-        back, and its members are free. A head that does not answer may still be open; then each
-        member leaves by itself before it may join elsewhere.
+        The head closes and leaves first: after that, an open order that was sent earlier and
+        arrives late has no effect, and the members are free. A head that does not answer may still
+        be open; a member may join another replica only once it has itself left this one.
         """
         head, others = members[0], members[1:]
         if self._state_of(key, head.target_id) in _SERVING:
             await self._close(key, head, cut)
         has_left = [await self._leave(key, head)]
         has_left += await asyncio.gather(*(self._leave(key, member) for member in others))
-        left = tuple(m.target_id for m, is_gone in zip(members, has_left, strict=True) if is_gone)
+        left = tuple(
+            m.target_id
+            for m, has_left_replica in zip(members, has_left, strict=True)
+            if has_left_replica
+        )
         name, epoch = key
         log_event(
             _LOG,
@@ -186,11 +186,11 @@
     # Forming ----------------------------------------------------------------------------------
 
     async def _join(self, plan: PlannedReplica) -> list[str]:
-        """Order all members to join; return the ids of those that did not take the order."""
+        """Order all members to join; return the ids of those that did not accept the order."""
         order = JoinOrder(plan.name, plan.epoch, plan.formation.model.name, plan.member_ids)
         members = plan.formation.members
         outcomes = await asyncio.gather(
-            *(self.orders.send(member, order, ORDER_WITHIN_S) for member in members)
+            *(self.orders.send(member, order, ORDER_TIMEOUT_S) for member in members)
         )
         return [
             member.target_id
@@ -199,42 +199,42 @@
         ]
 
     async def _open(self, plan: PlannedReplica) -> str:
-        """Wait until all members are ready and open the head; return why not, or ""."""
-        why = await self._until_ready(plan)
+        """Wait until all members are ready, and open the head; return why that failed, or ""."""
+        why = await self._wait_until_ready(plan)
         if why:
             return why
         head = plan.formation.members[0]
         order = OpenOrder(plan.name, plan.epoch)
-        until_s = self.clock.now_s() + OPEN_WITHIN_S
+        until_s = self.clock.now_s() + OPEN_RETRY_TIMEOUT_S
         while True:
-            outcome = await self.orders.send(head, order, ORDER_WITHIN_S)
+            outcome = await self.orders.send(head, order, ORDER_TIMEOUT_S)
             if isinstance(outcome, OrderDone):
-                await self._until_shown_open(plan)
+                await self._wait_until_shown_open(plan)
                 return ""
             if not isinstance(outcome, OrderRefused) or self.clock.now_s() >= until_s:
                 return f"no open: {outcome.reason}"
-            await asyncio.sleep(OPEN_AGAIN_S)
+            await asyncio.sleep(OPEN_RETRY_PAUSE_S)
 
-    async def _until_ready(self, plan: PlannedReplica) -> str:
-        """Wait until all members are ready; return why that will not come, or ""."""
+    async def _wait_until_ready(self, plan: PlannedReplica) -> str:
+        """Wait until all members are ready; return why they will not be, or ""."""
         ready_s = plan.formation.ready_s
-        until_s = self.clock.now_s() + ready_s * READY_FACTOR + READY_SLACK_S
-        ask_s = self.clock.now_s() + ready_s + LIST_LATE_S
+        until_s = self.clock.now_s() + ready_s * READY_TIMEOUT_FACTOR + READY_TIMEOUT_SLACK_S
+        next_report_s = self.clock.now_s() + ready_s + REPORT_DELAY_S
         reported: set[str] = set()
         while late := self._not_ready(plan, reported):
             targets = {i: self.directory.targets.get(i) for i in plan.member_ids}
-            gone = [i for i, target in targets.items() if target is None]
-            if gone:
-                return f"gone: {','.join(gone)}"
+            removed = [i for i, target in targets.items() if target is None]
+            if removed:
+                return f"gone: {','.join(removed)}"
             leaving = [i for i, target in targets.items() if target is not None and target.draining]
             if leaving:
                 return f"leaving: {','.join(leaving)}"
             if self.clock.now_s() >= until_s:
                 return f"late: {','.join(late)}"
-            if self.clock.now_s() >= ask_s:
-                ask_s = self.clock.now_s() + LIST_LATE_S
+            if self.clock.now_s() >= next_report_s:
+                next_report_s = self.clock.now_s() + REPORT_DELAY_S
                 reported |= await self._ready_by_report(plan, late)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return ""
 
     def _not_ready(self, plan: PlannedReplica, reported: set[str]) -> list[str]:
@@ -246,7 +246,7 @@
         ]
 
     async def _ready_by_report(self, plan: PlannedReplica, late: list[str]) -> set[str]:
-        """Return which of the late members report themselves that they are ready."""
+        """Ask the late members for their reports; return the ids of those that report ready."""
         members = [m for m in plan.formation.members if m.target_id in late]
         control = self.orders.control
         reports = await asyncio.gather(*(control.report(m, REPORT_TIMEOUT_S) for m in members))
@@ -258,19 +258,19 @@
             and report.state in _READY
         }
 
-    async def _until_shown_open(self, plan: PlannedReplica) -> None:
-        """Wait until the target list shows what the head has answered."""
-        until_s = self.clock.now_s() + SHOWN_WITHIN_S
+    async def _wait_until_shown_open(self, plan: PlannedReplica) -> None:
+        """Wait until the target list shows the head as open, or `OPEN_SHOWN_TIMEOUT_S` is over."""
+        until_s = self.clock.now_s() + OPEN_SHOWN_TIMEOUT_S
         while self.clock.now_s() < until_s:
             if self._state_of(plan.key, plan.member_ids[0]) is ReplicaState.OPEN:
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     # Dissolving -------------------------------------------------------------------------------
 
     async def _leave(self, key: tuple[str, int], member: Target) -> bool:
-        """Let a member leave; return whether it certainly is no member any more."""
-        outcome = await self.orders.send(member, LeaveOrder(*key), LEAVE_WITHIN_S)
+        """Order a member to leave; return whether it has certainly left the replica."""
+        outcome = await self.orders.send(member, LeaveOrder(*key), LEAVE_ORDER_TIMEOUT_S)
         if isinstance(outcome, OrderDone):
             return True
         if not isinstance(outcome, OrderRefused):
@@ -281,20 +281,20 @@
         return (report.replica, report.epoch) != key
 
     async def _close(self, key: tuple[str, int], head: Target, cut: bool) -> None:
-        """Let an open head end its requests, and wait until it serves no more."""
-        outcome = await self.orders.send(head, CloseOrder(*key, cut), LEAVE_WITHIN_S)
+        """Order an open head to close, and wait until it has stopped serving, or a timeout."""
+        outcome = await self.orders.send(head, CloseOrder(*key, cut), LEAVE_ORDER_TIMEOUT_S)
         if not isinstance(outcome, OrderDone):
             return
-        until_s = self.clock.now_s() + (CUT_WAIT_S if cut else CLOSE_WAIT_S)
+        until_s = self.clock.now_s() + (CUT_TIMEOUT_S if cut else CLOSE_TIMEOUT_S)
         while self.clock.now_s() < until_s:
             if self._state_of(key, head.target_id) not in _SERVING:
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     # The target list --------------------------------------------------------------------------
 
     def _state_of(self, key: tuple[str, int], member_id: str) -> ReplicaState | None:
-        """Return the state of a replica at one member, or None if it is not in it."""
+        """Return the state that a target's entry shows for a replica; None if it is no member."""
         target = self.directory.targets.get(member_id)
         membership = target.membership if target else None
         if membership is None or (membership.replica, membership.epoch) != key:
--- a/ferrydock/replicas/_health.py
+++ b/ferrydock/replicas/_health.py
@@ -1,8 +1,8 @@
-"""Rule: whether a replica can stay, as the hall leader decides it.
+"""Rule: whether the hall leader keeps, adopts or dissolves a replica.
 
-Judges by the members' entries in the target list, by suspicions (this daemon's and its peers'
-requests: `forwarding._stalls`) and, for members without an entry, by their own reports. Owns since
-when a replica has been orphaned and what its missing members answered, in memory.
+Decides by the members' entries in the target list, by suspicions (raised by this daemon's requests
+and its peers': `forwarding._stalls`) and, for members without an entry, by their own reports. Owns,
+in memory, since when a replica has been orphaned and when its missing members last reported.
 """
 
 import asyncio
@@ -20,35 +20,34 @@
 from ._observed import ObservedReplica
 from ._order_sender import OrderSender
 
-__all__ = ["GiveUpReason", "HealthResult", "ReplicaHealthCheck", "Verdict"]
+__all__ = ["DissolveReason", "HealthResult", "ReplicaHealthCheck", "Verdict"]
 
 _LOG = logging.getLogger("ferrydock.replicas")
 
-# How long a replica may be neither open nor adoptable before it is given up; and how long a new
-# leader waits for members that it has never seen. Its entries may lag behind. Chosen, not measured.
-ORPHANED_S = 3.0
+# How long a replica may be neither open nor adoptable before it is dissolved, and how long a new
+# leader waits for members that it has never seen: the target list may lag behind.
+ORPHAN_GRACE_S = 3.0
 
-# Pause between two questions to members without an entry, and how long their last good answer
-# counts: one lost answer changes nothing. Chosen, not measured.
-ASK_AGAIN_S = 1.0
-ANSWER_VALID_S = 1.5
+# Interval between two requests for reports from members without an entry, and how long their last
+# good reports are valid. The latter is longer, so that one lost report changes nothing.
+REPORT_INTERVAL_S = 1.0
+REPORT_VALID_S = 1.5
 
-# How long a member may take to answer. Chosen, not measured.
 REPORT_TIMEOUT_S = 0.3
 
 
 class Verdict(StrEnum):
-    """What is to be done with a replica."""
+    """What the controller does with a replica."""
 
     STAYS = "stays"
     ADOPT = "adopt"
-    GIVE_UP = "give_up"
+    DISSOLVE = "give_up"
     ALL_DEAD = "all_dead"
     UNDER_WAY = "under_way"
 
 
-class GiveUpReason(StrEnum):
-    """Why a replica cannot stay, as in log lines and metrics."""
+class DissolveReason(StrEnum):
+    """Why a replica is removed; the values appear in log lines and metrics."""
 
     NONE = ""
     DEAD = "dead"
@@ -65,24 +64,24 @@
     """A verdict, its reason, and the ids of the members that are suspected to be dead."""
 
     verdict: Verdict
-    why: GiveUpReason = GiveUpReason.NONE
+    reason: DissolveReason = DissolveReason.NONE
     dead: tuple[str, ...] = ()
 
 
 class ReplicaHealthCheck:
-    """Judges replicas.
+    """Decides what the controller does with each observed replica.
 
     Parameters
     ----------
     order_sender : OrderSender
         Its control asks members for reports.
     spawn : callable
-        Runs work beside the controller's rounds.
+        Starts a coroutine as a task, concurrent with the controller's rounds.
     """
 
     __slots__ = (
-        "_answers",
-        "_asking",
+        "_reports_s",
+        "_requesting",
         "_orphaned_since_s",
         "clock",
         "directory",
@@ -103,68 +102,76 @@
         self.clock: Clock = order_sender.clock
         self.spawn = spawn
         self._orphaned_since_s: dict[tuple[str, int], float] = {}
-        # When its missing members were last known to live, and when they were last asked.
-        self._answers: dict[tuple[str, int], tuple[float, float]] = {}
-        self._asking: set[tuple[str, int]] = set()
-
-    def judge(self, replica: ObservedReplica, engine: EngineSpec) -> HealthResult:
-        """Return what is to be done with a replica.
-
-        In this order: one that is being formed stays; one with orders under way is not touched;
-        one whose members are all dead needs no orders; one that is not whole is given up, unless a
-        member only lacks its entry and still answers; an open one stays; one that another leader
-        had begun is adopted; any other is given up once it has been so for `ORPHANED_S`.
+        # By replica: when its missing members were last known to be alive, and when their reports
+        # were last requested, in seconds.
+        self._reports_s: dict[tuple[str, int], tuple[float, float]] = {}
+        self._requesting: set[tuple[str, int]] = set()
+
+    def evaluate(self, replica: ObservedReplica, engine: EngineSpec) -> HealthResult:
+        """Return what the controller is to do with a replica.
+
+        The first case that applies decides: a replica that is being formed stays; one whose members
+        are being sent orders is left unchanged; one whose members are all dead needs no orders; one
+        that cannot serve is dissolved, unless all that is wrong is a member that has no entry but
+        still reports; an open one stays; one that another leader began to form is adopted; any
+        other is dissolved after `ORPHAN_GRACE_S`.
         """
         now_s = self.clock.now_s()
         if replica.key in self.state.forming:
             return HealthResult(Verdict.STAYS)
         if self.state.is_busy(replica.members):
             return HealthResult(Verdict.UNDER_WAY)
-        dead = tuple(t.target_id for t in replica.members if self.state.is_suspect(t.target_id))
+        dead = tuple(t.target_id for t in replica.members if self.state.is_suspected(t.target_id))
         if len(dead) == len(replica.members):
-            return HealthResult(Verdict.ALL_DEAD, GiveUpReason.ALL_DEAD, dead)
+            return HealthResult(Verdict.ALL_DEAD, DissolveReason.ALL_DEAD, dead)
         model = engine.model(replica.model)
-        why = _why_not_whole(replica, model, bool(dead))
-        may_live = why is GiveUpReason.MEMBER_GONE and replica.head and not replica.is_leaving
-        if model is not None and may_live and self._are_missing_alive(replica, model, now_s):
+        reason = _reason_to_dissolve(replica, model, bool(dead))
+        may_live = reason is DissolveReason.MEMBER_GONE and replica.head and not replica.is_leaving
+        if (
+            model is not None
+            and may_live
+            and self._are_missing_members_alive(replica, model, now_s)
+        ):
             return HealthResult(Verdict.STAYS)
-        if why:
-            return HealthResult(Verdict.GIVE_UP, why, dead)
+        if reason:
+            return HealthResult(Verdict.DISSOLVE, reason, dead)
         if replica.is_open:
             self._orphaned_since_s.pop(replica.key, None)
             return HealthResult(Verdict.STAYS)
         if replica.head is not None and model:
             return HealthResult(Verdict.ADOPT)
         since_s = self._orphaned_since_s.setdefault(replica.key, now_s)
-        if now_s - since_s < ORPHANED_S:
+        if now_s - since_s < ORPHAN_GRACE_S:
             return HealthResult(Verdict.STAYS)
-        return HealthResult(Verdict.GIVE_UP, GiveUpReason.ORPHANED)
+        return HealthResult(Verdict.DISSOLVE, DissolveReason.ORPHANED)
 
-    def forget_others(self, keys: set[tuple[str, int]]) -> None:
-        """Drop what is known of replicas that are gone."""
-        for known in (self._orphaned_since_s, self._answers):
+    def prune(self, keys: set[tuple[str, int]]) -> None:
+        """Remove the state of replicas other than those in `keys`."""
+        for known in (self._orphaned_since_s, self._reports_s):
             for key in [key for key in known if key not in keys]:
                 del known[key]
 
-    def _are_missing_alive(self, replica: ObservedReplica, model: ModelSpec, now_s: float) -> bool:
-        """Return whether the members without an entry still answer, or have yet to be asked.
+    def _are_missing_members_alive(
+        self, replica: ObservedReplica, model: ModelSpec, now_s: float
+    ) -> bool:
+        """Return whether the members without an entry still report, or were not asked yet.
 
-        Entries of many targets go at once while the store is cut off from them or comes back. A
-        replica is whole as long as its members report that they belong to it.
+        The entries of many targets expire at once when the store is cut off from them, or is
+        restored. A replica is complete as long as its members report that they belong to it.
         """
         key = replica.key
         if len(self.directory.members_ever(key)) < model.size:
             first_s = self._orphaned_since_s.setdefault(key, now_s)
-            return now_s - first_s < ORPHANED_S
-        alive_s, asked_s = self._answers.get(key, (now_s, -ASK_AGAIN_S))
-        if key not in self._asking and now_s - asked_s >= ASK_AGAIN_S:
-            self._asking.add(key)
-            self._answers[key] = (alive_s, now_s)
-            self.spawn(self._ask_missing(replica))
-        return now_s - alive_s <= ANSWER_VALID_S
-
-    async def _ask_missing(self, replica: ObservedReplica) -> None:
-        """Ask the members without an entry whether they belong to the replica."""
+            return now_s - first_s < ORPHAN_GRACE_S
+        alive_s, requested_s = self._reports_s.get(key, (now_s, -REPORT_INTERVAL_S))
+        if key not in self._requesting and now_s - requested_s >= REPORT_INTERVAL_S:
+            self._requesting.add(key)
+            self._reports_s[key] = (alive_s, now_s)
+            self.spawn(self._request_missing_reports(replica))
+        return now_s - alive_s <= REPORT_VALID_S
+
+    async def _request_missing_reports(self, replica: ObservedReplica) -> None:
+        """Ask the members without an entry for reports on whether they belong to the replica."""
         present = {target.target_id for target in replica.members}
         known = self.directory.members_ever(replica.key)
         missing = [target for target in known if target.target_id not in present]
@@ -174,14 +181,14 @@
                 *(control.report(target, REPORT_TIMEOUT_S) for target in missing)
             )
         finally:
-            self._asking.discard(replica.key)
+            self._requesting.discard(replica.key)
         now_s = self.clock.now_s()
         are_alive = all(
             not isinstance(report, Unavailable) and (report.replica, report.epoch) == replica.key
             for report in reports
         )
-        alive_s = now_s if are_alive else now_s - 2 * ANSWER_VALID_S
-        self._answers[replica.key] = (alive_s, now_s)
+        alive_s = now_s if are_alive else now_s - 2 * REPORT_VALID_S
+        self._reports_s[replica.key] = (alive_s, now_s)
         log_event(
             _LOG,
             logging.WARNING,
@@ -193,14 +200,14 @@
         )
 
 
-def _why_not_whole(
+def _reason_to_dissolve(
     replica: ObservedReplica, model: ModelSpec | None, has_dead: bool
-) -> GiveUpReason:
-    """Return why a replica cannot serve any more; `GiveUpReason.NONE` if it can."""
+) -> DissolveReason:
+    """Return why a replica cannot go on serving; `DissolveReason.NONE` if it can."""
     if has_dead:
-        return GiveUpReason.DEAD
+        return DissolveReason.DEAD
     if any(t.joined.state is ReplicaState.BROKEN for t in replica.members):
-        return GiveUpReason.BROKEN
+        return DissolveReason.BROKEN
     if model is not None and len(replica.members) < model.size:
-        return GiveUpReason.MEMBER_GONE
-    return GiveUpReason.LEAVING if replica.is_leaving else GiveUpReason.NONE
+        return DissolveReason.MEMBER_GONE
+    return DissolveReason.LEAVING if replica.is_leaving else DissolveReason.NONE
--- a/ferrydock/replicas/_load_budget.py
+++ b/ferrydock/replicas/_load_budget.py
@@ -1,6 +1,6 @@
-"""How many loads from the weight store may begin: a hall's part of the site's bound.
+"""Limit on the loads from the weight store that a hall may begin: its share of the site's bound.
 
-Owns the times of the loads that this controller began, in memory.
+Owns the times of the loads that this controller has begun, in memory.
 """
 
 from collections import deque
@@ -9,7 +9,7 @@
 
 
 class WeightLoadBudget:
-    """Counts loads in a sliding window.
+    """Limits the loads that begin within a sliding window.
 
     Parameters
     ----------
@@ -20,7 +20,7 @@
     --------
     >>> budget = WeightLoadBudget(5.0)
     >>> budget.begin(2, now_s=0.0)
-    >>> budget.left(3, now_s=1.0), budget.left(3, now_s=5.5)
+    >>> budget.remaining(3, now_s=1.0), budget.remaining(3, now_s=5.5)
     (1, 3)
     """
 
@@ -31,11 +31,11 @@
         self._begun_s: deque[float] = deque()
 
     def begin(self, loads: int, now_s: float) -> None:
-        """Count loads that begin."""
+        """Count `loads` loads as begun at `now_s`."""
         self._begun_s.extend([now_s] * loads)
 
-    def left(self, max_loads: int, now_s: float) -> int:
-        """Return how many more may begin now, if `max_loads` may within the window."""
+    def remaining(self, max_loads: int, now_s: float) -> int:
+        """Return how many more loads may begin now, given `max_loads` per window."""
         while self._begun_s and now_s - self._begun_s[0] > self.window_s:
             self._begun_s.popleft()
         return max(0, max_loads - len(self._begun_s))
--- a/ferrydock/replicas/_model_weights.py
+++ b/ferrydock/replicas/_model_weights.py
@@ -1,6 +1,6 @@
-"""Rule: which part of the targets each model should have.
+"""Rule: which share of the targets each model should have (its weight).
 
-Pure but for `SteadyWeights`, which owns the weights in force, in memory.
+Pure except for `SteadyWeights`, which owns the weights in force, in memory.
 """
 
 from collections.abc import Mapping
@@ -10,23 +10,23 @@
 
 __all__ = ["SteadyWeights", "model_weights", "replicas_needed"]
 
-# Before there is an observation, the configured shares are mixed with equal parts: they are
-# somebody's guess. With 0.5 in place of 0, six days on which a guess of 2 to 1 was wrong the other
-# way round were worth 0.813 in place of 0.652 (docs/design/capacity.md, round 1).
-EQUAL_PARTS_FRACTION = 0.5
+# Before demand has been observed, the configured shares, which are estimates, are averaged with
+# equal shares. Six days on which 2 to 1 was configured and the demand was the other way round were
+# worth 0.813 with 0.5 and 0.652 with 0 (docs/design/capacity.md, round 1).
+EQUAL_SHARES_FRACTION = 0.5
 
-# Replicas of a model beyond its demand: the next loss takes one. Chosen, not measured.
+# Replicas of a model beyond its demand, to cover the loss of one.
 SPARE_REPLICAS = 1.0
 
-# Demand varies like arrivals that do not know of each other: by its square root. Two of these
-# cover all but a few moments in a hundred. Chosen, not measured.
-VARIANCE_FACTOR = 2.0
+# Arrivals are taken as independent, so the standard deviation of the demand is its square root.
+# Two standard deviations cover the demand in all but a few percent of the time.
+DEMAND_DEVIATION_FACTOR = 2.0
 
-# Weights in force change only if one of them is off by this part of itself, and not more often
-# than this: weights take 12 to 16 s to load, so a plan that swings serves nobody. Chosen, not
-# measured.
+# Hysteresis: the weights in force change only if one of them differs by more than this fraction of
+# itself, and not more often than at this interval. Loading a model takes 12 to 16 s, during which
+# its targets serve no requests, so a plan that oscillates would waste them.
 MIN_CHANGE_FRACTION = 0.25
-MIN_CHANGE_PAUSE_S = 4.0
+MIN_CHANGE_INTERVAL_S = 4.0
 
 
 def replicas_needed(
@@ -37,28 +37,28 @@
     Parameters
     ----------
     slots_wanted : float
-        Slots that the model's requests fill on average.
+        Slots that the model's requests fill on average, on the whole site.
     slots : int
-        Slots of a replica.
+        Slots of one replica.
     spare_replicas : float
-        Replicas beyond the demand.
+        Replicas beyond the demand, to cover losses.
 
     Examples
     --------
     >>> replicas_needed(0.0, 10), replicas_needed(25.0, 10)
     (1.0, 4.5)
     """
-    return (slots_wanted + VARIANCE_FACTOR * sqrt(slots_wanted)) / slots + spare_replicas
+    return (slots_wanted + DEMAND_DEVIATION_FACTOR * sqrt(slots_wanted)) / slots + spare_replicas
 
 
 def model_weights(engine: EngineSpec, slots_wanted: Mapping[str, float]) -> dict[str, float]:
-    """Return the part of the targets that each model should have; together they are 1.
+    """Return the share of the targets that each model should have; the shares add up to 1.
 
     Parameters
     ----------
     slots_wanted : mapping of str to float
-        Slots that each model's requests fill on average, on the whole site; empty before there is
-        an observation. A model that is not in it has had no request.
+        Slots that each model's requests fill on average, on the whole site; empty before demand has
+        been observed. A model that is not in it has had no requests.
 
     Examples
     --------
@@ -69,10 +69,10 @@
     >>> {name: round(weight, 2) for name, weight in weights.items()}
     {'large': 0.46, 'small': 0.54}
     """
-    return _by_demand(engine, slots_wanted) if slots_wanted else _prior(engine)
+    return _demand_weights(engine, slots_wanted) if slots_wanted else _configured_weights(engine)
 
 
-def _by_demand(engine: EngineSpec, slots_wanted: Mapping[str, float]) -> dict[str, float]:
+def _demand_weights(engine: EngineSpec, slots_wanted: Mapping[str, float]) -> dict[str, float]:
     targets = {
         model.name: replicas_needed(slots_wanted.get(model.name, 0.0), engine.slots) * model.size
         for model in engine.models
@@ -81,23 +81,23 @@
     return {name: count / total for name, count in targets.items()}
 
 
-def _prior(engine: EngineSpec) -> dict[str, float]:
+def _configured_weights(engine: EngineSpec) -> dict[str, float]:
     equal = 1.0 / len(engine.models)
     total = sum(model.share for model in engine.models)
     configured = {model.name: model.share / total if total else equal for model in engine.models}
     return {
-        name: EQUAL_PARTS_FRACTION * equal + (1.0 - EQUAL_PARTS_FRACTION) * share
+        name: EQUAL_SHARES_FRACTION * equal + (1.0 - EQUAL_SHARES_FRACTION) * share
         for name, share in configured.items()
     }
 
 
 class SteadyWeights:
-    """Weights that change only for a difference that matters, and not too often.
+    """Weights with hysteresis: they change only for a large difference, and not too often.
 
     Attributes
     ----------
     weights : dict of str to float
-        Those in force; empty before the first.
+        The weights in force; empty before the first update.
 
     Examples
     --------
@@ -117,18 +117,18 @@
         self._changed_s = 0.0
 
     def update(self, weights: Mapping[str, float], now_s: float) -> dict[str, float]:
-        """Take new weights if they differ enough; return those in force."""
+        """Apply new weights if they differ enough; return those in force."""
         if self.weights.keys() != weights.keys():
-            return self._take(weights, now_s)
-        is_due = now_s - self._changed_s >= MIN_CHANGE_PAUSE_S
+            return self._apply(weights, now_s)
+        is_due = now_s - self._changed_s >= MIN_CHANGE_INTERVAL_S
         if is_due and any(self._differs(name, weights[name]) for name in weights):
-            return self._take(weights, now_s)
+            return self._apply(weights, now_s)
         return self.weights
 
     def _differs(self, name: str, weight: float) -> bool:
         return abs(weight - self.weights[name]) > MIN_CHANGE_FRACTION * self.weights[name]
 
-    def _take(self, weights: Mapping[str, float], now_s: float) -> dict[str, float]:
+    def _apply(self, weights: Mapping[str, float], now_s: float) -> dict[str, float]:
         self.weights = dict(weights)
         self._changed_s = now_s
         return self.weights
--- a/ferrydock/replicas/_observed.py
+++ b/ferrydock/replicas/_observed.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class ObservedReplica:
-    """One replica; `members` are those with an entry, by rank."""
+    """One replica; `members` holds the members that have an entry, by rank."""
 
     name: str
     epoch: int
@@ -39,17 +39,17 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether a member has said that it will leave."""
+        """Whether a member has announced that it will leave."""
         return any(target.draining for target in self.members)
 
     @property
     def model(self) -> str:
-        """What it serves; empty if no member reports it."""
+        """Name of the model that it serves; empty if no member reports one."""
         return next((t.models[0] for t in self.members if t.models), "")
 
 
 def observed_replicas(members: Iterable[Target]) -> list[ObservedReplica]:
-    """Return the replicas that targets with a membership form."""
+    """Return the replicas that the given targets, each with a membership, belong to."""
     found: dict[tuple[str, int], ObservedReplica] = {}
     for target in members:
         key = (target.joined.replica, target.joined.epoch)
--- a/ferrydock/replicas/_order_sender.py
+++ b/ferrydock/replicas/_order_sender.py
@@ -1,8 +1,8 @@
-"""Sending orders to targets so that a lost, late or doubled one does no harm.
+"""Sending orders to targets so that a lost, late or duplicate order does no harm.
 
-Owns, for each target, how many orders it has taken and which replica it then belonged to, in
-memory; lost with the process and then read from the target's report. Relies on the targets to
-refuse an order that expects another number.
+Owns, for each target, the number of orders that it has accepted and the replica that it then
+belonged to, in memory; after a restart both are read from the target's report. Relies on the
+targets to refuse an order that expects another number of accepted orders.
 """
 
 import asyncio
@@ -30,17 +30,15 @@
 
 _LOG = logging.getLogger("ferrydock.replicas")
 
-# Pause before an order is sent again. Chosen, not measured.
 RESEND_PAUSE_S = 0.1
 
-# How long a target may take for its report. Chosen, not measured.
 REPORT_TIMEOUT_S = 0.5
 
-# Pause before the report of a target that refused an order for its number: the number in a report
-# may lag a little behind. Chosen, not measured.
+# Wait before requesting the report of a target that refused an order because of its expected
+# number: the number in the report may lag behind by this much.
 REPORT_LAG_S = 0.2
 
-# Refusal reasons of `OrderRefused` that matter here.
+# Reasons of `OrderRefused` that this module sets or checks.
 WRONG_STATE = "state"
 ELSEWHERE = "elsewhere"
 
@@ -49,50 +47,50 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownOrders:
-    """A target as it was after a number of orders.
+    """State of a target after a number of orders.
 
     Attributes
     ----------
     orders : int
-        Orders that it has taken.
+        Number of orders that it has accepted.
     replica : (str, int) or None
-        Name and epoch of the replica that it then belonged to.
+        Name and epoch of the replica that it belonged to after these orders; None for none.
     """
 
     orders: int
     replica: tuple[str, int] | None
 
     @classmethod
-    def of_report(cls, report: TargetReport) -> Self:
-        """Return what a report tells."""
+    def from_report(cls, report: TargetReport) -> Self:
+        """Return the state that a target reports."""
         return cls(report.orders, (report.replica, report.epoch) if report.replica else None)
 
-    def is_elsewhere(self, order: Order) -> bool:
-        """Return whether the order is to join a replica while the target belongs to another."""
+    def is_in_other_replica(self, order: Order) -> bool:
+        """Return whether this is an order to join, and the target belongs to another replica."""
         if not isinstance(order, JoinOrder) or self.replica is None:
             return False
         return self.replica != (order.replica, order.epoch)
 
 
 class OrderSender:
-    """Sends orders under the number of orders that a target has taken.
+    """Sends each order with the number of orders that its target has accepted so far.
 
     Parameters
     ----------
     control : TargetControl
-        Speaks to targets.
+        Sends single orders to targets and requests their reports.
     directory : TargetDirectory
-        Tells which targets are new and have taken none.
+        The target list.
 
     Notes
     -----
-    An order that was left unanswered may be carried out seconds later. It expects the number of
-    orders from before, so the next order that the target takes makes it void. Therefore an order
-    is sent again, under the same number, until it is answered.
+    An order without an answer may be executed seconds later. It carries the number of accepted
+    orders that it expects, so it becomes void once the target accepts another order. Therefore an
+    order is sent again, with the same number, until it is answered.
 
-    A number is kept together with the replica that the target belonged to. A target that belongs to
-    another replica is not told to join: the target list, from which the order was decided, is older
-    than that (incident: docs/incidents/2026-12-02-late-joins.md).
+    The number is stored together with the replica that the target belonged to. A target that
+    belongs to another replica is not ordered to join: the order was decided from a target list that
+    is older than that membership (incident: docs/incidents/2026-12-02-late-joins.md).
     """
 
     __slots__ = ("_known", "clock", "control", "directory")
@@ -106,8 +104,8 @@
     async def send(self, target: Target, order: Order, within_s: float) -> OrderOutcome:
         """Send an order until it is answered, for at most `within_s`.
 
-        A refusal for the number of orders is tried again under the number that the target reports.
-        `Unknown`: it may be carried out, now or later.
+        If the target refuses the expected number of orders, the order is sent again with the number
+        that the target reports. `Unknown` means that the order may be executed, now or later.
         """
         until_s = self.clock.now_s() + within_s
         unknown: Unknown | None = None
@@ -134,22 +132,22 @@
             await asyncio.sleep(RESEND_PAUSE_S)
 
     def forget_others(self, target_ids: Container[str]) -> None:
-        """Drop what is known of targets that are gone."""
+        """Remove the state of targets other than those in `target_ids`."""
         for target_id in [i for i in self._known if i not in target_ids]:
             del self._known[target_id]
 
     async def _expected(self, target: Target, order: Order) -> int | OrderRefused | Unavailable:
-        """Return how many orders a target has taken, or why the order must not be sent."""
+        """Return how many orders a target has accepted, or why the order must not be sent."""
         known = self._known.get(target.target_id)
         if known is None and target.is_fresh:
             known = KnownOrders(0, None)
-        if known is None or known.is_elsewhere(order):
+        if known is None or known.is_in_other_replica(order):
             report = await self.control.report(target, REPORT_TIMEOUT_S)
             if isinstance(report, Unavailable):
                 return Unavailable("no report")
-            known = KnownOrders.of_report(report)
+            known = KnownOrders.from_report(report)
         self._known[target.target_id] = known
-        return OrderRefused(ELSEWHERE) if known.is_elsewhere(order) else known.orders
+        return OrderRefused(ELSEWHERE) if known.is_in_other_replica(order) else known.orders
 
     async def _send_once(self, target: Target, order: Order, expected: int) -> OrderOutcome:
         outcome = await self.control.order(target, order, expected)
@@ -157,9 +155,10 @@
         return outcome
 
     def _note_done(self, target: Target, order: Order, expected: int, done: OrderDone) -> None:
-        """Note what a target that took an order has become.
+        """Record the state of a target after an order that it accepted.
 
-        An order that held already counts as none, but a leave always counts.
+        An order whose effect was already in place (`OrderDone.already`) does not raise the number
+        of accepted orders, unless it is an order to leave.
         """
         counts = isinstance(order, LeaveOrder) or not done.already
         orders = expected + 1 if counts else expected
@@ -173,10 +172,10 @@
     async def _may_resend(
         self, target: Target, order: Order, expected: int, refused: OrderRefused
     ) -> bool:
-        """Read a target's number of orders; return whether the order may be sent under it.
+        """Read a target's number of accepted orders; return whether to send the order with it.
 
-        The number may be lower than expected: an order that held already counts with some targets
-        and not with others.
+        The number may be lower than expected: an order whose effect was already in place raises it
+        on some targets and not on others.
         """
         if refused.reason != WRONG_STATE:
             return False
@@ -184,8 +183,8 @@
         report = await self.control.report(target, REPORT_TIMEOUT_S)
         if isinstance(report, Unavailable) or report.orders == expected:
             return False
-        known = self._known[target.target_id] = KnownOrders.of_report(report)
-        return not known.is_elsewhere(order)
+        known = self._known[target.target_id] = KnownOrders.from_report(report)
+        return not known.is_in_other_replica(order)
 
     def _log(
         self, target: Target, order: Order, expected: int | None, outcome: OrderOutcome
--- a/ferrydock/replicas/_plan.py
+++ b/ferrydock/replicas/_plan.py
@@ -9,7 +9,7 @@
 
 from ..configuration import EngineSpec, ModelSpec
 from ..targets import Target
-from ._staging import Loading
+from ._staging import WeightLoad
 
 __all__ = [
     "DomainState",
@@ -20,24 +20,22 @@
     "next_formation",
 ]
 
-# Part of a domain's targets that is kept idle as spares. A lost member is then replaced by a target
-# that has the weights already. Chosen, not measured.
+# Fraction of a domain's targets that stays idle as spares, so that a lost member is replaced by a
+# target that already has the weights.
 SPARE_FRACTION = 0.2
 
-# Spares are kept only if what is left serves at least this part of what all targets could.
-# Measured in docs/MEASUREMENTS.md, routes, "spares only where cheap" (commit 991cc1d).
+# Spares are kept only if the other targets can form replicas with at least this fraction of the
+# members that all targets could.
 MIN_SERVING_FRACTION = 0.75
 
-# A domain is given to one model if the model has work for at least this part of it. That domains
-# are given whole at all: docs/MEASUREMENTS.md, routes, "domains by model"; the value is chosen, not
-# measured.
-WHOLE_DOMAIN_FRACTION = 0.75
+# A domain is assigned to a single model if the model needs at least this fraction of it; see
+# `domain_shares` for the reason.
+SINGLE_MODEL_FRACTION = 0.75
 
-# Keeps a model without any weight from dividing by zero; it comes last then.
+# Lower bound on the divisor for a model with a weight of 0, which then comes last.
 MIN_WEIGHT = 1e-6
 
-# How long a target takes to join a replica of the model that it served last, in seconds: the
-# platform's own time.
+# Time that a target takes to join a replica of the model that it served last; set by the platform.
 REJOIN_S = 0.2
 
 
@@ -50,9 +48,9 @@
     members : tuple of Target
         The head first.
     loads : int
-        Loads from the weight store that it needs.
+        Number of members that must load weights from the weight store.
     ready_s : float
-        How long the slowest member takes to be ready.
+        Seconds until the slowest member is ready.
     """
 
     model: ModelSpec
@@ -63,18 +61,18 @@
 
 @dataclass(slots=True)
 class DomainState:
-    """A fabric domain as the next decision finds it.
+    """State of a fabric domain, as input to planning decisions.
 
     Attributes
     ----------
     size : int
-        Targets that can be used, idle or not.
+        Number of usable targets, idle or not.
     idle : list of Target
         Targets that may join a replica now.
     counts : dict of str to int
-        Replicas by model, those being formed included.
+        Number of replicas by model, those being formed included.
     shares : mapping of str to float
-        Part of the domain that each model should have.
+        Share of the domain that each model should have.
     """
 
     size: int
@@ -83,11 +81,11 @@
     shares: Mapping[str, float]
 
     def add(self, formation: Formation) -> None:
-        """Count a replica that is to be formed, and its members as no longer idle."""
+        """Count a replica that is to be formed, and remove its members from the idle targets."""
         name = formation.model.name
         self.counts[name] = self.counts.get(name, 0) + 1
-        taken = {member.target_id for member in formation.members}
-        self.idle = [target for target in self.idle if target.target_id not in taken]
+        member_ids = {member.target_id for member in formation.members}
+        self.idle = [target for target in self.idle if target.target_id not in member_ids]
 
 
 def domain_shares(
@@ -98,15 +96,17 @@
     Parameters
     ----------
     weights : mapping of str to float
-        Part of the hall's targets that each model should have; together they are 1.
+        Share of the hall's targets that each model should have; the shares add up to 1.
     held : sequence of mapping of str to int
-        Targets that hold a model, by model, of each domain. Domains count as equally large.
+        For each domain, the number of targets that hold a model, by model. Domains count as equally
+        large.
 
     Notes
     -----
-    A domain is given to one model if that model has work for most of it: then every spare and every
-    survivor there has the weights that the next repair needs. The remaining domains are mixed. A
-    model gets the domain that holds most of it, so that weights which change a little move little.
+    A domain is assigned to a single model if that model needs most of it: then all spares and all
+    survivors of lost replicas there have the weights that the next repair needs. The remaining
+    domains are shared by several models. A model gets the domain in which most targets hold it, so
+    that a small change of the weights moves few targets.
 
     Examples
     --------
@@ -121,14 +121,14 @@
     needs = {name: weight * len(held) for name, weight in weights.items()}
     shares: dict[int, dict[str, float]] = {}
     while len(shares) < len(held):
-        left = [number for number in range(len(held)) if number not in shares]
+        remaining = [number for number in range(len(held)) if number not in shares]
         name = max(needs, key=lambda model: needs[model])
-        if needs[name] < WHOLE_DOMAIN_FRACTION and len(needs) > 1:
+        if needs[name] < SINGLE_MODEL_FRACTION and len(needs) > 1:
             wanted = {other: max(0.0, need) for other, need in needs.items()}
             total = sum(wanted.values()) or 1.0
-            shares.update((n, {m: need / total for m, need in wanted.items()}) for n in left)
+            shares.update((n, {m: need / total for m, need in wanted.items()}) for n in remaining)
             break
-        number = max(left, key=lambda n: held[n].get(name, 0))
+        number = max(remaining, key=lambda n: held[n].get(name, 0))
         shares[number] = {other: float(other == name) for other in needs}
         needs[name] -= 1.0
     return [shares[number] for number in range(len(held))]
@@ -140,16 +140,17 @@
     Parameters
     ----------
     size : int
-        Targets of the domain that can be used, idle or not.
+        Number of usable targets of the domain, idle or not.
     engine : EngineSpec
-        Sizes of the models.
+        The models and their sizes in targets.
     shares : mapping of str to float
-        Part of the domain that each model should have.
+        Share of the domain that each model should have.
 
     Notes
     -----
-    Targets go to the model that has the fewest for its share. A fifth of the domain stays idle as
-    spares, unless that costs more than a quarter of what it could serve with.
+    Targets go to the model that has the fewest relative to its share. `SPARE_FRACTION` of the
+    domain stays idle as spares, unless that leaves less than `MIN_SERVING_FRACTION` of the replica
+    members that the domain could have: a fifth, unless it costs more than a quarter.
 
     Examples
     --------
@@ -164,8 +165,8 @@
     >>> [desired_counts(size, two_models(), small)["small"] for size in (10, 8, 6, 5)]
     [4, 3, 3, 2]
     """
-    with_spares = _fill(size - int(size * SPARE_FRACTION), engine, shares)
-    without_spares = _fill(size, engine, shares)
+    with_spares = _allocate(size - int(size * SPARE_FRACTION), engine, shares)
+    without_spares = _allocate(size, engine, shares)
     enough = MIN_SERVING_FRACTION * _targets_in(without_spares, engine)
     return with_spares if _targets_in(with_spares, engine) >= enough else without_spares
 
@@ -174,26 +175,26 @@
     return sum(counts[model.name] * model.size for model in engine.models)
 
 
-def _fill(left: int, engine: EngineSpec, shares: Mapping[str, float]) -> dict[str, int]:
-    """Return the replicas that `left` targets form."""
+def _allocate(remaining: int, engine: EngineSpec, shares: Mapping[str, float]) -> dict[str, int]:
+    """Return how many replicas of each model `remaining` targets can form."""
     counts = {model.name: 0 for model in engine.models}
     while True:
-        fitting = [m for m in engine.models if m.size <= left and shares.get(m.name, 0) > 0]
+        fitting = [m for m in engine.models if m.size <= remaining and shares.get(m.name, 0) > 0]
         if not fitting:
             return counts
         model = min(fitting, key=lambda m: (counts[m.name] * m.size / shares[m.name], -m.size))
         counts[model.name] += 1
-        left -= model.size
+        remaining -= model.size
 
 
 def ready_in_s(
-    target: Target, model: ModelSpec, loading: Mapping[str, Loading] = MappingProxyType({})
+    target: Target, model: ModelSpec, loading: Mapping[str, WeightLoad] = MappingProxyType({})
 ) -> float:
-    """Return how many seconds a target takes to be ready for a model."""
+    """Return the seconds until a target is ready to serve a model in a replica."""
     under_way = loading.get(target.target_id)
     if under_way is not None:
         has_right_model = under_way.model == model.name
-        return under_way.left_s + (model.warm_s if has_right_model else model.load_s)
+        return under_way.remaining_s + (model.warm_s if has_right_model else model.load_s)
     if model.name == target.last_model and model.name in target.staged:
         return REJOIN_S
     if model.name in target.staged:
@@ -204,9 +205,9 @@
 def choose_members(
     idle: Sequence[Target],
     model: ModelSpec,
-    loading: Mapping[str, Loading] = MappingProxyType({}),
+    loading: Mapping[str, WeightLoad] = MappingProxyType({}),
 ) -> Formation | None:
-    """Return the formation of `model` that is ready soonest, or None if targets are too few."""
+    """Return the formation of `model` that is ready soonest; None for too few idle targets."""
     if len(idle) < model.size:
         return None
     ranked = sorted(idle, key=lambda t: (ready_in_s(t, model, loading), len(t.staged), t.target_id))
@@ -223,29 +224,29 @@
     weights: Mapping[str, float],
     loads_left: int,
     may_load: bool = True,
-    loading: Mapping[str, Loading] = MappingProxyType({}),
+    loading: Mapping[str, WeightLoad] = MappingProxyType({}),
 ) -> Formation | None:
     """Return the next replica to form in a domain, or None.
 
     Parameters
     ----------
     site_targets : mapping of str to int
-        Targets of the whole site in replicas, by model. Of two models that both lack replicas, the
-        one with fewer targets for its weight goes first.
+        Number of targets in replicas on the whole site, by model. Of two models that both lack
+        replicas, the one with fewer targets relative to its weight goes first.
     weights : mapping of str to float
-        Part of the targets that each model should have.
+        Share of the targets that each model should have.
     loads_left : int
-        Loads from the weight store that may begin now.
+        Number of loads from the weight store that may begin now.
     may_load : bool, default=True
         Whether members may load weights after they have joined.
-    loading : mapping of str to Loading, optional
-        Weights under way, by target id.
+    loading : mapping of str to WeightLoad, optional
+        Loads in progress, by target id.
 
     Notes
     -----
-    A replica whose members must first load binds those that are ready for as long as that takes.
-    So once a site serves, `may_load` is False: weights are staged to idle targets first. Measured
-    in docs/MEASUREMENTS.md, second sitting, "weights staged first".
+    A replica with members that must first load weights occupies its ready members until they have
+    done so. So `may_load` is True only for the first replicas of a hall; later, weights are staged
+    to idle targets before these join.
     """
     desired = desired_counts(domain.size, engine, domain.shares)
     options = []
--- a/ferrydock/replicas/_planning.py
+++ b/ferrydock/replicas/_planning.py
@@ -1,7 +1,8 @@
-"""What the planning rules are fed with: a hall's targets, replicas and the loads that are left.
+"""Inputs of the planning rules: a hall's targets and replicas, and the loads that may still begin.
 
-Owns the loads that were begun, the domains seen so far, and since when the hall's targets have not
-changed in number. Decides by `_plan` and `_staging`; orders nothing.
+Owns the begun loads, the models held in each domain seen so far, how long each model has been short
+of replicas, and since when the number of targets has not changed. Decides by `_plan`, `_staging`
+and `_turn_over`; sends no orders.
 """
 
 from collections import Counter
@@ -17,26 +18,25 @@
 from ._observed import ObservedReplica
 from ._plan import DomainState, Formation, desired_counts, domain_shares, next_formation
 from ._staging import StagingState, choose_stagings
-from ._turn_over import HallSupply, TurnOver, choose_turn_over
+from ._turn_over import HallSupply, Reassignment, choose_reassignment
 
 __all__ = ["ControllerSettings", "HallPlan", "HallPlanner"]
 
-# How long no target may have appeared anywhere before a hall is planned for the first time, in
-# seconds. The number of domains decides which model gets which. Measured in docs/MEASUREMENTS.md,
-# routes, "domains by model, after the last worker".
-SETTLE_S = 0.4
+# The number of targets must not have changed for this long before a hall is planned for the first
+# time: which model gets which domain depends on the number of domains.
+TARGETS_SETTLE_S = 0.4
 
-# Loads that may begin in a window in addition to rate times window times overshoot: the platform's
-# own bound is counted so.
+# Loads that may begin in a window in addition to rate times window times overshoot, as in the
+# platform's own bound.
 EXTRA_LOADS = 3
 
-# Pause between two replicas that a hall gives up for another model: time for the plan to see what
-# the first one changed. Chosen, not measured.
-TURN_OVER_PAUSE_S = 3.0
+# Minimum interval between two reassignments in a hall, so that the second is decided from the
+# effect of the first.
+REASSIGNMENT_PAUSE_S = 3.0
 
-# How long a model must have been short before a replica of another is given up for it: a lost
-# member is replaced within 3 s. Chosen, not measured.
-SHORT_FOR_S = 4.0
+# How long a model must have been short of replicas before the plan or a replica of another model
+# changes for it. Longer than the 3 s in which a lost member is replaced.
+MIN_SHORTAGE_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,11 +46,12 @@
     Attributes
     ----------
     hall : str
-        Whose targets it forms into replicas.
+        Hall whose targets the controller forms into replicas.
     halls : int
-        How many halls share the site's bound on weight loads.
+        Number of halls that share the site's bound on weight loads.
     load_window_s, load_overshoot : float
-        Window in which loads are counted, and the factor by which they may exceed the rate.
+        Length of the sliding window in which loads are counted, and the factor by which they may
+        exceed the rate.
     """
 
     hall: str
@@ -61,16 +62,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HallPlan:
-    """What a hall should hold for a service, as operators are told; all by model.
+    """What a hall should hold for a service, as shown to operators; all by model.
 
     Attributes
     ----------
     slots_wanted : mapping of str to float
-        Slots that requests fill on average, on the whole site; empty before an observation.
+        Slots that requests fill on average, on the whole site; empty before demand has been
+        observed.
     weights : mapping of str to float
-        Part of the targets that each model should have.
+        Share of the targets that each model should have.
     replicas : mapping of str to int
-        Replicas that this gives with the targets that can be used now.
+        Number of replicas that follow from the weights with the targets usable now.
     """
 
     slots_wanted: Mapping[str, float]
@@ -79,23 +81,23 @@
 
 
 class HallPlanner:
-    """Returns the replicas to form and the weights to stage.
+    """Decides which replicas to form, which weights to stage, and which replica to reassign.
 
     Parameters
     ----------
     state : HallState
-        What is under way.
+        Running operations, and targets that are not used for a time.
     demand : callable
-        Returns the slots that requests for each model fill on the whole site, for a service; empty
-        before there is an observation.
+        Returns, for a service, the slots that requests for each model fill on the whole site; empty
+        before demand has been observed.
     """
 
     __slots__ = (
-        "_held",
+        "_models_held",
         "_short_since_s",
-        "_targets_known",
-        "_targets_since_s",
-        "_turned_over_s",
+        "_last_target_count",
+        "_target_count_changed_s",
+        "_last_reassignment_s",
         "_weights",
         "clock",
         "demand",
@@ -120,14 +122,14 @@
         self.demand = demand
         self._weights: dict[str, SteadyWeights] = {}
         self.loads = WeightLoadBudget(settings.load_window_s)
-        self._held: dict[str, Counter[str]] = {}
-        self._turned_over_s = 0.0
+        self._models_held: dict[str, Counter[str]] = {}
+        self._last_reassignment_s = 0.0
         self._short_since_s: dict[tuple[str, str], float] = {}
-        self._targets_known = 0
-        self._targets_since_s = 0.0
+        self._last_target_count = 0
+        self._target_count_changed_s = 0.0
 
-    def forget(self) -> None:
-        """Drop what was observed in a term of leadership that is over."""
+    def reset(self) -> None:
+        """Clear the weights and shortages that belong to one term of leadership."""
         self._weights.clear()
         self._short_since_s.clear()
 
@@ -145,24 +147,24 @@
         targets : list of Target
             The service's targets of this hall.
         replicas : list of ObservedReplica
-            Replicas that are there to stay.
+            Replicas that are kept.
         """
         now_s = self.clock.now_s()
-        is_first = self._is_first(targets)
-        # Before the first replica nothing serves yet, and the platform does not count loads.
+        is_first = self._is_first_plan(targets)
+        # Before the first replica no target serves, and the platform does not count loads.
         loads_left = len(targets) if is_first else self._loads_left(engine, now_s)
         loading = self.state.staging.loading(now_s)
         domains = _by_domain(targets)
         weights = self.weights(service, engine)
         shares = self._shares(domains, weights)
-        if not self._is_settled(targets, now_s):
+        if not self._are_targets_settled(targets, now_s):
             return []
         plans: list[Formation] = []
         counts = self.state.counts(replicas)
         site_targets = self._site_targets(service, engine)
         for name in sorted(domains):
-            if self.state.freeing[name]:
-                continue  # the survivors of a broken replica will be idle soon, and ready soonest
+            if self.state.dissolving[name]:
+                continue  # survivors of a broken replica are soon idle, and then ready soonest
             domain = self._domain_state(domains[name], counts[name], shares[name])
             while formation := next_formation(
                 domain, engine, site_targets, weights, loads_left, is_first, loading
@@ -181,14 +183,15 @@
         replicas: list[ObservedReplica],
         engine: EngineSpec,
     ) -> list[tuple[Target, ModelSpec]]:
-        """Return which idle targets shall load what: for missing replicas, then for spares.
+        """Return which idle targets are to load which model, first for missing replicas.
 
-        Nothing while the first replicas are formed: they load by themselves. A hall that has lost
-        all of its replicas stages: its survivors alone may never be enough for another one.
+        Returns no stagings while the first replicas of a hall are formed, whose members load the
+        weights after they have joined. A hall that has lost all of its replicas does stage: the
+        survivors that hold weights may be too few for a replica.
         """
         now_s = self.clock.now_s()
         is_serving = any(replica.is_open for replica in replicas)
-        if not is_serving and (self.state.forming or self._is_first(targets)):
+        if not is_serving and (self.state.forming or self._is_first_plan(targets)):
             return []
         domains = _by_domain(t for t in targets if self._is_usable(t))
         shares = self._shares(domains, self.weights(service, engine))
@@ -206,13 +209,13 @@
                 in_use={m.name: counts.get(m.name, 0) * m.size for m in engine.models},
                 shares=domain.shares,
                 loading=self.state.staging.loading(now_s),
-                may_restage=not self.state.freeing[name] and not self.state.is_busy(usable),
+                may_restage=not self.state.dissolving[name] and not self.state.is_busy(usable),
             )
             orders += choose_stagings(domain.idle, engine, state)
         return orders[: self._loads_left(engine, now_s)]
 
     def plan(self, service: str, targets: list[Target], engine: EngineSpec) -> HallPlan:
-        """Return what the hall should hold now."""
+        """Return what the hall should hold for a service."""
         weights = self.weights(service, engine)
         usable = _by_domain(t for t in targets if self._is_usable(t))
         shares = self._shares(usable, weights)
@@ -227,32 +230,32 @@
         targets: list[Target],
         replicas: list[ObservedReplica],
         engine: EngineSpec,
-    ) -> TurnOver | None:
-        """Return the replica to give up for another model now, or None."""
+    ) -> Reassignment | None:
+        """Return the replica to dissolve now for another model, or None."""
         now_s = self.clock.now_s()
         supply = self._supply(service, targets, replicas, engine)
         self._note_shortage(service, engine, supply, now_s)
-        is_paused = now_s - self._turned_over_s < TURN_OVER_PAUSE_S or self.state.forming
+        is_paused = now_s - self._last_reassignment_s < REASSIGNMENT_PAUSE_S or self.state.forming
         if is_paused or not self._is_short(service):
             return None
         domains = _by_domain(t for t in targets if self._is_usable(t))
         shares = self._shares(domains, self.weights(service, engine))
         counts = self.state.counts(replicas)
         for name in sorted(domains):
-            if self.state.freeing[name] or self.state.is_busy(domains[name]):
+            if self.state.dissolving[name] or self.state.is_busy(domains[name]):
                 continue
             domain = self._domain_state(domains[name], counts[name], shares[name])
             serving = [r for r in replicas if r.domain == name and r.is_open]
-            found = choose_turn_over(domain, serving, engine, supply)
+            found = choose_reassignment(domain, serving, engine, supply)
             if found is not None:
-                self._turned_over_s = now_s
+                self._last_reassignment_s = now_s
                 return found
         return None
 
     def _note_shortage(
         self, service: str, engine: EngineSpec, supply: HallSupply, now_s: float
     ) -> None:
-        """Note since when each model has not been able to serve its demand."""
+        """Record since when the replicas of each model have been too few for its demand."""
         names = {model.name for model in engine.models}
         for key in [k for k in self._short_since_s if k[0] == service and k[1] not in names]:
             del self._short_since_s[key]
@@ -269,10 +272,12 @@
         replicas: list[ObservedReplica],
         engine: EngineSpec,
     ) -> HallSupply:
-        """Return what the hall should serve, by its part of the site's targets, and what it has."""
-        of_site = sum(target.service == service for target in self.directory.targets.values())
+        """Return the hall's share of the demand, by its share of the targets, and its replicas."""
+        site_target_count = sum(
+            target.service == service for target in self.directory.targets.values()
+        )
         counts = Counter(replica.model for replica in replicas)
-        return HallSupply(self.demand(service), len(targets) / max(1, of_site), counts)
+        return HallSupply(self.demand(service), len(targets) / max(1, site_target_count), counts)
 
     def _is_usable(self, target: Target) -> bool:
         return not target.draining and not self.state.is_paused(target)
@@ -288,35 +293,37 @@
         return DomainState(len(usable), idle, counts, shares)
 
     def _loads_left(self, engine: EngineSpec, now_s: float) -> int:
-        """Return how many loads from the weight store may begin now: the hall's equal part."""
+        """Return how many loads may begin now; halls share the site's bound equally."""
         settings = self.settings
         within_window = engine.loads_per_s * settings.load_window_s * settings.load_overshoot
         max_loads = int(within_window + EXTRA_LOADS) // settings.halls
-        return self.loads.left(max_loads, now_s)
+        return self.loads.remaining(max_loads, now_s)
 
-    def _is_first(self, targets: Iterable[Target]) -> bool:
-        """Return whether no target of the hall holds weights, or has held any that is known of."""
+    def _is_first_plan(self, targets: Iterable[Target]) -> bool:
+        """Return whether no target of the hall holds weights, or was seen holding any."""
         if any(target.models or target.staged for target in targets):
             return False
-        return not any(self._held.values())
+        return not any(self._models_held.values())
 
-    def _is_settled(self, targets: list[Target], now_s: float) -> bool:
-        """Return whether all of the hall's targets have probably appeared.
+    def _are_targets_settled(self, targets: list[Target], now_s: float) -> bool:
+        """Return whether all of the hall's targets have probably registered.
 
-        True as soon as one of them has ever had an order: then the hall was planned before.
+        That holds if the number of targets has not changed for `TARGETS_SETTLE_S`, or if one of the
+        hall's targets has ever got an order, since the hall was then planned before.
         """
         if not all(target.is_fresh for target in targets):
             return True
-        if len(self.directory.targets) != self._targets_known:
-            self._targets_known = len(self.directory.targets)
-            self._targets_since_s = now_s
-        return now_s - self._targets_since_s >= SETTLE_S
+        if len(self.directory.targets) != self._last_target_count:
+            self._last_target_count = len(self.directory.targets)
+            self._target_count_changed_s = now_s
+        return now_s - self._target_count_changed_s >= TARGETS_SETTLE_S
 
     def weights(self, service: str, engine: EngineSpec) -> dict[str, float]:
-        """Return the part of the targets that each model should have now.
+        """Return the share of the targets that each model should have now.
 
-        They change only while a model has been short for some seconds. A better plan that nobody
-        needs would leave idle targets unused until the weights of another model are loaded.
+        The weights change only while a model has been short of replicas for `MIN_SHORTAGE_S`.
+        Without a shortage, a change would leave idle targets unused until they have loaded the
+        weights of another model.
         """
         steady = self._weights.setdefault(service, SteadyWeights())
         is_complete = steady.weights.keys() == {model.name for model in engine.models}
@@ -326,8 +333,8 @@
         return steady.update(wanted, self.clock.now_s())
 
     def _is_short(self, service: str) -> bool:
-        """Return whether a model has not been able to serve its demand for some seconds."""
-        until_s = self.clock.now_s() - SHORT_FOR_S
+        """Return whether a model has been short of replicas for `MIN_SHORTAGE_S`."""
+        until_s = self.clock.now_s() - MIN_SHORTAGE_S
         return any(s <= until_s for (name, _), s in self._short_since_s.items() if name == service)
 
     def _shares(
@@ -335,17 +342,19 @@
     ) -> dict[str, dict[str, float]]:
         """Return the models' shares in each domain.
 
-        A domain once seen keeps its place, and what it held counts while it is dark: its model
-        would else be planned in another domain, where the spares would load its weights.
+        A domain without targets still counts with the models that it held last. Otherwise its model
+        would be planned in another domain, where the spares would load its weights.
         """
         for name, targets in domains.items():
-            self._held[name] = _held_models(targets) or self._held.get(name, Counter())
-        order = sorted(self._held)
-        shares = domain_shares(weights, [self._held[name] for name in order])
+            self._models_held[name] = _count_models_held(targets) or self._models_held.get(
+                name, Counter()
+            )
+        order = sorted(self._models_held)
+        shares = domain_shares(weights, [self._models_held[name] for name in order])
         return dict(zip(order, shares, strict=True))
 
     def _site_targets(self, service: str, engine: EngineSpec) -> dict[str, int]:
-        """Return the targets in replicas of the whole site by model, those planned included."""
+        """Return the number of targets in replicas on the site by model, planned ones included."""
         found = {model.name: 0 for model in engine.models}
         for replica in self.directory.replicas(service):
             if replica.model in found:
@@ -356,8 +365,8 @@
         return found
 
 
-def _held_models(targets: Iterable[Target]) -> Counter[str]:
-    """Return how many targets hold each model, in a replica or on their host."""
+def _count_models_held(targets: Iterable[Target]) -> Counter[str]:
+    """Return how many targets hold each model, in a replica or staged on their host."""
     return Counter(model for target in targets for model in set(target.models + target.staged))
 
 
--- a/ferrydock/replicas/_record.py
+++ b/ferrydock/replicas/_record.py
@@ -1,7 +1,7 @@
-"""A hall's placement record in the store: what was planned, and the epochs that follow from it.
+"""A hall's placement record in the store: the plans, and the epochs derived from its writes.
 
-The record itself lives in the store; this module owns only the position it was last written at. The
-stored fields are read by other versions and by people: they keep their names.
+The record is kept in the store; this module owns only the position of its last known write, in
+memory. Other versions and operators read the stored fields, so the fields keep their names.
 """
 
 import logging
@@ -22,20 +22,20 @@
 
 
 class PlacementRecord:
-    """Writes plans on condition that no other daemon has written since.
+    """Writes plans on the condition that the record has not changed since it was read.
 
     Parameters
     ----------
     store : Store
-        Keeps the record.
+        Holds the record.
     hall, holder : str
-        Whose record; name of this daemon.
+        Hall that the record belongs to; name of this daemon.
 
     Notes
     -----
     The rank of a write's position is the epoch of the replicas planned by it. Positions only rise,
-    also over a return of the store to an older copy, so the orders of a controller that was
-    replaced never outrank those of its successor, and no epoch comes twice.
+    also when the store is restored from an older copy, so a controller that was replaced never has
+    a higher epoch than its successor, and no epoch is used twice.
     """
 
     __slots__ = ("_position", "hall", "holder", "store")
@@ -46,19 +46,19 @@
         self.holder = holder
         self._position: Position | None = None
 
-    def forget(self) -> None:
-        """Read the record anew before the next write."""
+    def reset(self) -> None:
+        """Discard the known position; `read` must succeed before the next write."""
         self._position = None
 
     async def read(self) -> bool:
-        """Find out where the record was written; return whether that is known."""
+        """Read the position of the record's last write if needed; return whether it is known."""
         if self._position is not None and self._position.era == self.store.era:
             return True
         found = await self.store.range(placement_key(self.hall))
         if not isinstance(found, RangeDone):
             log_event(_LOG, logging.INFO, "placement_unread", hall=self.hall, why=found.reason)
             return False
-        self._position = _written_at(found.era, found.items[0] if found.items else None)
+        self._position = _record_position(found.era, found.items[0] if found.items else None)
         return True
 
     async def write(self, plans: dict[str, Formation]) -> int | None:
@@ -67,8 +67,8 @@
         Returns
         -------
         int or None
-            The rank of the write's position; None if it is certainly not in force (the reason is
-            logged).
+            The rank of the write's position; None if the write did not take effect, or its
+            outcome is unknown (the reason is logged).
         """
         key = placement_key(self.hall)
         value = self._encode(plans)
@@ -76,20 +76,20 @@
         txn = Txn((Compare(key, read.revision),), (Put(key, value),), (key,), read.era)
         done = await self.store.transact(txn)
         if isinstance(done, Unknown):
-            done = await self._settle(key, value)
+            done = await self._resolve_unknown(key, value)
         if isinstance(done, Unavailable):
             log_event(_LOG, logging.INFO, "placement_unwritten", hall=self.hall, why=done.reason)
             return None
         if not done.succeeded:
             item = done.reads[0] if done.reads else None
-            self._position = _written_at(done.era, item)
+            self._position = _record_position(done.era, item)
             log_event(_LOG, logging.WARNING, "placement_contested", hall=self.hall)
             return None
         self._position = done.position
         return done.position.rank()
 
     def _encode(self, plans: dict[str, Formation]) -> bytes:
-        """Return the stored value; the nonce tells this write from any other."""
+        """Return the value to store; its nonce distinguishes this write from any other."""
         rows = [
             {
                 "name": name,
@@ -100,8 +100,8 @@
         ]
         return orjson.dumps({"holder": self.holder, "nonce": uuid.uuid4().hex, "replicas": rows})
 
-    async def _settle(self, key: str, value: bytes) -> TxnDone | Unavailable:
-        """Find out whether a write whose answer was lost took effect."""
+    async def _resolve_unknown(self, key: str, value: bytes) -> TxnDone | Unavailable:
+        """Read the record to find out whether a write with an unknown outcome took effect."""
         found = await self.store.range(key)
         if not isinstance(found, RangeDone):
             self._position = None
@@ -109,10 +109,10 @@
         item = found.items[0] if found.items else None
         if item is not None and item.value == value:
             return TxnDone(True, item.mod_revision, era=found.era)
-        # It may still be done later, on its condition: the next write of ours makes it void.
+        # The store may still apply the write later, but its condition fails after our next write.
         return TxnDone(False, found.revision, (item,), era=found.era)
 
 
-def _written_at(era: int, item: KeyValue | None) -> Position:
-    """Return where the record was written; revision 0 if it is not there."""
+def _record_position(era: int, item: KeyValue | None) -> Position:
+    """Return the position of the record's last write; revision 0 if there is no record."""
     return Position(era, item.mod_revision if item is not None else 0)
--- a/ferrydock/replicas/tests/hall.py
+++ b/ferrydock/replicas/tests/hall.py
@@ -1,4 +1,4 @@
-"""A hall on virtual time: workers in memory, a store in memory, controllers that come and go."""
+"""A hall on virtual time, with workers and store in memory, and one controller at a time."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class Hall:
-    """Workers of one hall, and a controller at a time."""
+    """Workers of one hall; controllers can be started and killed one after the other."""
 
     def __init__(self, seed, domains=2, workers=10):
         self.rng = random.Random(seed)
@@ -48,7 +48,7 @@
                 self.directory.put(entry)
 
     def start_controller(self):
-        """Start a controller that waits for the lease and acts."""
+        """Start a controller that acquires the lease and then runs its rounds."""
         self.controllers += 1
         holder = f"daemon-{self.controllers}"
         control = FleetControl(self.fleet, self.rng)
@@ -79,24 +79,24 @@
             controller.stand_down()
 
     def kill_controller(self):
-        """End the controller as a kill does: its orders under way may still land."""
+        """Cancel the controller's task; orders that it has sent may still be executed."""
         self.task.cancel()
 
     def kill_worker(self, worker_id):
-        """Let a worker fall silent, and the controller be told by who noticed."""
+        """Kill a worker, and let the fleet list treat it as silent."""
         worker = self.fleet.workers[worker_id]
         self.fleet.kill(worker_id)
         self.list.on_silent(worker)
 
     def models(self):
-        """Return how many replicas of each model serve."""
+        """Return the number of open replicas of each model."""
         counts = {"large": 0, "small": 0}
         for head in self.fleet.open_heads():
             counts[head.model] += 1
         return counts
 
     async def until(self, condition, within_s):
-        """Wait for a condition; return how long that took, or None."""
+        """Wait for a condition; return the seconds that took, or None after `within_s`."""
         began_s = self.clock.now_s()
         while self.clock.now_s() - began_s < within_s:
             for head in self.fleet.open_heads():
--- a/ferrydock/replicas/tests/specs.py
+++ b/ferrydock/replicas/tests/specs.py
@@ -1,4 +1,4 @@
-"""Figures of a service with two models, as a small site has it."""
+"""Engine and targets of a small service with two models, for tests."""
 
 from ...configuration import EngineSpec, ModelSpec
 from ...targets import Target
--- a/ferrydock/replicas/tests/test_demand_plan.py
+++ b/ferrydock/replicas/tests/test_demand_plan.py
@@ -1,4 +1,4 @@
-"""Replicas follow the demand: the weights of models, and replicas that are turned over."""
+"""Replicas follow the demand: weights of the models, and reassignment of replicas."""
 
 import asyncio
 import itertools
@@ -13,7 +13,7 @@
 from .._model_weights import SteadyWeights, model_weights, replicas_needed
 from .._observed import ObservedReplica
 from .._plan import DomainState, desired_counts
-from .._turn_over import HallSupply, choose_turn_over
+from .._turn_over import HallSupply, choose_reassignment
 from .hall import Hall
 from .specs import two_models, worker
 
@@ -47,12 +47,12 @@
             assert 0 < used <= size
 
 
-def test_a_model_that_wants_more_gets_no_fewer_targets():
+def test_a_model_with_more_demand_gets_a_larger_weight():
     weights = [model_weights(two_models(), {"large": 20.0, "small": s}) for s in range(0, 90, 5)]
     assert all(a["small"] < b["small"] for a, b in itertools.pairwise(weights))
 
 
-def test_domains_stay_with_the_model_they_hold():
+def test_domains_keep_their_model_when_weights_change_a_little():
     for weight in (0.45, 0.5, 0.55):
         weights = {"large": weight, "small": 1.0 - weight}
         for first, second in (("large", "small"), ("small", "large")):
@@ -60,7 +60,7 @@
             assert [max(s, key=s.get) for s in shares] == [first, second]
 
 
-def test_demand_that_swings_a_little_changes_no_weights():
+def test_small_swings_of_demand_change_no_weights():
     steady = SteadyWeights()
     taken = {
         tuple(
@@ -73,8 +73,8 @@
     assert len(taken) == 1
 
 
-def best_counts(size, spec, supply, weights):
-    """Return the counts that leave least demand without a slot, found by trying all."""
+def smallest_unserved(size, spec, supply, weights):
+    """Return the smallest number of slots left unserved by any counts, found by trying all."""
     options = [range(size // model.size + 1) for model in spec.models]
     found = []
     for counts in itertools.product(*options):
@@ -90,13 +90,13 @@
 
 @pytest.mark.parametrize("small", (0.0, 6.0, 12.0, 18.0, 24.0, 30.0))
 @pytest.mark.parametrize("large", (2.0, 9.0, 16.0))
-def test_a_hall_serves_as_much_as_the_best_plan_where_there_is_enough(large, small):
+def test_the_plan_serves_all_demand_wherever_some_plan_can(large, small):
     spec = two_models()
     wanted = {"large": large, "small": small}
     supply = HallSupply(wanted, 1.0, {})
     weights = model_weights(spec, wanted)
-    if best_counts(16, spec, supply, weights) > 0:
-        return  # too little for any plan: who is served is not for this rule to say
+    if smallest_unserved(16, spec, supply, weights) > 0:
+        return  # no plan can serve the demand; the rule does not say which model goes short
     shares = domain_shares(weights, [{}, {}])
     counts = {m.name: 0 for m in spec.models}
     for share in shares:
@@ -117,9 +117,9 @@
 REPLICAS = [replica("r1", "large", 4), replica("r2", "large", 4)]
 
 
-def test_a_replica_that_nobody_needs_is_turned_over_to_a_model_that_is_short():
+def test_a_surplus_replica_is_reassigned_to_a_model_that_is_short():
     supply = HallSupply({"large": 2.0, "small": 40.0}, 1.0, {"large": 6.0, "small": 3.0})
-    found = choose_turn_over(domain({"large": 2}), REPLICAS, two_models(), supply)
+    found = choose_reassignment(domain({"large": 2}), REPLICAS, two_models(), supply)
     assert (found.replica.name, found.model.name) == ("r2", "small")
 
 
@@ -131,18 +131,20 @@
         ({"large": 40.0, "small": 40.0}, {"large": 6, "small": 3}, "it is needed where it is"),
     ],
 )
-def test_a_replica_is_not_turned_over(wanted, replicas, why):
+def test_a_replica_is_not_reassigned(wanted, replicas, why):
     supply = HallSupply(wanted, 1.0, replicas)
-    assert choose_turn_over(domain({"large": 2}), REPLICAS, two_models(), supply) is None, why
+    assert choose_reassignment(domain({"large": 2}), REPLICAS, two_models(), supply) is None, why
 
 
-def test_idle_targets_are_used_before_a_replica_is_turned_over():
+def test_idle_targets_are_used_before_a_replica_is_reassigned():
     supply = HallSupply({"large": 2.0, "small": 40.0}, 1.0, {"large": 6.0, "small": 3.0})
     idle = [worker("i1"), worker("i2")]
-    assert choose_turn_over(domain({"large": 2}, idle=idle), REPLICAS, two_models(), supply) is None
+    assert (
+        choose_reassignment(domain({"large": 2}, idle=idle), REPLICAS, two_models(), supply) is None
+    )
 
 
-def test_a_hall_follows_demand_that_moves_and_cuts_nothing():
+def test_a_hall_follows_changing_demand_without_cutting_requests():
     async def scenario():
         hall = Hall(3)
         hall.demand = {"large": 6.0, "small": 10.0}
@@ -159,25 +161,25 @@
         await asyncio.sleep(60.0)
         models = hall.models()
         await asyncio.sleep(60.0)
-        assert hall.models() == models  # it has come to rest
+        assert hall.models() == models  # the plan has converged
 
     run_virtually(scenario())
 
 
-def test_halls_share_a_shortage():
+def test_a_hall_reassigns_only_for_its_share_of_a_shortage():
     wanted = {"large": 2.0, "small": 15.0}  # the site wants 3.5 replicas of small
-    alone = HallSupply(wanted, 1.0, {"large": 3, "small": 2})
+    whole_site = HallSupply(wanted, 1.0, {"large": 3, "small": 2})
     one_of_three = HallSupply(wanted, 1 / 3, {"large": 3, "small": 2})
     found = [
-        choose_turn_over(domain({"large": 2, "small": 2}), REPLICAS, two_models(), supply)
-        for supply in (alone, one_of_three)
+        choose_reassignment(domain({"large": 2, "small": 2}), REPLICAS, two_models(), supply)
+        for supply in (whole_site, one_of_three)
     ]
     assert found[0] is not None
     assert found[1] is None
 
 
 def planner_of(domains):
-    """Return a planner, and the targets of its hall by domain; the first model is in the last."""
+    """Return a planner, its targets by domain (the last holds large), demand and clock."""
     directory, clock = TargetDirectory(), ManualClock(100.0)
     models = ["small"] * (domains - 1) + ["large"]
     targets = {
@@ -195,32 +197,32 @@
     return planner, targets, demand, clock
 
 
-def test_a_dark_domain_keeps_its_model():
+def test_a_domain_without_targets_keeps_its_model():
     planner, targets, _, _ = planner_of(2)
-    everything = [t for members in targets.values() for t in members]
-    before = planner.plan("engines", everything, two_models()).replicas
+    all_targets = [t for members in targets.values() for t in members]
+    before = planner.plan("engines", all_targets, two_models()).replicas
     assert before == {"large": 2, "small": 3}
-    # The domain of the large model is gone: the other one goes on with its own.
+    # The domain of the large model has no targets left: the other domain keeps its own model.
     assert planner.plan("engines", targets["d0"], two_models()).replicas == {
         "large": 0,
         "small": 3,
     }
 
 
-def test_a_term_of_leadership_begins_without_the_shortages_of_an_earlier_one():
+def test_a_new_term_starts_without_the_shortages_of_an_earlier_one():
     planner, targets, demand, clock = planner_of(2)
-    everything = [t for members in targets.values() for t in members]
+    all_targets = [t for members in targets.values() for t in members]
     demand.update({"large": 2.0, "small": 60.0})
     replicas = [replica("r1", "large", 4), replica("r2", "large", 4)]
     for _ in range(2):
-        assert planner.turn_over("engines", everything, replicas, two_models()) is None
+        assert planner.turn_over("engines", all_targets, replicas, two_models()) is None
         clock.advance(3.0)
-    planner.forget()
+    planner.reset()
     clock.advance(30.0)
-    assert planner.turn_over("engines", everything, replicas, two_models()) is None
+    assert planner.turn_over("engines", all_targets, replicas, two_models()) is None
     assert planner.weights("engines", two_models()) == model_weights(two_models(), demand)
 
 
-def test_slots_wanted_cover_variance_and_one_loss():
+def test_replicas_needed_cover_variance_and_one_loss():
     assert replicas_needed(0.0, SLOTS) == 1.0
     assert replicas_needed(SLOTS * 4.0, SLOTS) > 6.0
--- a/ferrydock/replicas/tests/test_eras.py
+++ b/ferrydock/replicas/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""Leases, terms and epochs over a store that comes back older, in virtual time."""
+"""Leases, terms and epochs when the store is restored from an older copy, in virtual time."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 TTL_S = 2.0
 
 
-class Bench:
-    """Two daemons that want the same hall."""
+class TwoDaemons:
+    """Leases of two daemons that compete for the same hall."""
 
     def __init__(self):
         self.clock = LoopClock()
@@ -25,60 +25,62 @@
         return ControllerLease(self.store, self.clock, "hall-a", name, f"127.0.0.1:{len(name)}")
 
 
-def play(scenario):
+def run_scenario(scenario):
     async def run():
-        await scenario(Bench())
+        await scenario(TwoDaemons())
 
     run_virtually(run())
 
 
-def test_a_lease_is_not_believed_in_a_new_era_until_it_is_reclaimed():
-    async def scenario(bench):
-        assert isinstance(await bench.first.acquire(TTL_S), HeldLease)
-        term = bench.first.held.term
-        bench.store.come_back_older(bench.store.copy())
-        assert not bench.first.valid
-        assert await bench.first.reclaim()
-        assert bench.first.valid
-        assert bench.first.held.term > term
-        assert isinstance(await bench.first.keep(), HeldLease)
-        assert isinstance(await bench.second.acquire(TTL_S), Conflict)
-
-    play(scenario)
-
-
-def test_a_lease_that_the_store_has_lost_is_neither_renewed_nor_ended_by_its_old_holder():
-    async def scenario(bench):
-        copy = bench.store.copy()
-        await bench.first.acquire(TTL_S)
-        bench.store.come_back_older(copy)
-        await bench.second.acquire(TTL_S)
-        assert bench.second.held.lease_id == bench.first.held.lease_id, "the id is given out again"
-        assert not await bench.first.reclaim()
-        assert not isinstance(await bench.first.keep(), HeldLease | LeaseGranted)
-        assert not bench.first.valid
-        await bench.first.give_back()
-        assert bench.second.valid
-        assert (await bench.store.range(controller_key("hall-a"))).items
-
-    play(scenario)
-
-
-@pytest.mark.parametrize("asleep_s, reclaimed", [(1.0, True), (1.8, False), (9.0, False)])
-def test_only_a_lease_whose_time_is_not_over_is_reclaimed(asleep_s, reclaimed):
-    async def scenario(bench):
-        await bench.first.acquire(TTL_S)
-        copy = bench.store.copy()
-        await asyncio.sleep(asleep_s)
-        bench.store.come_back_older(copy)  # the key stands in the copy all the same
-        assert await bench.first.reclaim() is reclaimed
-        assert bench.first.valid is reclaimed
-
-    play(scenario)
-
-
-class ReturnsDuringTaking(MemoryStore):
-    """A store that comes back older between the grant of a lease and the write of the key."""
+def test_a_lease_is_not_valid_in_a_new_era_until_it_is_reclaimed():
+    async def scenario(daemons):
+        assert isinstance(await daemons.first.acquire(TTL_S), HeldLease)
+        term = daemons.first.held.term
+        daemons.store.come_back_older(daemons.store.copy())
+        assert not daemons.first.valid
+        assert await daemons.first.reclaim()
+        assert daemons.first.valid
+        assert daemons.first.held.term > term
+        assert isinstance(await daemons.first.keep(), HeldLease)
+        assert isinstance(await daemons.second.acquire(TTL_S), Conflict)
+
+    run_scenario(scenario)
+
+
+def test_a_lease_lost_by_the_store_is_neither_renewed_nor_released_by_its_old_holder():
+    async def scenario(daemons):
+        copy = daemons.store.copy()
+        await daemons.first.acquire(TTL_S)
+        daemons.store.come_back_older(copy)
+        await daemons.second.acquire(TTL_S)
+        assert daemons.second.held.lease_id == daemons.first.held.lease_id, (
+            "the id is given out again"
+        )
+        assert not await daemons.first.reclaim()
+        assert not isinstance(await daemons.first.keep(), HeldLease | LeaseGranted)
+        assert not daemons.first.valid
+        await daemons.first.give_back()
+        assert daemons.second.valid
+        assert (await daemons.store.range(controller_key("hall-a"))).items
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("wait_s, reclaimed", [(1.0, True), (1.8, False), (9.0, False)])
+def test_only_an_unexpired_lease_is_reclaimed(wait_s, reclaimed):
+    async def scenario(daemons):
+        await daemons.first.acquire(TTL_S)
+        copy = daemons.store.copy()
+        await asyncio.sleep(wait_s)
+        daemons.store.come_back_older(copy)  # the copy still holds the key
+        assert await daemons.first.reclaim() is reclaimed
+        assert daemons.first.valid is reclaimed
+
+    run_scenario(scenario)
+
+
+class RestoredDuringAcquisition(MemoryStore):
+    """Store that is restored from an older copy between the lease grant and the key's write."""
 
     copy_before = None
 
@@ -92,42 +94,42 @@
 
 
 def test_no_key_is_left_bound_to_another_daemons_lease():
-    async def scenario(bench):
-        store = ReturnsDuringTaking(bench.clock)
+    async def scenario(daemons):
+        store = RestoredDuringAcquisition(daemons.clock)
         store.copy_before = store.copy()
-        lease = ControllerLease(store, bench.clock, "hall-a", "first")
+        lease = ControllerLease(store, daemons.clock, "hall-a", "first")
         assert isinstance(await lease.acquire(TTL_S), Conflict)
         assert not lease.valid
         assert (await store.range(controller_key("hall-a"))).items == ()
         assert isinstance(await lease.acquire(TTL_S), HeldLease)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_epochs_only_rise_and_never_come_twice_over_eras():
-    async def scenario(bench):
-        record = PlacementRecord(bench.store, "hall-a", "first")
+def test_epochs_only_rise_and_are_never_reused_across_eras():
+    async def scenario(daemons):
+        record = PlacementRecord(daemons.store, "hall-a", "first")
         epochs = []
         for _ in range(4):
-            copy = bench.store.copy()
+            copy = daemons.store.copy()
             for _ in range(3):
                 assert await record.read()
                 epochs.append(await record.write({}))
-            bench.store.come_back_older(copy)
+            daemons.store.come_back_older(copy)
         assert epochs == sorted(set(epochs))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_record_that_was_read_in_an_older_era_is_read_again_before_it_is_written():
-    async def scenario(bench):
-        copy = bench.store.copy()
-        first, second = (PlacementRecord(bench.store, "hall-a", name) for name in ("one", "two"))
+def test_a_record_read_in_an_older_era_is_not_written_before_it_is_read_again():
+    async def scenario(daemons):
+        copy = daemons.store.copy()
+        first, second = (PlacementRecord(daemons.store, "hall-a", name) for name in ("one", "two"))
         await first.read()
         before = await first.write({})
-        bench.store.come_back_older(copy)
+        daemons.store.come_back_older(copy)
         await second.read()
         assert await second.write({}) > before
         assert await first.write({}) is None, "its condition is the revision that came twice"
 
-    play(scenario)
+    run_scenario(scenario)
--- a/ferrydock/replicas/tests/test_services.py
+++ b/ferrydock/replicas/tests/test_services.py
@@ -1,4 +1,4 @@
-"""A controller and configurations whose models come, go, or are none."""
+"""A controller whose configuration adds models, removes them, or has none."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
     async def scenario():
         hall = Hall(1)
         services = {**hall.current.lookup.configuration.services}
-        # In front of the other one, and with targets of the hall's.
+        # Replaces the service that the hall's targets belong to.
         empty = ServiceSpec("engines", 100, EngineSpec(9, 5.0, ()))
         hall.current.offer(Configuration(2, (), {"engines": empty}, ()), 0.0)
         hall.start_controller()
@@ -23,7 +23,7 @@
     run_virtually(scenario())
 
 
-def test_a_controller_that_leads_no_more_has_no_plan():
+def test_a_controller_that_has_stepped_down_has_no_plan():
     async def scenario():
         hall = Hall(3)
         controller = hall.start_controller()
@@ -41,7 +41,7 @@
     return {"engines": ServiceSpec("engines", 100, EngineSpec(9, 5.0, models))}
 
 
-def test_models_that_are_added_and_removed_are_planned_for():
+def test_models_added_and_removed_at_run_time_are_planned_for():
     async def scenario():
         hall = Hall(2)
         hall.start_controller()
