--- a/ferrydock/targets/__init__.py
+++ b/ferrydock/targets/__init__.py
@@ -1,8 +1,9 @@
-"""Targets and the replicas they form, as this process knows them, and the ports to both.
+"""Targets and the replicas they form, as known to this process, and the ports to both.
 
-Here stand the typed entry of a target, the directory of all of them, orders and reports. What does
-not belong here: reading the list (a `TargetSource` of the deployment), deciding about replicas
-(`ferrydock.replicas`), this daemon's load on targets (`ferrydock.forwarding`).
+Contains the typed entry of a target, the directory of all entries, and the orders to targets and
+their reports. What does not belong here: reading the list (a `TargetSource` of the deployment),
+deciding about replicas (`ferrydock.replicas`), this daemon's load on targets
+(`ferrydock.forwarding`).
 """
 
 from ._directory import ReplicaView, TargetDirectory
--- a/ferrydock/targets/_directory.py
+++ b/ferrydock/targets/_directory.py
@@ -13,7 +13,7 @@
 from ..logs import log_event
 from ..store import Position
 from ._leaving import LeavingTargets
-from ._older_lists import OlderEntries
+from ._older_lists import OlderCopyFilter
 from ._ports import TargetChanges
 from ._target import ReplicaState, Target
 
@@ -21,24 +21,24 @@
 
 _LOG = logging.getLogger("ferrydock.targets")
 
-# Replicas whose members are remembered after their entries have gone, so that a new leader can ask
-# them. Bounds the memory; a hall has some dozens at a time.
-REPLICAS_REMEMBERED = 1000
+# Replicas whose members are remembered after their entries are removed, so that a new leader can
+# still request the members' reports. Bounds the memory; a hall has some dozens of replicas at once.
+MAX_REPLICAS_REMEMBERED = 1000
 
-# Changes that a follower may lag behind before it gets the whole list.
-CHANGES_REMEMBERED = 2000
+# Number of changes that a follower of this list may lag behind before it gets the whole list again.
+MAX_CHANGES_REMEMBERED = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaView:
-    """An open replica, as the entries of its members show it.
+    """An open replica, as shown by the entries of its members.
 
     Attributes
     ----------
     head : Target
-        Takes its requests.
+        Member that takes the replica's requests.
     members : tuple of Target
-        Members that are known, head first.
+        Members that have an entry, the head first.
     """
 
     name: str
@@ -49,40 +49,42 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Name and epoch: together they name this replica and no other, ever."""
+        """Name and epoch, which together identify the replica; no other replica ever has both."""
         return self.name, self.epoch
 
 
 class TargetDirectory:
-    """Targets by id, by service, and open replicas by service and model.
+    """All known targets by id, and the open replicas by service.
 
     Attributes
     ----------
     loaded : bool
-        Whether the source was read once.
+        Whether the whole list has been read from the source at least once.
     changes : int
-        Rises with every change.
+        Number of changes of the list so far, which is also the number of the last change.
     position : Position
-        Where the source stood, to which the list corresponds at least.
+        Position of the source up to which the list certainly contains all changes; it may contain
+        later ones too.
     is_provisional : bool
-        Whether the list was first read in a new era of the source: entries that the source has lost
-        are kept in it until the whole list is read once more.
+        Whether the list comes from the first read in a new era of the source. Entries that the
+        source has lost then stay in the list until the whole list is read once more.
     confirmation : Confirmation
-        Since when the list is certainly complete.
+        Records since when the list is certainly complete.
 
     Notes
     -----
-    A target that has said itself that it leaves is shown as leaving, whatever a list says.
+    A target that has itself announced that it leaves is shown as leaving, even if its entry in a
+    list does not say so.
     """
 
     __slots__ = (
         "_changed_ids",
         "_changed_positions",
-        "_complete_since",
-        "_leaving",
-        "_members",
-        "_older",
-        "_replicas",
+        "_changes_complete_after",
+        "_leaving_targets",
+        "_members_by_replica",
+        "_older_copy_filter",
+        "_replicas_by_service",
         "changes",
         "confirmation",
         "is_provisional",
@@ -98,56 +100,58 @@
         self.position = Position()
         self.is_provisional = False
         self.confirmation = Confirmation()
-        self._older = OlderEntries()
-        self._leaving = LeavingTargets()
-        self._changed_ids: deque[str] = deque(maxlen=CHANGES_REMEMBERED)
-        # Position at which each of these was known, at the latest; and the one after which none of
-        # them is missing.
-        self._changed_positions: deque[Position] = deque(maxlen=CHANGES_REMEMBERED)
-        self._complete_since = Position()
-        self._members: dict[tuple[str, int], dict[str, Target]] = {}
-        self._replicas: dict[str, list[ReplicaView]] | None = None
+        self._older_copy_filter = OlderCopyFilter()
+        self._leaving_targets = LeavingTargets()
+        self._changed_ids: deque[str] = deque(maxlen=MAX_CHANGES_REMEMBERED)
+        # Position of the source by which each change in `_changed_ids` was known, and the position
+        # after which no change is missing from `_changed_ids`.
+        self._changed_positions: deque[Position] = deque(maxlen=MAX_CHANGES_REMEMBERED)
+        self._changes_complete_after = Position()
+        self._members_by_replica: dict[tuple[str, int], dict[str, Target]] = {}
+        self._replicas_by_service: dict[str, list[ReplicaView]] | None = None
 
     def replace(self, targets: Iterable[Target]) -> None:
         """Replace the whole list."""
-        self.targets = {target.target_id: self._remembering(target) for target in targets}
+        self.targets = {target.target_id: self._with_known_state(target) for target in targets}
         self.loaded = True
         self._changed_ids.clear()
         self._changed_positions.clear()
-        self._complete_since = self.position
-        self._changed()
+        self._changes_complete_after = self.position
+        self._record_change()
 
     def take(self, changes: TargetChanges) -> None:
-        """Apply a change that a source reports."""
+        """Apply a change that the source reports, either the whole list or a delta."""
         is_new_era = self.loaded and changes.position.era > self.position.era
         self.position = max(self.position, changes.position)
         if changes.whole:
-            self._take_whole(changes, is_new_era)
+            self._replace_all(changes, is_new_era)
         for target_id in changes.removed:
             self.remove(target_id)
         if not changes.whole:
             for target in changes.entries:
-                if self._older.admits(target):
+                if self._older_copy_filter.accepts(target):
                     self.put(target)
         self.confirmation.note_known(self.position)
 
-    def _take_whole(self, changes: TargetChanges, is_new_era: bool) -> None:
-        """Replace the list, but for what is known to be newer than the entries that come."""
+    def _replace_all(self, changes: TargetChanges, is_new_era: bool) -> None:
+        """Replace the list, except for known entries that are newer than those of a new era."""
         entries = {target.target_id: target for target in changes.entries}
         if is_new_era:
-            entries = self._older.merge(self.targets, entries)
-        admitted = [target for target in entries.values() if self._older.admits(target)]
-        for target_id in self.targets.keys() - {target.target_id for target in admitted}:
-            self._older.note_removed(target_id)
+            entries = self._older_copy_filter.merge(self.targets, entries)
+        accepted = [
+            target for target in entries.values() if self._older_copy_filter.accepts(target)
+        ]
+        for target_id in self.targets.keys() - {target.target_id for target in accepted}:
+            self._older_copy_filter.note_removed(target_id)
         self.is_provisional = is_new_era
-        self.replace(admitted)
+        self.replace(accepted)
 
     def age_s(self, now_s: float) -> float:
-        """Return seconds since the list was certainly complete; infinite if it never was."""
+        """Return the seconds since the list was certainly complete; infinite if it never was."""
         return self.confirmation.age_s(now_s)
 
     def changed_since(self, change: int) -> tuple[str, ...] | None:
-        """Return the ids that changed after change number `change`; None if it is too long ago."""
+        """Return the ids that changed after change number `change`; None if it is too old."""
         behind = self.changes - change
         if behind < 0 or behind > len(self._changed_ids):
             return None
@@ -155,89 +159,91 @@
         return tuple(dict.fromkeys(recent[len(recent) - behind :]))
 
     def changed_after(self, position: Position) -> tuple[str, ...] | None:
-        """Return the ids that changed after a position of the source; None if it is too long ago.
+        """Return the ids that changed after a position of the source; None if it is too old.
 
-        For a daemon that has followed another one: both number their changes differently, but have
-        the positions of the source in common.
+        For a daemon that followed another daemon's list before: the two number their changes
+        differently, but positions of the source mean the same in both.
         """
-        if position < self._complete_since:
+        if position < self._changes_complete_after:
             return None
         changes = zip(self._changed_positions, self._changed_ids, strict=True)
-        return tuple(dict.fromkeys(i for at, i in changes if at > position))
+        return tuple(
+            dict.fromkeys(i for change_position, i in changes if change_position > position)
+        )
 
     def put(self, target: Target) -> None:
-        """Take one target's entry."""
-        self.targets[target.target_id] = self._remembering(target)
+        """Add or replace one target's entry."""
+        self.targets[target.target_id] = self._with_known_state(target)
         self._note_changed(target.target_id)
 
-    def note_leaving(self, target_id: str, life: int) -> None:
-        """Note that a target has said that it leaves, to this daemon or to another one.
+    def note_leaving(self, target_id: str, incarnation: int) -> None:
+        """Record that a target has announced, to this or another daemon, that it leaves.
 
         Parameters
         ----------
-        life : int
-            Which life of the target said so (`Target.life`).
+        incarnation : int
+            Incarnation of the target that announced it (`Target.life`).
         """
-        if not self._leaving.note(target_id, life):
+        if not self._leaving_targets.note(target_id, incarnation):
             return
         log_event(_LOG, logging.INFO, "target_leaving", target=target_id)
         if target_id in self.targets:
             self.put(self.targets[target_id])
 
     def leaving_reports(self) -> tuple[tuple[str, int], ...]:
-        """Return ids and lives of the listed targets that have said that they leave."""
-        return self._leaving.reports(self.targets)
+        """Return ids and incarnations of listed targets that have announced that they leave."""
+        return self._leaving_targets.reports(self.targets)
 
-    def _remembering(self, target: Target) -> Target:
-        """Return the entry with what is known beyond it: that the target leaves, its last model."""
-        target = self._leaving.marked(target)
+    def _with_known_state(self, target: Target) -> Target:
+        """Record an entry's membership; return the entry with last model and leaving mark."""
+        target = self._leaving_targets.mark(target)
         if target.membership is not None:
             self._note_member(target)
         if target.models:
             return replace(target, last_model=target.models[0])
-        before = self.targets.get(target.target_id)
-        return replace(target, last_model=before.last_model) if before else target
+        previous = self.targets.get(target.target_id)
+        return replace(target, last_model=previous.last_model) if previous else target
 
     def _note_member(self, target: Target) -> None:
         key = (target.joined.replica, target.joined.epoch)
-        if key not in self._members:
-            self._members[key] = {}
-            if len(self._members) > REPLICAS_REMEMBERED:
-                del self._members[next(iter(self._members))]
-        self._members[key][target.target_id] = target
+        if key not in self._members_by_replica:
+            self._members_by_replica[key] = {}
+            if len(self._members_by_replica) > MAX_REPLICAS_REMEMBERED:
+                del self._members_by_replica[next(iter(self._members_by_replica))]
+        self._members_by_replica[key][target.target_id] = target
 
     def members_ever(self, key: tuple[str, int]) -> tuple[Target, ...]:
-        """Return all targets ever seen in a replica, also those whose entry is gone."""
-        return tuple(self._members.get(key, {}).values())
+        """Return all targets that were seen in a replica, also those whose entry was removed."""
+        return tuple(self._members_by_replica.get(key, {}).values())
 
     def remove(self, target_id: str) -> None:
-        """Forget a target."""
+        """Remove a target's entry."""
         if self.targets.pop(target_id, None) is not None:
-            self._older.note_removed(target_id)
+            self._older_copy_filter.note_removed(target_id)
             self._note_changed(target_id)
 
     def _note_changed(self, target_id: str) -> None:
-        if len(self._changed_ids) == CHANGES_REMEMBERED:
-            self._complete_since = self._changed_positions[0]
+        if len(self._changed_ids) == MAX_CHANGES_REMEMBERED:
+            self._changes_complete_after = self._changed_positions[0]
         self._changed_ids.append(target_id)
         self._changed_positions.append(self.position)
-        self._changed()
+        self._record_change()
 
-    def _changed(self) -> None:
+    def _record_change(self) -> None:
         self.changes += 1
-        self._replicas = None
+        self._replicas_by_service = None
 
     def of_service(self, service: str) -> list[Target]:
-        """Return the targets of a service that are not leaving."""
+        """Return the targets of a service that are not draining."""
         return [t for t in self.targets.values() if t.service == service and not t.draining]
 
     def replicas(self, service: str) -> list[ReplicaView]:
-        """Return the open replicas of a service, none of whose known members is leaving."""
-        if self._replicas is None:
-            self._replicas = self._collect()
-        return self._replicas.get(service, [])
+        """Return the open replicas of a service, without those that have a draining member."""
+        if self._replicas_by_service is None:
+            self._replicas_by_service = self._collect_replicas()
+        return self._replicas_by_service.get(service, [])
 
-    def _collect(self) -> dict[str, list[ReplicaView]]:
+    def _collect_replicas(self) -> dict[str, list[ReplicaView]]:
         by_replica: dict[tuple[str, str, int], list[Target]] = {}
         for target in self.targets.values():
             if target.membership is not None:
--- a/ferrydock/targets/_leaving.py
+++ b/ferrydock/targets/_leaving.py
@@ -1,7 +1,7 @@
-"""Targets that have said themselves that they leave, whatever a list says of them.
+"""Targets that have themselves announced that they leave, whatever their entries in a list show.
 
-Owns which life of each target said so, in memory. A list may be older than that word, or come from
-a source that cannot be reached.
+Owns which incarnation of each target announced it, in memory. The target list may be older than the
+announcement, or its source may be unreachable.
 """
 
 from collections.abc import Container
@@ -11,52 +11,54 @@
 
 __all__ = ["LeavingTargets"]
 
-# Targets that are remembered. Bounds the memory; a site has some hundreds, few of which leave at a
-# time.
-LEAVING_REMEMBERED = 1000
+# Bounds the memory; a site has some hundreds of targets, few of which leave at once.
+MAX_LEAVING_TARGETS = 1000
 
-# Targets in one report; bounds the message while a whole hall leaves.
-MAX_REPORTED = 100
+# Targets in one report to other daemons; bounds the message while a whole hall leaves.
+MAX_REPORTED_TARGETS = 100
 
 
 class LeavingTargets:
-    """Marks the entries of targets that have said that they leave.
+    """Marks the entries of targets that have announced that they leave.
 
-    A target that starts again under its id is another one: its entries have a later life.
+    If the target is started again under its id, its entries have a later incarnation and are not
+    marked.
 
     Examples
     --------
     >>> leaving = LeavingTargets()
-    >>> leaving.note("t", life=7), leaving.note("t", life=7)
+    >>> leaving.note("t", incarnation=7), leaving.note("t", incarnation=7)
     (True, False)
     >>> entry = Target("t", "s", "127.0.0.1:1", "h", 1, age_mark=(7, 3))
-    >>> leaving.marked(entry).draining, leaving.marked(replace(entry, age_mark=(8, 1))).draining
+    >>> leaving.mark(entry).draining, leaving.mark(replace(entry, age_mark=(8, 1))).draining
     (True, False)
     """
 
-    __slots__ = ("_lives",)
+    __slots__ = ("_incarnations",)
 
     def __init__(self):
-        self._lives: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
 
-    def note(self, target_id: str, life: int) -> bool:
-        """Note that a life of a target leaves; return whether that is new."""
-        if self._lives.get(target_id, life - 1) >= life:
+    def note(self, target_id: str, incarnation: int) -> bool:
+        """Record that an incarnation of a target leaves; return whether that was unknown."""
+        if self._incarnations.get(target_id, incarnation - 1) >= incarnation:
             return False
-        self._lives.pop(target_id, None)
-        self._lives[target_id] = life
-        if len(self._lives) > LEAVING_REMEMBERED:
-            del self._lives[next(iter(self._lives))]
+        self._incarnations.pop(target_id, None)
+        self._incarnations[target_id] = incarnation
+        if len(self._incarnations) > MAX_LEAVING_TARGETS:
+            del self._incarnations[next(iter(self._incarnations))]
         return True
 
-    def marked(self, entry: Target) -> Target:
-        """Return an entry as leaving, if its life or a later one has said so."""
-        life = self._lives.get(entry.target_id)
-        if life is None or entry.life > life:
+    def mark(self, entry: Target) -> Target:
+        """Return the entry, as draining if its incarnation or a later one has announced it."""
+        incarnation = self._incarnations.get(entry.target_id)
+        if incarnation is None or entry.life > incarnation:
             return entry
         return replace(entry, draining=True)
 
     def reports(self, target_ids: Container[str]) -> tuple[tuple[str, int], ...]:
-        """Return ids and lives of those that are listed, the last ones noted."""
-        listed = [(i, life) for i, life in self._lives.items() if i in target_ids]
-        return tuple(listed[-MAX_REPORTED:])
+        """Return ids and incarnations of the listed targets, up to the bound, latest last."""
+        listed = [
+            (i, incarnation) for i, incarnation in self._incarnations.items() if i in target_ids
+        ]
+        return tuple(listed[-MAX_REPORTED_TARGETS:])
--- a/ferrydock/targets/_older_lists.py
+++ b/ferrydock/targets/_older_lists.py
@@ -1,74 +1,75 @@
-"""Rule: which entries of a list that was read from an older copy are older than what is known.
+"""Rule: which entries of a list that was read from an older copy of the store are stale.
 
-A store that comes back from a copy shows targets as they were then: one that leaves as ready, one
-that is gone as there, a member of a replica as idle, and those that came since not at all. Each
-target writes its entry again within seconds. Owns which targets are gone, and what the copy shows
-of them, in memory.
+A store that is restored from an older copy shows targets as they were then: one that is draining as
+ready, one that was removed as present, a member of a replica as idle, and those that registered
+later not at all. Each target writes its entry again within seconds. Owns, in memory, which targets
+were removed and the age marks of their entries in the copy.
 """
 
 from collections.abc import Mapping
 
 from ._target import Target
 
-__all__ = ["OlderEntries"]
+__all__ = ["OlderCopyFilter"]
 
-# Targets that are gone and are remembered, so that a copy does not bring them back. Bounds the
+# Removed targets that are remembered, so that an older copy does not add them again. Bounds the
 # memory; a copy is some seconds old.
-REMOVED_REMEMBERED = 1000
+MAX_REMOVED_TARGETS = 1000
 
 AgeMark = tuple[int, int]
 
 
-class OlderEntries:
-    """Tells entries of a copy from those that a target has written since.
+class OlderCopyFilter:
+    """Separates stale entries of an older copy from those that targets have written since.
 
     Examples
     --------
     >>> def entry(name, count, draining=False):
     ...     return Target(name, "s", "127.0.0.1:1", "h", 1, draining, age_mark=(1, count))
-    >>> older = OlderEntries()
+    >>> older = OlderCopyFilter()
     >>> older.note_removed("gone")
     >>> known = {"leaving": entry("leaving", 9, draining=True), "new": entry("new", 1)}
     >>> copy = {"leaving": entry("leaving", 7), "gone": entry("gone", 30)}
     >>> [(i, t.draining) for i, t in sorted(older.merge(known, copy).items())]
     [('leaving', True), ('new', False)]
-    >>> older.admits(entry("gone", 30)), older.admits(entry("gone", 31))
+    >>> older.accepts(entry("gone", 30)), older.accepts(entry("gone", 31))
     (False, True)
     """
 
-    __slots__ = ("_removed", "_shown")
+    __slots__ = ("_removed", "_copy_age_marks")
 
     def __init__(self):
         self._removed: dict[str, None] = {}
-        self._shown: dict[str, AgeMark] = {}
+        self._copy_age_marks: dict[str, AgeMark] = {}
 
     def note_removed(self, target_id: str) -> None:
-        """Note a target whose entry has gone."""
+        """Record that the entry of a target was removed."""
         self._removed.pop(target_id, None)
         self._removed[target_id] = None
-        if len(self._removed) > REMOVED_REMEMBERED:
+        if len(self._removed) > MAX_REMOVED_TARGETS:
             del self._removed[next(iter(self._removed))]
 
     def merge(self, known: Mapping[str, Target], copy: Mapping[str, Target]) -> dict[str, Target]:
-        """Return the list that is nearest to the truth: what is known, and what is newer.
+        """Return the known entries, updated with those of the copy that are not older.
 
-        A target that the copy lacks may have come since, so it stays. One that is gone stays gone;
-        should it live, then its next entry shows that (`admits`).
+        A target that the copy lacks may have registered after the copy was made, so it stays. A
+        target that was removed is not added again; if it is alive, its next entry is newer than
+        that of the copy and is accepted (`accepts`).
         """
-        self._shown = {i: t.age_mark for i, t in copy.items() if i in self._removed}
+        self._copy_age_marks = {i: t.age_mark for i, t in copy.items() if i in self._removed}
         merged = dict(known)
         for target_id, target in copy.items():
-            before = known.get(target_id)
-            is_older = before is not None and target.age_mark < before.age_mark
-            if not is_older and target_id not in self._shown:
+            known_entry = known.get(target_id)
+            is_older = known_entry is not None and target.age_mark < known_entry.age_mark
+            if not is_older and target_id not in self._copy_age_marks:
                 merged[target_id] = target
         return merged
 
-    def admits(self, target: Target) -> bool:
-        """Return whether an entry may be used: it is not the copy's of a target that is gone."""
-        shown = self._shown.get(target.target_id)
-        if shown is not None and target.age_mark <= shown:
+    def accepts(self, target: Target) -> bool:
+        """Return False for the copy's entry of a removed target, and True for any other entry."""
+        copy_age_mark = self._copy_age_marks.get(target.target_id)
+        if copy_age_mark is not None and target.age_mark <= copy_age_mark:
             return False
-        self._shown.pop(target.target_id, None)
+        self._copy_age_marks.pop(target.target_id, None)
         self._removed.pop(target.target_id, None)
         return True
--- a/ferrydock/targets/_ports.py
+++ b/ferrydock/targets/_ports.py
@@ -1,4 +1,4 @@
-"""Ports to the list of targets and to the targets' control; an adapter fills both."""
+"""Ports to the list of targets and to the control of targets; adapters implement both."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetChanges:
-    """A change of the target list.
+    """A change of the target list, as the source reports it.
 
     Attributes
     ----------
     whole : bool
-        Whether `entries` is the whole list rather than what changed.
+        Whether `entries` is the whole list rather than the changed entries.
     removed : tuple of str
-        Ids of targets that are gone; one that is also in `entries` is back.
+        Ids of removed targets. A target that is also in `entries` was removed and added again.
     position : Position
-        Where the source stood, to which the list corresponds after this change. In a new era the
-        list comes whole.
+        Position of the source to which the list corresponds after this change. The first change of
+        a new era contains the whole list.
     """
 
     whole: bool
@@ -46,36 +46,38 @@
 
 
 class TargetSource(Protocol):
-    """Reports which targets there are.
+    """Reports the list of targets and its changes.
 
     Attributes
     ----------
     gather_s : float
-        How long changes may be gathered before they are reported together.
+        How long changes may be collected, in seconds, before they are reported together.
     """
 
     gather_s: float
 
     def follow(self, since: Position | None = None) -> AsyncIterator[TargetChanges | Unavailable]:
-        """Yield the whole list, then its changes; the whole list again after history was lost.
+        """Yield the whole list, then its changes; the whole list again if changes were lost.
 
-        An empty change says that there was none up to its position. What is yielded was asked for
-        after the one before was taken, and is no older than that.
+        An empty change means that nothing changed up to its position. Each change is requested
+        after the caller has taken the one before, and is no older than that.
 
-        With `since`, a position up to which the list is known, only the changes after it.
+        With `since`, a position up to which the caller knows the list, yields only the changes
+        after it.
 
-        The source may be silent for good without an error. Only `changes_since` shows it.
+        Yields `Unavailable` for each call to the source that failed; the call is repeated when the
+        caller asks for the next change.
 
-        `Unavailable` for each call that failed; the next is made when the caller goes on.
+        The source may stop reporting for good without an error; only `changes_since` detects this.
         """
 
     async def changes_since(self, known: Position) -> TargetChanges | Unavailable:
-        """Ask once, without a wait, for what changed after a position; whole if that is too old."""
+        """Request the changes after a position, without waiting; the whole list if too old."""
 
 
 @dataclass(frozen=True, slots=True)
 class JoinOrder:
-    """Become a member of a replica; `members` holds target ids, the head first."""
+    """Order to join a replica; `members` holds the ids of all its members, the head first."""
 
     replica: str
     epoch: int
@@ -85,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenOrder:
-    """Begin to serve; only a head that is ready takes it."""
+    """Order to a replica's head to start serving; a head that is not ready refuses it."""
 
     replica: str
     epoch: int
@@ -93,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseOrder:
-    """Stop serving and be ready again; `cut` ends requests in flight, else they are finished."""
+    """Order to a head to stop serving; requests in flight are cut, or finished without `cut`."""
 
     replica: str
     epoch: int
@@ -102,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveOrder:
-    """Leave a replica at once."""
+    """Order to leave a replica at once."""
 
     replica: str
     epoch: int
@@ -110,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageOrder:
-    """Load a model's weights to the host, beside everything else that the target does."""
+    """Order to load a model's weights to the host, while the target goes on with its work."""
 
     model: str
 
@@ -120,21 +122,22 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderDone:
-    """The order was begun; with `already`, what it asks for holds already."""
+    """The target accepted the order; with `already`, its effect was in place before."""
 
     already: bool
 
 
 @dataclass(frozen=True, slots=True)
 class OrderRefused:
-    """The target did not take the order, and never will take this one.
+    """The target refused the order, and will never execute this one.
 
     Attributes
     ----------
     reason : str
-        ``state`` (it does not fit the target's state or its number of orders), ``epoch`` (the
-        target has seen a higher one), ``other_target``, ``invalid``, or ``elsewhere`` (it was not
-        sent: the target reports that it belongs to another replica).
+        ``state`` (the order does not fit the target's state or its number of accepted orders),
+        ``epoch`` (the target has seen a higher epoch), ``other_target``, ``invalid``, or
+        ``elsewhere`` (the order was not sent, because the target reports that it belongs to another
+        replica).
     """
 
     reason: str
@@ -142,12 +145,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What a target reports of itself when asked.
+    """State that a target reports on request.
 
     Attributes
     ----------
     orders : int
-        Orders that it has taken since its start.
+        Number of orders that it has accepted since its start.
     replica : str or None
         Name of the replica that it belongs to; None for none.
     epoch : int
@@ -163,15 +166,15 @@
 
 
 class TargetControl(Protocol):
-    """Sends orders to targets and asks for their reports."""
+    """Sends orders to targets and requests their reports."""
 
     async def order(
         self, target: Target, order: Order, expected_orders: int | None
     ) -> OrderDone | OrderRefused | Unavailable | Unknown:
-        """Send an order once. `Unknown`: it may be carried out, now or much later."""
+        """Send an order once. `Unknown` means that it may be executed, now or much later."""
 
     async def report(self, target: Target, timeout_s: float) -> TargetReport | Unavailable:
-        """Ask a target for its report."""
+        """Request a target's report."""
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to all targets."""
--- a/ferrydock/targets/_target.py
+++ b/ferrydock/targets/_target.py
@@ -1,4 +1,4 @@
-"""The typed entry of a target, as its source reports it; data only."""
+"""The typed entry of a target in the target list, as the source reports it; data only."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class ReplicaState(StrEnum):
-    """State of a replica at one of its members."""
+    """State of a replica, as one of its members reports it."""
 
     JOINING = "joining"
     READY = "ready"
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """That a target belongs to a replica.
+    """Membership of a target in a replica.
 
     Attributes
     ----------
     replica, epoch : str, int
-        Name and epoch, which together are never used again.
+        Name and epoch of the replica; the pair is never used again.
     rank : int
-        0 for the head, which takes the requests.
+        Position among the members; 0 for the head, which takes the requests.
     state : ReplicaState
         The replica's state as this member reports it.
     """
@@ -45,26 +45,27 @@
     Attributes
     ----------
     target_id : str
-        Names this incarnation; the next one has another.
+        Id of this incarnation; the next incarnation has another id.
     address : str
-        ``IP:PORT``; it may later belong to another target.
+        ``IP:PORT``; another target may later have the same address.
     slots : int
-        Requests that it works on at a time.
+        Number of requests that it processes concurrently.
     draining : bool
-        Whether it has said that it will leave.
+        Whether it has announced that it will leave.
     domain : str
-        Fabric domain; replicas do not span two. Empty for plain targets.
+        Fabric domain; a replica does not span domains. Empty for plain targets.
     staged : tuple of str
-        Models whose weights lie on its host.
+        Models whose weights are staged on its host.
     models : tuple of str
         Models that it holds.
     last_model : str
-        Model of its latest replica that this process has seen; empty for none.
+        Model that this process has last seen it hold; empty for none.
     membership : Membership or None
-        The replica that it belongs to.
+        The replica that it belongs to; None for none.
     age_mark : (int, int)
-        Orders the entries of one target by their age, whatever order they are read in: start of
-        its process, by its own clock, and its own count of entries since. Zeros where unknown.
+        Orders the entries of one target by age, in whatever order they are read: the start time of
+        its process, by its own clock, and the number of entries it has written since. Zeros if
+        unknown.
     """
 
     target_id: str
@@ -82,15 +83,15 @@
 
     @property
     def joined(self) -> Membership:
-        """Its membership; only for a target that has one."""
+        """Membership of a target that belongs to a replica; an error for any other target."""
         return existing(self.membership, f"the membership of {self.target_id}")
 
     @property
     def life(self) -> int:
-        """Start of its process, by its own clock; 0 where it is unknown."""
+        """Incarnation of the target: start time of its process, by its own clock; 0 if unknown."""
         return self.age_mark[0]
 
     @property
     def is_fresh(self) -> bool:
-        """Whether it has nothing yet, so that it has certainly taken no order."""
+        """Whether it holds nothing and belongs to no replica, so it has certainly got no order."""
         return not (self.staged or self.models or self.membership)
--- a/ferrydock/targets/tests/test_leaving.py
+++ b/ferrydock/targets/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Targets that have said themselves that they leave, against what lists say."""
+"""Targets that have announced that they leave, while lists show them as ready."""
 
 from dataclasses import replace
 
@@ -14,7 +14,7 @@
     return directory
 
 
-def test_neither_a_list_nor_an_entry_brings_back_a_target_that_said_it_leaves():
+def test_a_leaving_target_is_not_used_again_because_of_a_list_or_entry():
     directory = directory_with()
     changes = directory.changes
     directory.note_leaving("t", 7)
@@ -34,13 +34,13 @@
     assert [t.target_id for t in directory.of_service("s")] == ["t"]
 
 
-def test_word_of_a_life_that_is_over_changes_nothing():
+def test_an_announcement_of_an_earlier_incarnation_changes_nothing():
     directory = directory_with(replace(ENTRY, age_mark=(8, 1)))
     directory.note_leaving("t", 7)
     assert directory.of_service("s")
 
 
-def test_word_of_a_target_that_is_not_listed_yet_is_kept_and_listed_ones_are_told():
+def test_an_announcement_of_a_target_not_yet_listed_is_remembered_and_reported_once_listed():
     directory = directory_with()
     directory.note_leaving("later", 5)
     assert directory.leaving_reports() == ()
--- a/ferrydock/targets/tests/test_older_lists.py
+++ b/ferrydock/targets/tests/test_older_lists.py
@@ -1,4 +1,4 @@
-"""A target list over a source that comes back older."""
+"""A target list whose source is restored from an older copy."""
 
 from ...store import Position
 from .. import Membership, ReplicaState, Target, TargetChanges, TargetDirectory
@@ -38,7 +38,7 @@
 COPY = (entry("leaving", 7), entry("gone", 8), entry("member", 7))
 
 
-def test_a_target_that_leaves_stays_left_and_one_that_is_gone_stays_gone():
+def test_an_older_copy_neither_undoes_a_leave_nor_adds_a_removed_target():
     directory = known_list()
     directory.take(whole(1, 40, *COPY))
     assert directory.targets["leaving"].draining
@@ -49,7 +49,7 @@
     assert directory.is_provisional
 
 
-def test_what_targets_write_again_is_taken_and_the_next_whole_list_ends_what_was_kept():
+def test_new_entries_are_applied_and_the_next_whole_list_replaces_kept_entries():
     directory = known_list()
     directory.take(whole(1, 40, *COPY))
     directory.take(change(1, 44, entry("member", 11)))
@@ -60,21 +60,21 @@
     assert not directory.is_provisional
 
 
-def test_a_target_whose_entry_had_only_lapsed_is_back_with_its_next_entry():
+def test_a_target_whose_entry_had_only_expired_returns_with_its_next_entry():
     directory = known_list()
     directory.take(whole(1, 40, *COPY))
     directory.take(change(1, 45, entry("gone", 9)))
     assert "gone" in directory.targets
 
 
-def test_a_restart_under_the_same_id_is_newer_whatever_its_count():
+def test_a_restart_under_the_same_id_is_newer_whatever_its_number_of_entries():
     directory = known_list()
     again = Target("leaving", "s", "127.0.0.1:1", "h", 1, age_mark=(2, 1))
     directory.take(whole(1, 40, again))
     assert not directory.targets["leaving"].draining
 
 
-def test_a_position_of_an_older_era_gets_the_whole_list():
+def test_a_position_of_an_older_era_requires_the_whole_list():
     directory = known_list()
     assert directory.changed_after(Position(0, 850)) is not None
     directory.take(whole(1, 40, *COPY))
