--- a/ferrydock/replicas/_order_sender.py
+++ b/ferrydock/replicas/_order_sender.py
@@ -139,7 +139,7 @@
     async def _expected(self, target: Target, order: Order) -> int | OrderRefused | Unavailable:
         """Return how many orders a target has accepted, or why the order must not be sent."""
         known = self._known.get(target.target_id)
-        if known is None and target.is_fresh:
+        if known is None and target.is_unused:
             known = KnownOrders(0, None)
         if known is None or known.is_in_other_replica(order):
             report = await self.control.report(target, REPORT_TIMEOUT_S)
--- a/ferrydock/replicas/_planning.py
+++ b/ferrydock/replicas/_planning.py
@@ -311,7 +311,7 @@
         That holds if the number of targets has not changed for `TARGETS_SETTLE_S`, or if one of the
         hall's targets has ever got an order, since the hall was then planned before.
         """
-        if not all(target.is_fresh for target in targets):
+        if not all(target.is_unused for target in targets):
             return True
         if len(self.directory.targets) != self._last_target_count:
             self._last_target_count = len(self.directory.targets)
--- a/ferrydock/targets/_target.py
+++ b/ferrydock/targets/_target.py
@@ -92,6 +92,6 @@
         return self.age_mark[0]
 
     @property
-    def is_fresh(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether it holds nothing and belongs to no replica, so it has certainly got no order."""
         return not (self.staged or self.models or self.membership)
