--- a/ferrydock/replicas/_health.py
+++ b/ferrydock/replicas/_health.py
@@ -160,7 +160,7 @@
         restored. A replica is complete as long as its members report that they belong to it.
         """
         key = replica.key
-        if len(self.directory.members_ever(key)) < model.size:
+        if len(self.directory.all_seen_members(key)) < model.size:
             first_s = self._orphaned_since_s.setdefault(key, now_s)
             return now_s - first_s < ORPHAN_GRACE_S
         alive_s, requested_s = self._reports_s.get(key, (now_s, -REPORT_INTERVAL_S))
@@ -173,7 +173,7 @@
     async def _request_missing_reports(self, replica: ObservedReplica) -> None:
         """Ask the members without an entry for reports on whether they belong to the replica."""
         present = {target.target_id for target in replica.members}
-        known = self.directory.members_ever(replica.key)
+        known = self.directory.all_seen_members(replica.key)
         missing = [target for target in known if target.target_id not in present]
         control = self.order_sender.control
         try:
--- a/ferrydock/targets/_directory.py
+++ b/ferrydock/targets/_directory.py
@@ -212,7 +212,7 @@
                 del self._members_by_replica[next(iter(self._members_by_replica))]
         self._members_by_replica[key][target.target_id] = target
 
-    def members_ever(self, key: tuple[str, int]) -> tuple[Target, ...]:
+    def all_seen_members(self, key: tuple[str, int]) -> tuple[Target, ...]:
         """Return all targets that were seen in a replica, also those whose entry was removed."""
         return tuple(self._members_by_replica.get(key, {}).values())
 
