--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -35,10 +35,12 @@
     "backpressure",
     "crashes",
     "relay",
+    "replicas",
     "retry_budget.py",
     "routing",
     "scheduling",
     "store",
+    "targets",
     "teams",
 )
 MIN_WORDS_OF_A_MODULE = 12
