--- a/ferrydock/route_daemon/__init__.py
+++ b/ferrydock/route_daemon/__init__.py
@@ -1,10 +1,10 @@
-"""The route daemon: the program that runs on the users' platform, on every entry box.
+"""The route daemon: the program that runs on every entry box of the users' platform.
 
 Start it with ``python -m ferrydock.route_daemon --settings=FILE``. This package composes a daemon
 from the packages that do the work and holds what concerns the process as a whole: settings, the
-port to a deployment, leadership of halls, following the store, periodic work, readiness, stop.
-What does not belong here: serving requests (`ferrydock.forwarding`), choosing targets
-(`ferrydock.scheduling`), forming replicas (`ferrydock.replicas`), anything of one platform
+interface to a deployment, leadership of halls, reading the store, periodic tasks, readiness and
+shutdown. What does not belong here: serving requests (`ferrydock.forwarding`), choosing targets
+(`ferrydock.scheduling`), forming replicas (`ferrydock.replicas`), anything specific to one platform
 (`ferrydock.platform`). The other program, ``ferrydockd``, is `ferrydock.node`.
 """
 
--- a/ferrydock/route_daemon/__main__.py
+++ b/ferrydock/route_daemon/__main__.py
@@ -40,22 +40,22 @@
     Parameters
     ----------
     deployment : Deployment
-        What the daemon runs against.
+        The store, configuration source and targets that the daemon uses.
     """
 
     deployment: Deployment
     daemon: RouteDaemon
 
     async def start(self) -> None:
-        """Compose the daemon and start it, as aiomisc asks."""
+        """Create the daemon and start it; called by aiomisc."""
         self.daemon = RouteDaemon(self.deployment, SystemClock())
         await self.daemon.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Do nothing: the daemon was stopped by `run_until_stopped`."""
+        """Do nothing: `run_until_stopped` has already stopped the daemon."""
 
     async def run(self, signals: DaemonSignals) -> int:
-        """Serve until the daemon is told to stop; return the exit status."""
+        """Serve until a signal stops the daemon; return the exit status."""
         daemon = self.daemon
         return await run_until_stopped(
             signals, daemon.failed, daemon.stop, daemon.close, daemon.reread_settings
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -1,8 +1,8 @@
-"""One route daemon: its parts, and how it starts and stops.
+"""One route daemon: its components, and how it starts and stops.
 
-Owns the parts and the order in which they begin and end. Decides nothing: each rule stands in the
-package of its part. All that a daemon knows is in memory and is lost with its process; what must
-last lies in the store.
+Owns the components and the order in which they start and stop. Makes no decisions: each rule is
+in the package of its component. The state of a daemon is in memory and is lost with its process;
+what must survive is in the store.
 """
 
 import asyncio
@@ -59,62 +59,64 @@
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
 
-# Pauses of the periodic work.
-TIDY_EVERY_S = 1.0
-# A quarter of the silence after which a stream goes on elsewhere where events come each 30 to 60 ms
-# (`forwarding._move_rule`).
+UPKEEP_EVERY_S = 1.0
+# A quarter of the silence after which a stream with events every 30 to 60 ms is moved to another
+# target (`forwarding._move_rule`).
 DETECT_STALLS_EVERY_S = 0.025
 SET_GATHER_TIME_EVERY_S = 0.1
 ASSIGN_SLOTS_EVERY_S = 0.1
-# How old the counts of other halls are that the hall scheduler decides by.
+# Bounds the age of the in-flight counts of other halls that the hall scheduler decides by.
 POLL_REMOTE_HALLS_EVERY_S = 0.15
 
-# How long changes of the target list may be gathered before they come as one call of the store:
-# shorter while this daemon forms or dissolves replicas, since each step waits for a change.
+# How long changes of the target list may be batched before one store call returns them: shorter
+# while this daemon forms or dissolves replicas, because each step waits for a change.
 GATHER_WHILE_CONTROLLING_S = 0.2
 GATHER_S = 0.4
 
-# The same while a new era of the store settles: all targets write again, and without a leader all
-# daemons follow them.
+# The same while a new era of the store settles: all targets rewrite their entries, and every daemon
+# reads them itself because no hall has a leader yet.
 GATHER_SETTLING_S = 1.0
 
-# Width of the random number of the first grant: large enough that two leaders never use the same.
+# Width of the random number of the first slot grant: wide enough that two leaders of a hall do not
+# use the same numbers.
 FIRST_GRANT_BITS = 40
 
 METRICS_PATH = "/metrics"
 
-# The balancer's pause between two readiness checks, and the misses in a row after which it takes a
-# daemon out: both said by the platform.
+# The balancer's pause between two readiness checks, and the consecutive failed checks after which
+# it stops sending callers to a daemon; the platform specifies both.
 BALANCER_CHECK_S = 1.0
 BALANCER_MISSES = 2
 
-# How long the listener stays open after readiness has dropped: until the balancer has taken this
-# daemon out, and half a check more. Not longer: what is taken on late may still be under way when
-# the process is killed, and is then cut, while a caller whose connection is closed or refused goes
-# to another daemon at once. The platform excuses a cut only of requests sent within 3 s of SIGTERM.
+# How long the listener stays open after the daemon reports that it is not ready: until the balancer
+# has removed this daemon, plus half a check interval. Not longer: a request accepted late may still
+# be in flight when the process is killed, and is then cut off, while a caller whose connection is
+# closed or refused goes to another daemon at once. The platform tolerates a cut-off only for
+# requests sent within 3 s of SIGTERM.
 LISTEN_AFTER_READY_S = (BALANCER_MISSES + 0.5) * BALANCER_CHECK_S
 
-# How long before the process would be killed the requests that are left are ended, so that their
-# answers and the closing of everything else still fit: closing takes 0.02 s, and took 1.03 s once
-# in 50 seeds of the soak of stops beside other work. Within the last sixth of the usual grace of
-# 8 s (1.33 s), in which the platform lets a stop cut what a target is still at work on.
+# How long before the process is killed the remaining requests are ended, so that there is time to
+# send their answers and to close everything else. Closing takes 0.02 s, but took 1.03 s once in 50
+# seeds of the soak of stops on a loaded machine. The margin is within the last sixth of the usual
+# grace period of 8 s (1.33 s), in which the platform lets a stop cut off requests that a target is
+# still working on.
 KILL_MARGIN_S = 1.2
 
 
 class RouteDaemon:
-    """Composes the parts of a daemon and runs them.
+    """Creates the components of a daemon and runs them.
 
     Parameters
     ----------
     deployment : Deployment
-        The store, configuration source, target source and target control it runs against.
+        The store, configuration source, target source and target control that the daemon uses.
     clock : Clock
-        For all decisions.
+        Used by all components.
 
     Attributes
     ----------
     stopping : asyncio.Event
-        Set once a planned stop has begun.
+        Set when a planned stop begins.
     """
 
     def __init__(self, deployment: Deployment, clock: Clock):
@@ -134,16 +136,16 @@
 
     @property
     def settings(self) -> RouteDaemonSettings:
-        """The settings in force."""
+        """The current settings."""
         return self.live_settings.current
 
     @property
     def failed(self) -> asyncio.Event:
-        """Set once a part of the daemon has failed that must not."""
+        """Set when a task that must run until the daemon ends has failed."""
         return self.tasks.failed
 
     def _build_state(self) -> None:
-        """What this daemon knows of configuration, targets and peers."""
+        """Create what holds the known configuration, targets and peers."""
         self.current = CurrentConfiguration()
         self.directory = TargetDirectory()
         self.catalog = EndpointCatalog(self.directory)
@@ -155,7 +157,7 @@
         self.site_daemons = SiteDaemons(self.live_settings, self.daemon_counter, self.clock)
 
     def _build_request_path(self) -> None:
-        """From a caller's connection to a target's."""
+        """Create what a request passes through, from a caller's connection to a target's."""
         loads = TargetLoads()
         self.selector = HallEndpointSelector(
             self.catalog,
@@ -181,7 +183,7 @@
         self.stalls = StallDetector(attempts, self.deployment.control, self.clock, forwarder.times)
 
     def _build_relay(self) -> None:
-        """Asking the hall leader for news, and answering followers while this daemon leads."""
+        """Create the client that polls the hall leader and the server that answers followers."""
         self.relay_client = RelayClient(
             self.current,
             self.directory,
@@ -197,7 +199,7 @@
         self.relay_server = RelayServer(
             self.current,
             self.directory,
-            self._reads_store,
+            self._can_answer_followers,
             self.clock,
             self.broken,
             self.daemon_counter,
@@ -205,16 +207,16 @@
         )
 
     def _build_leadership(self) -> None:
-        """Following the store or the hall leader; leading halls and forming their replicas."""
+        """Create the leadership of each hall, its controller, and the follower of the store."""
         self.order_sender = OrderSender(self.deployment.control, self.directory, self.clock)
         self.leadership = OwnHallLeadership(
-            *self._leadership_parts(self.settings.hall),
+            *self._leadership_arguments(self.settings.hall),
             relay=self.relay_client,
             change_within_s=self.settings.change_within_s,
         )
         self.remote_leaderships = [
             RemoteHallLeadership(
-                *self._leadership_parts(hall), is_candidate=self.leadership.holds_lease
+                *self._leadership_arguments(hall), is_candidate=self.leadership.holds_lease
             )
             for hall in self.settings.halls
             if hall != self.settings.hall
@@ -233,8 +235,8 @@
             [leadership.confirmation for leadership in self.remote_leaderships],
         )
 
-    def _leadership_parts(self, hall: str) -> tuple:
-        """Return the arguments that leaderships of all halls have in common."""
+    def _leadership_arguments(self, hall: str) -> tuple:
+        """Return the constructor arguments common to the leaderships of all halls."""
         settings, store = self.settings, self.deployment.store
         lease = ControllerLease(
             store,
@@ -259,7 +261,7 @@
         return controller, store, self.clock, self.rng, self.stopping.is_set, self.settling
 
     def _build_scheduling(self) -> None:
-        """The hall scheduler, used while this daemon leads, and the way to the leader's."""
+        """Create the hall scheduler for when this daemon leads, and the client of the leader's."""
         counts = InFlightCounts(self.rng.getrandbits(FIRST_GRANT_BITS))
         self.scheduler = HallScheduler(
             self.catalog,
@@ -283,14 +285,14 @@
         self.remote_halls = RemoteHallPoller(
             counts,
             self.demand,
-            self._remote_leaders,
+            self._remote_leader_addresses,
             self.clock,
             self.crash_exchange,
             self.catalog.limits,
         )
 
     def _build_upkeep(self) -> None:
-        """Readiness, metrics and periodic tidying."""
+        """Create what serves readiness and metrics, and the periodic upkeep."""
         self.upkeep = Upkeep(self.gateway, self.directory, self.order_sender, self.live_settings)
         readiness = Readiness(self.stopping, self.current, self.directory)
         self.gauges = Gauges(
@@ -304,7 +306,7 @@
         self.ready_listener = StatusListener(readiness.answer)
         self.metrics_listener = StatusListener(self._answer_metrics)
 
-    # What the parts ask of each other ---------------------------------------------------------
+    # Functions that are passed to components --------------------------------------------------
 
     def _leaderships(self) -> list[HallLeadership]:
         return [self.leadership, *self.remote_leaderships]
@@ -313,31 +315,35 @@
         return self.demand.site_slots_wanted(service, self.clock.now_s())
 
     def _limit_share(self, hall: str) -> float:
-        """Return the part of the limit of a hall's target that this daemon's scheduler grants."""
-        led = {
+        """Return the share of the rate limit of a target in `hall` that this daemon may grant.
+
+        The share is 0 while this daemon leads no hall.
+        """
+        led_halls = {
             leadership.controller.hall for leadership in self._leaderships() if leadership.is_leader
         }
-        return hall_share(hall in led, len(self.settings.halls)) if led else 0.0
+        return hall_share(hall in led_halls, len(self.settings.halls)) if led_halls else 0.0
 
     def _max_keyed_age_s(self) -> float:
         return max_keyed_age_s(self.settings.freshness_s)
 
-    def _reads_store(self) -> bool:
-        """Return whether this daemon reads the store for its hall and knows what it holds.
+    def _can_answer_followers(self) -> bool:
+        """Return whether this daemon leads its hall with data recent enough to relay to followers.
 
-        The list counts by its own age: a leader whose wait for changes is never answered was
-        believed by its whole hall for up to 21.5 s while it confirmed its configuration. While a
-        new era of the store settles no daemon can confirm that, so reaching the store is enough:
-        the followers would learn no more there, and all ask at once.
+        The age of the target list counts as well as that of the configuration: a leader whose watch
+        of the list is never answered may still confirm its configuration, and a whole hall relied
+        on the old list of such a leader for up to 21.5 s. While a new era of the store settles, no
+        daemon can confirm its data, so it is enough that the store answers: the followers would
+        learn no more from the store, and would all read it at once.
         """
         now_s = self.clock.now_s()
         age_s = max(self.current.age_s(now_s), self.directory.age_s(now_s))
         if not self.settling.is_settled():
-            age_s = now_s - self.store_follower.reached_s
+            age_s = now_s - self.store_follower.last_read_began_s
         return self.leadership.holds_lease() and age_s < LEADER_MAX_AGE_S
 
-    def _remote_leaders(self) -> dict[str, str]:
-        """Return the known addresses of the other halls' leaders, by hall."""
+    def _remote_leader_addresses(self) -> dict[str, str]:
+        """Return the known ``IP:PORT`` of the leader of each other hall, by hall."""
         return {
             leadership.controller.hall: leadership.leader_address
             for leadership in self.remote_leaderships
@@ -352,13 +358,13 @@
     # Start and stop ---------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Listen, and begin all periodic work."""
+        """Open the listeners and start all periodic tasks."""
         await self.ready_listener.start(self.settings.ready_listen)
         await self.metrics_listener.start(self.settings.metrics_listen)
         await self.gateway.start(self.settings.listen)
         self.tasks.spawn(self.store_follower.follow_configuration())
         self.tasks.spawn(self.store_follower.follow_targets())
-        self.tasks.every(TIDY_EVERY_S, self._tidy)
+        self.tasks.every(UPKEEP_EVERY_S, self._run_upkeep)
         self.tasks.every(DETECT_STALLS_EVERY_S, self.stalls.step)
         self.tasks.every(SET_GATHER_TIME_EVERY_S, self._set_gather_time)
         self.tasks.every(ASSIGN_SLOTS_EVERY_S, self.upkeep.assign_free_slots)
@@ -381,14 +387,14 @@
         )
 
     async def stop(self) -> None:
-        """Stop as planned: readiness drops first, then nothing in flight is cut off."""
+        """Stop as planned: report not ready, let requests in flight finish, then close."""
         self.stopping.set()
         within_s = self.settings.stop_within_s - KILL_MARGIN_S
         await finish_requests([self.gateway], LISTEN_AFTER_READY_S, within_s, self.clock)
         await self.close()
 
     async def close(self) -> None:
-        """End at once; callers' requests first, while everything that serves them still runs."""
+        """Close at once; callers' requests first, while their components still run."""
         await self.gateway.close()
         await self.tasks.close()
         parts = (
@@ -403,25 +409,25 @@
             self.deployment.control,
             self.deployment.store,
         )
-        # Together: each may wait for its peers, and all of it has to fit into `KILL_MARGIN_S`.
+        # Concurrently: each may wait for its peers, and all must close within `KILL_MARGIN_S`.
         await asyncio.gather(*(part.close() for part in parts))
 
     def reread_settings(self) -> None:
-        """Put the settings in force as they stand now."""
+        """Read the settings again and apply them."""
         self.live_settings.reread()
 
-    # Periodic work that concerns several parts -----------------------------------------------
+    # Periodic tasks that concern several components ------------------------------------------
 
-    async def _tidy(self) -> None:
+    async def _run_upkeep(self) -> None:
         self.site_daemons.refresh(self.leadership)
         self.retry_shares.update()
-        self.upkeep.tidy()
+        self.upkeep.run_once()
         self.scheduler.pacer.tidy()
         self.crash_exchange.history.tidy()
-        self.store_follower.look_at_age()
+        self.store_follower.check_age()
 
     async def _set_gather_time(self) -> None:
-        """Let a daemon that forms replicas learn of its targets soon, others in larger batches."""
+        """Batch changes of the target list for less time while this daemon forms replicas."""
         is_controlling = any(controller.is_acting for controller in self.controllers)
         gather_s = GATHER_WHILE_CONTROLLING_S if is_controlling else GATHER_S
         if not self.settling.is_settled():
@@ -429,7 +435,10 @@
         self.deployment.target_source.gather_s = gather_s
 
     async def _poll_remote_halls(self) -> None:
-        """Learn, as this hall's scheduler, what other halls have in flight at its targets."""
+        """Fetch in-flight counts from other halls while this daemon schedules its hall.
+
+        A daemon that does not lead resets its measured demand and its request pacing instead.
+        """
         self.scheduler.counts.forget_silent(self.clock.now_s())
         if self.leadership.is_leader:
             self.scheduler.sample_demand()
--- a/ferrydock/route_daemon/_deployment.py
+++ b/ferrydock/route_daemon/_deployment.py
@@ -1,7 +1,7 @@
-"""The port to a deployment: everything outside a daemon, opened by a registered adapter.
+"""The interface to a deployment: the external services of a daemon, opened by an adapter.
 
-Owns the registry of adapters, which the decorator `register_deployment` fills when an adapter's
-package is imported.
+Owns the registry of adapters. An adapter adds itself with the decorator `register_deployment` when
+its package is imported.
 """
 
 from collections.abc import Callable, Mapping
@@ -19,26 +19,26 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """Everything outside the daemon.
+    """The external services that a daemon uses: store, configuration and targets.
 
     Attributes
     ----------
     settings : RouteDaemonSettings
-        As read at the start.
+        As read when the process starts.
     reread : callable
         Reads the settings again.
     store : Store
         The platform's key-value service.
     store_calls : mapping of str to int
-        Calls of the store so far, by kind and result.
+        Number of store calls since the process started, by kind and result.
     configuration_source : ConfigurationSource
         Reads and decodes the operator's configuration.
     target_source : TargetSource
         Follows the list of targets.
     control : TargetControl
-        Sends orders to targets and asks for their reports.
+        Sends orders to targets and requests their reports.
     dialect : RequestDialect
-        Names and formats of headers.
+        Names and formats of HTTP headers.
     """
 
     settings: RouteDaemonSettings
@@ -56,7 +56,7 @@
 
 
 def register_deployment(name: str) -> Callable[[Factory], Factory]:
-    """Register what opens a kind of deployment from the path of its settings file."""
+    """Register a function that opens a kind of deployment from the path of its settings file."""
 
     def decorate(factory: Factory) -> Factory:
         _FACTORIES[name] = factory
@@ -66,7 +66,7 @@
 
 
 def deployment_kinds() -> tuple[str, ...]:
-    """Return the registered names."""
+    """Return the names of the registered kinds of deployment, sorted."""
     return tuple(sorted(_FACTORIES))
 
 
--- a/ferrydock/route_daemon/_gauges.py
+++ b/ferrydock/route_daemon/_gauges.py
@@ -1,4 +1,4 @@
-"""Metrics that are read off the daemon's state when they are asked for; owns nothing."""
+"""Metrics that are computed from the daemon's state when they are scraped; owns no state."""
 
 import logging
 from collections.abc import Sequence
@@ -15,14 +15,14 @@
 
 
 class Gauges:
-    """Brings the gauges up to date; counters and histograms are counted by events.
+    """Updates the gauges at each scrape; counters and histograms are updated as events happen.
 
     Parameters
     ----------
     deployment : Deployment
-        Tells the store's era, and the calls of it so far.
+        Provides the store's era and the number of store calls.
     controllers : sequence of ReplicaController
-        Their plans, of the halls that this daemon leads.
+        Provide the replica plans of the halls that this daemon leads.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
         self.controllers = controllers
 
     def text(self) -> str:
-        """Return all metrics in the Prometheus text form."""
+        """Update the gauges and return all metrics in the Prometheus text format."""
         metrics, current = self.metrics, self.gateway.current
         services = current.engine_services()
         replicas = (r for service in services for r in self.directory.replicas(service.name))
--- a/ferrydock/route_daemon/_leadership.py
+++ b/ferrydock/route_daemon/_leadership.py
@@ -1,10 +1,10 @@
-"""Leading a hall: what leaderships of the own hall and of other halls have in common.
+"""Leading a hall: what leadership of the daemon's own hall and of other halls have in common.
 
 Each hall has at most one leader: the daemon whose lease holds the hall's key in the store. It reads
-the store for the hall, schedules the hall's requests and controls the hall's replicas. Here a lease
-is taken, led under and given back; who tries for it, and what a daemon does meanwhile, stands in
-`_own_leadership` and `_remote_leadership`. Owns the leader's last known address, in memory; the
-lease itself lives in the store.
+the store for the hall, schedules the hall's requests and controls the hall's replicas. This module
+acquires a lease, leads while it is valid, and releases it; `_own_leadership` and
+`_remote_leadership` decide which daemon tries to acquire it and what a daemon does otherwise. Owns
+the leader's last known address, in memory; the lease itself is in the store.
 """
 
 import asyncio
@@ -26,42 +26,41 @@
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
 
-# Length of a lease: how long a hall is without a leader after its daemon died. Measured in
-# docs/MEASUREMENTS.md, routes, "survivors used at once, lease 1.8 s": the two together.
+# Duration of a lease: how long a hall may be without a leader after the leader's process dies.
 LEASE_S = 1.8
 
-# Pause between two rounds of the controller, and its random factor, so that controllers of several
-# halls do not act together. Chosen, not measured.
+# Pause between two rounds of the controller, and its random factor, so that the controllers of
+# several halls do not act at the same time.
 CONTROLLER_ROUND_S = 0.1
 ROUND_JITTER = (0.85, 1.15)
 
-# Pause between two looks whether the store's era has settled, without a call.
-SETTLING_LOOK_S = 0.1
+# Pause between two checks of whether the store's era has settled; a check makes no store call.
+SETTLING_CHECK_S = 0.1
 
-# Pause after a watch that ended without telling of the key's end. Chosen, not measured.
+# Pause after a watch of the leader's key broke before the key was removed.
 BROKEN_WATCH_PAUSE_S = 0.5
 
-# Pause after a failed attempt to take a lease, other than one that another daemon won. Chosen, not
-# measured.
-FAILED_TAKE_PAUSE_S = (0.3, 0.9)
+# Range of the random pause after an attempt to acquire a lease failed, unless another daemon holds
+# the lease.
+FAILED_ACQUIRE_PAUSE_S = (0.3, 0.9)
 
 
 class HallLeadership(ABC):
-    """The lease of one hall, and the hall's controller, which acts while it is held.
+    """The lease of one hall, and the hall's controller, which acts while the lease is held.
 
     Parameters
     ----------
     controller : ReplicaController
-        Acts while the lease is held.
+        Acts while this daemon holds the lease.
     is_stopping : callable
-        Whether this daemon is about to stop: it then gives its lease back.
+        Returns whether this daemon is about to stop; it then releases its lease.
     settling : EraSettling
-        Whether the store can be relied on after it came back older.
+        Whether the store can be relied on after it was restored from an older copy.
 
     Attributes
     ----------
     leader_address : str
-        ``IP:PORT`` of the daemon that last held the lease, as far as known; empty at first.
+        ``IP:PORT`` of the last daemon known to have held the lease; empty if none is known.
     """
 
     def __init__(
@@ -89,51 +88,58 @@
         return self.leader_address == self.lease.address
 
     def holds_lease(self) -> bool:
-        """Return whether this daemon holds the lease right now, by its own clock."""
+        """Return whether this daemon holds an unexpired lease, by its own clock."""
         return self.lease.valid
 
-    def should_give_way(self) -> bool:
-        """Return whether another daemon is to lead instead of this one."""
+    def should_step_down(self) -> bool:
+        """Return whether this daemon is to release the lease in favour of another daemon."""
         return False
 
     def known_leader_address(self) -> str:
         """Return ``IP:PORT`` of the hall's leader; empty if none is known."""
         return self.leader_address
 
-    async def _take_and_lead(self) -> None:
-        """Try to take the lease; if that succeeds, lead until it ends.
+    async def _acquire_and_lead(self) -> None:
+        """Try to acquire the lease; if that succeeds, lead until the lease ends.
 
-        A daemon that stops takes none: it would give it back at once, and the hall would be
-        without a leader for that long. Nor is one taken while the store's era settles: another
-        daemon may still rely on one of which the store knows nothing any more.
+        A daemon that is stopping does not try: it would release the lease at once, and the hall
+        would have no leader in the meantime. Nor does a daemon try while the store's era settles:
+        another daemon may still rely on a lease that the restored store has lost.
         """
         if self.is_stopping() or not self.settling.is_settled():
             return
-        taken = await self.lease.acquire(LEASE_S)
-        if isinstance(taken, HeldLease):
+        acquired = await self.lease.acquire(LEASE_S)
+        if isinstance(acquired, HeldLease):
             self.leader_address = self.lease.address
             log_event(
-                _LOG, logging.INFO, "controller_began", hall=self.controller.hall, term=taken.term
+                _LOG,
+                logging.INFO,
+                "controller_began",
+                hall=self.controller.hall,
+                term=acquired.term,
             )
             await self._lead()
-        elif not isinstance(taken, Conflict):
+        elif not isinstance(acquired, Conflict):
             log_event(
                 _LOG,
                 logging.INFO,
                 "lease_not_taken",
                 hall=self.controller.hall,
-                why=taken.reason,
+                why=acquired.reason,
             )
-            await asyncio.sleep(self.rng.uniform(*FAILED_TAKE_PAUSE_S))
+            await asyncio.sleep(self.rng.uniform(*FAILED_ACQUIRE_PAUSE_S))
 
-    async def _wait_for_free_key(self, read: Position, longest_s: float | None) -> bool:
-        """Wait until the leader's key is gone, the watch breaks or `longest_s`, if any, is over.
+    async def _wait_until_key_removed(
+        self, read_position: Position, timeout_s: float | None
+    ) -> bool:
+        """Wait until the leader's key is removed, the watch breaks or `timeout_s` has passed.
 
-        `read` is where it was read. Returns whether the key is gone.
+        `read_position` is the store position at which the key was read; `timeout_s` None waits
+        without a limit. Returns whether the key was removed.
         """
         try:
-            async with asyncio.timeout(longest_s):
-                async for batch in self.store.watch(self.key, read):
+            async with asyncio.timeout(timeout_s):
+                async for batch in self.store.watch(self.key, read_position):
                     if any(value is None for _, value in batch.changes):
                         return True
         except TimeoutError:
@@ -141,43 +147,46 @@
         await asyncio.sleep(BROKEN_WATCH_PAUSE_S)
         return False
 
-    async def _wait_for_taken_key(self, read: Position, longest_s: float) -> None:
-        """Wait until a daemon takes the leader's key, or until `longest_s` is over."""
-        until_s = self.clock.now_s() + longest_s
+    async def _wait_until_key_written(self, read_position: Position, timeout_s: float) -> None:
+        """Wait until a daemon writes the leader's key, or until `timeout_s` has passed."""
+        until_s = self.clock.now_s() + timeout_s
         try:
-            async with asyncio.timeout(longest_s):
-                async for batch in self.store.watch(self.key, read):
+            async with asyncio.timeout(timeout_s):
+                async for batch in self.store.watch(self.key, read_position):
                     if any(value is not None for _, value in batch.changes):
                         return
         except TimeoutError:
             return
-        await asyncio.sleep(max(0.0, until_s - self.clock.now_s()))  # the watch broke off
+        await asyncio.sleep(max(0.0, until_s - self.clock.now_s()))  # the watch broke
 
     async def _lead(self) -> None:
-        """Drive the controller while the lease holds; give the lease back at a planned stop."""
+        """Run the controller while the lease is valid; release the lease at a planned stop."""
         try:
-            await self._act_while_valid()
+            await self._control_while_lease_valid()
             while await self.lease.reclaim():
                 log_event(_LOG, logging.WARNING, "lease_reclaimed", hall=self.controller.hall)
-                await self.lease.keep()  # of its time an outage has left little
-                await self._act_while_valid()
+                await self.lease.keep()  # little of it remains after an outage
+                await self._control_while_lease_valid()
         finally:
             log_event(_LOG, logging.INFO, "controller_ended", hall=self.controller.hall)
         if self.lease.valid:
             await self.lease.give_back()
         if self.is_stopping():
-            self.leader_address = ""  # the next one schedules the requests that are left here
+            self.leader_address = ""  # the next leader schedules the requests still queued here
 
     async def _wait_until_settled(self) -> None:
-        """Wait until the store's era has settled; a free key is looked at again after that."""
+        """Wait until the store's era has settled; the caller then reads a free key again."""
         while not self.settling.is_settled():
-            await asyncio.sleep(SETTLING_LOOK_S)
+            await asyncio.sleep(SETTLING_CHECK_S)
 
-    async def _act_while_valid(self) -> None:
-        """Drive the controller until the lease ends, or is not believed in a new era."""
+    async def _control_while_lease_valid(self) -> None:
+        """Run the controller until the lease ends or this daemon stops or steps down.
+
+        The controller pauses while a new era of the store settles.
+        """
         renewal = LeaseRenewal(self.lease, self.clock)
         try:
-            while self.lease.valid and not self.is_stopping() and not self.should_give_way():
+            while self.lease.valid and not self.is_stopping() and not self.should_step_down():
                 if not renewal.step():
                     break
                 if self.settling.is_settled():
@@ -189,4 +198,4 @@
 
     @abstractmethod
     async def run(self) -> None:
-        """Take the hall, or follow its leader, until the daemon ends."""
+        """Lead the hall, or follow its leader, until the daemon ends."""
--- a/ferrydock/route_daemon/_lease_renewal.py
+++ b/ferrydock/route_daemon/_lease_renewal.py
@@ -1,6 +1,6 @@
-"""Renewing a hall's lease beside the work that is done under it.
+"""Renewing a hall's lease concurrently with the controller that acts under it.
 
-Owns the renewal under way and when the last one began, in memory.
+Owns the pending renewal and the time at which the last one began, in memory.
 """
 
 import asyncio
@@ -11,26 +11,26 @@
 
 __all__ = ["LeaseRenewal"]
 
-# Pause between renewals: two may fail before the lease ends. Chosen, not measured.
+# Pause between renewals: two may fail before the lease expires.
 RENEW_EVERY_S = 0.5
 
 
 class LeaseRenewal:
-    """Renews a lease beside the rounds of the controller that acts under it."""
+    """Renews a lease in a task of its own, so that a slow store does not delay the controller."""
 
-    __slots__ = ("_renewed_s", "_task", "clock", "lease")
+    __slots__ = ("_last_renewal_s", "_task", "clock", "lease")
 
     def __init__(self, lease: ControllerLease, clock: Clock):
         self.lease = lease
         self.clock = clock
-        self._renewed_s = clock.now_s()
+        self._last_renewal_s = clock.now_s()
         self._task: asyncio.Task | None = None
 
     def step(self) -> bool:
-        """Begin or end a renewal if it is time; return False once the lease is lost."""
+        """Start a due renewal or collect its result; return False once the lease is lost."""
         now_s = self.clock.now_s()
-        if self._task is None and now_s - self._renewed_s >= RENEW_EVERY_S:
-            self._renewed_s = now_s
+        if self._task is None and now_s - self._last_renewal_s >= RENEW_EVERY_S:
+            self._last_renewal_s = now_s
             self._task = asyncio.ensure_future(self.lease.keep())
         if self._task is None or not self._task.done():
             return True
@@ -39,10 +39,10 @@
         if isinstance(renewed, LeaseLost):
             return False
         if not isinstance(renewed, LeaseGranted | HeldLease):
-            self._renewed_s = now_s - RENEW_EVERY_S / 2  # no answer: try again sooner
+            self._last_renewal_s = now_s - RENEW_EVERY_S / 2  # no answer: retry sooner
         return True
 
     def cancel(self) -> None:
-        """Stop a renewal that is under way."""
+        """Cancel the pending renewal, if any."""
         if self._task is not None:
             self._task.cancel()
--- a/ferrydock/route_daemon/_own_leadership.py
+++ b/ferrydock/route_daemon/_own_leadership.py
@@ -1,7 +1,7 @@
-"""Rule: when a daemon leads its own hall, and what it does while another one leads it.
+"""Rule: when a daemon leads its own hall, and what it does while another daemon leads it.
 
-Owns until when the leader's last answer makes the store unnecessary, and the offers to lead, in
-memory.
+Owns, in memory, the time until which the leader's last reply replaces reading the store, and the
+state of offers to lead.
 """
 
 import asyncio
@@ -19,175 +19,180 @@
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
 
-# Largest random pause before a daemon tries to lead its own hall. The daemons of a hall notice a
-# free key all at once; the first takes it, the others see that when they read the key again.
-# Measured in docs/MEASUREMENTS.md, second sitting, "a peer is heard first at the start".
-TAKE_JITTER_S = 0.4
+# Largest random pause before a daemon tries to lead its own hall. All daemons of a hall notice at
+# the same time that the key is free; the first acquires it, the others find that out when they read
+# the key again.
+ACQUIRE_JITTER_S = 0.4
 
-# The same for the own hall, where a follower notices a silent leader by its calls. Chosen, not
-# measured.
-OWN_WATCH_S = (1.0, 2.0)
+# Range of the time for which a follower watches the leader's key before it reads the key and polls
+# the leader again. It watches after its polls have failed, which is how it notices a silent leader.
+OWN_KEY_WATCH_S = (1.0, 2.0)
 
-# How long an answer of the leader makes the store unnecessary. A question takes up to 0.6 s
-# (`relay`); the bound that all of these serve: `freshness.LEADER_MAX_AGE_S`.
+# How long a follower need not read the store after a reply of the leader. A poll takes up to 0.6 s
+# (`relay`). `freshness.LEADER_MAX_AGE_S` explains the bound on the total delay.
 RELAY_VALID_S = 0.8
 
-# What a follower needs at most to act on a change, from the leader's last confirmation on: that
-# bound, and half a second for a call to the store. Where a deployment allows more, a follower waits
-# that much longer for the next leader before it reads the store itself. A leader that is lost is
-# replaced after some 2 s. On a day of 195 daemons whose bound is 4 s this and the choice of leaders
-# together saved 2,649 of 18,066 calls (emulated, one play each).
-CHANGE_TAKES_S = 2.5
-
-# Failed questions in a row after which a leader is no longer followed, and the pause between them.
-# Chosen, not measured.
-FAILED_PULLS = 2
+# Longest time that a follower needs to act on a change, counted from the leader's last
+# confirmation: the bound of 2 s explained there, and half a second for a store call. Where a
+# deployment allows more, a follower waits that much longer for the next leader before it reads the
+# store itself. A lost leader is replaced after about 2 s. On an emulated day of 195 daemons with a
+# bound of 4 s, this wait and the choice of leaders together saved 2,649 of 18,066 store calls (one
+# run each).
+MAX_FOLLOWER_DELAY_S = 2.5
+
+# Consecutive failed polls after which a follower stops polling its leader, and the pause between
+# them.
+MAX_FAILED_PULLS = 2
 FAILED_PULL_PAUSE_S = 0.15
 
-# Pause before the key is read again while the store cannot be reached, its random factor, and how
-# far the pause grows. Measured in docs/MEASUREMENTS.md, second sitting, "a store that is away is
-# left alone".
+# Pause before the key is read again while the store is unreachable, its random factor, and the
+# largest factor by which the pause grows with each failure.
 STORE_RETRY_S = 0.6
 STORE_RETRY_JITTER = (0.5, 1.5)
 MAX_STORE_RETRY_FACTOR = 4
 
-# Pause of a daemon that stops between two looks at a hall's key while no other daemon has it; the
-# next leader takes it within `TAKE_JITTER_S`. Chosen, not measured.
-STOPPING_LOOK_S = 0.2
+# Pause between two reads of a free key by a daemon that is stopping and so does not acquire it; the
+# next leader acquires it within `ACQUIRE_JITTER_S`.
+STOPPING_CHECK_S = 0.2
 
-# Name of the call on the wire by which a follower offers to lead; the answer is one byte.
+# Method name of the call by which a follower offers to lead; the reply is one byte.
 OFFER = "OfferToLead"
 ACCEPTED, DECLINED = b"1", b"0"
 
-# Pause between two offers of one follower. Chosen, not measured.
+# Shortest time between two offers of one follower.
 OFFER_EVERY_S = 5.0
 
 
 class OwnHallLeadership(HallLeadership):
-    """Leadership of the daemon's own hall: taken if it is free, else its leader is followed.
+    """Leads the daemon's own hall if its lease is free; otherwise polls the hall's leader.
 
     Parameters
     ----------
     relay : RelayClient
-        Asks the leader for news.
+        Polls the leader for updates.
     change_within_s : float
-        How soon a daemon must act on a change; what it has to spare is spent waiting for the next
-        leader.
+        How soon a daemon must act on a change. What this leaves beyond `MAX_FOLLOWER_DELAY_S` is
+        spent waiting for the next leader.
 
     Attributes
     ----------
     relayed_until_s : float
-        Local time up to which the leader's last answer makes the store unnecessary.
+        Local time until which the leader's last reply replaces reading the store.
     """
 
     def __init__(self, *arguments, relay: RelayClient, change_within_s: float):
         super().__init__(*arguments)
         self.relay = relay
-        self.spare_s = max(0.0, change_within_s - CHANGE_TAKES_S)
+        self.extra_valid_s = max(0.0, change_within_s - MAX_FOLLOWER_DELAY_S)
         self.relayed_until_s = -1.0
         self._leader_cores: float | None = None
-        self._began_s = self.clock.now_s()
-        self._offered_s = -OFFER_EVERY_S
-        self._is_invited = False
-        self._gives_way = False
+        self._started_s = self.clock.now_s()
+        self._last_offer_s = -OFFER_EVERY_S
+        self._is_offer_accepted = False
+        self._is_stepping_down = False
 
     @property
     def is_relayed(self) -> bool:
-        """Whether this daemon needs no store now, since the hall leader reads it."""
+        """Whether this daemon need not read the store because the hall leader relays it."""
         return not self.lease.valid and self.clock.now_s() < self.relayed_until_s
 
     async def run(self) -> None:
-        """Lead the hall or follow its leader until the daemon ends; while it stops, only follow."""
-        failures = 0
+        """Lead the hall or follow its leader until the daemon ends; only follow during a stop."""
+        consecutive_failures = 0
         read: RangeDone | Unavailable | None = None
         while True:
             read = read or await self.store.range(self.key)
             if isinstance(read, Unavailable):
                 read = None
-                failures += 1
-                await self._wait_for_store(failures)
+                consecutive_failures += 1
+                await self._wait_for_store(consecutive_failures)
                 continue
-            failures = 0
-            is_free = not read.items or await self._follow_until_free(read)
+            consecutive_failures = 0
+            is_free = not read.items or await self._follow_until_key_removed(read)
             read = await self._try_to_lead() if is_free else None
 
-    async def _follow_until_free(self, read: RangeDone) -> bool:
-        """Follow the leader in the key; return whether its key was seen to go."""
+    async def _follow_until_key_removed(self, read: RangeDone) -> bool:
+        """Poll the leader named in the key that was read; return whether the key was removed."""
         self.leader_address = controller_address(read.items[0].value)
         self._leader_cores = controller_cores(read.items[0].value)
-        await self._follow()
-        return await self._wait_for_free_key(read.position, self.rng.uniform(*OWN_WATCH_S))
+        await self._poll_leader()
+        return await self._wait_until_key_removed(read.position, self.rng.uniform(*OWN_KEY_WATCH_S))
 
     async def _try_to_lead(self) -> RangeDone | None:
-        """Take the free lease, unless another daemon was quicker: then return its key.
+        """Acquire the free lease and lead; if another daemon has acquired it, return its key.
 
-        All daemons of a hall find the key free at once; reading it again after a pause saves most
-        of them a lease that they could not use. One that the last leader gave way to does not wait.
+        All daemons of a hall find the key free at the same time; reading it again after a pause
+        saves most of them a request for a lease that they could not use. A daemon whose offer the
+        last leader accepted does not pause.
         """
         if self.is_stopping():
             self.leader_address = ""
-            await asyncio.sleep(STOPPING_LOOK_S)
+            await asyncio.sleep(STOPPING_CHECK_S)
             return None
         await self._wait_until_settled()
-        if not self._is_invited:
+        if not self._is_offer_accepted:
             cores = self.lease.processor_cores or 0.0
-            await asyncio.sleep(pause_before_taking_s(cores, TAKE_JITTER_S, self.rng))
-        self._is_invited = False
-        again = await self.store.range(self.key)
-        if not isinstance(again, RangeDone):
+            await asyncio.sleep(pause_before_taking_s(cores, ACQUIRE_JITTER_S, self.rng))
+        self._is_offer_accepted = False
+        reread = await self.store.range(self.key)
+        if not isinstance(reread, RangeDone):
             return None
-        if again.items:
-            return again
-        self._gives_way = False
-        await self._take_and_lead()
+        if reread.items:
+            return reread
+        self._is_stepping_down = False
+        await self._acquire_and_lead()
         return None
 
-    async def _wait_for_store(self, failures: int) -> None:
-        """Leave the store alone for a while after `failures` calls in a row that failed.
+    async def _wait_for_store(self, consecutive_failures: int) -> None:
+        """Pause calls to the store after `consecutive_failures` failed calls.
 
-        The hall leader asks it again soon, on behalf of all; the others wait ever longer, and ask
-        the leader meanwhile.
+        The hall leader retries soon, on behalf of its hall; the other daemons wait longer with each
+        failure, and poll the leader in the meantime.
         """
-        factor = 1 if self.is_leader else min(failures, MAX_STORE_RETRY_FACTOR)
+        factor = 1 if self.is_leader else min(consecutive_failures, MAX_STORE_RETRY_FACTOR)
         pause_s = self.rng.uniform(*STORE_RETRY_JITTER) * STORE_RETRY_S * factor
         until_s = self.clock.now_s() + pause_s
         while self.clock.now_s() < until_s:
-            await self._follow()
+            await self._poll_leader()
             await asyncio.sleep(FAILED_PULL_PAUSE_S)
 
-    async def _follow(self) -> None:
-        """Ask the leader for news again and again, until it fails."""
-        failures = 0
-        while self.leader_address and not self.is_leader and failures < FAILED_PULLS:
+    async def _poll_leader(self) -> None:
+        """Poll the leader for updates until `MAX_FAILED_PULLS` consecutive polls fail.
+
+        Returns early if the leader accepts this daemon's offer to lead, and returns at once if no
+        other leader is known.
+        """
+        failed_pulls = 0
+        while self.leader_address and not self.is_leader and failed_pulls < MAX_FAILED_PULLS:
             if await self.relay.pull(self.leader_address):
-                failures = 0
-                self.relayed_until_s = self.clock.now_s() + RELAY_VALID_S + self.spare_s
+                failed_pulls = 0
+                self.relayed_until_s = self.clock.now_s() + RELAY_VALID_S + self.extra_valid_s
                 await self._offer_to_lead()
-                if self._is_invited:
+                if self._is_offer_accepted:
                     return
             else:
-                failures += 1
-                if not self.spare_s:
-                    self.relayed_until_s = -1.0  # the store is read from now on, at once
+                failed_pulls += 1
+                if not self.extra_valid_s:
+                    self.relayed_until_s = -1.0  # read the store at once
                 await asyncio.sleep(FAILED_PULL_PAUSE_S)
 
-    # Giving way to a daemon on a larger machine ------------------------------------------------
+    # Stepping down for a daemon on a larger machine --------------------------------------------
 
     async def _offer_to_lead(self) -> None:
-        """Offer to lead the hall if this daemon can bear it better than its leader."""
+        """Offer to lead the hall if this daemon's machine suits that better than the leader's."""
         if self.is_stopping():
             return
         now_s = self.clock.now_s()
         cores = self.lease.processor_cores or 0.0
-        is_due = now_s - self._offered_s >= OFFER_EVERY_S
-        if not is_due or not is_better_leader(cores, self._leader_cores, now_s - self._began_s):
+        is_due = now_s - self._last_offer_s >= OFFER_EVERY_S
+        if not is_due or not is_better_leader(cores, self._leader_cores, now_s - self._started_s):
             return
-        self._offered_s = now_s
+        self._last_offer_s = now_s
         if isinstance(await self.store.range(self.key), Unavailable):
-            return  # it could not take the lease
+            return  # without the store this daemon could not acquire the lease
         offer = str(cores).encode()
         answer = await self.relay.ask_leader(self.leader_address, OFFER, offer)
-        self._is_invited = answer == ACCEPTED
+        self._is_offer_accepted = answer == ACCEPTED
         log_event(
             _LOG,
             logging.INFO,
@@ -196,24 +201,29 @@
             leader=self.leader_address,
             leader_cores=self._leader_cores,
             cores=cores,
-            accepted=self._is_invited,
+            accepted=self._is_offer_accepted,
         )
 
     async def answer_offer(self, data: bytes) -> bytes:
-        """Answer a follower that offers to lead; give way to it if it can bear more.
+        """Answer a follower's offer to lead; step down if its machine is sufficiently larger.
+
+        Parameters
+        ----------
+        data : bytes
+            Processor cores of the follower's machine, as decimal text.
 
         Raises
         ------
         ValueError
-            If the offer is no number.
+            If the offer is not a number.
         """
         offered = float(data)
         own = self.lease.processor_cores or 0.0
-        if not self.lease.valid or self._gives_way:
+        if not self.lease.valid or self._is_stepping_down:
             return DECLINED
         if not is_better_leader(offered, own, float("inf")):
             return DECLINED
-        self._gives_way = True
+        self._is_stepping_down = True
         log_event(
             _LOG,
             logging.INFO,
@@ -224,6 +234,6 @@
         )
         return ACCEPTED
 
-    def should_give_way(self) -> bool:
-        """Return whether a follower's offer to lead was accepted."""
-        return self._gives_way
+    def should_step_down(self) -> bool:
+        """Return whether this daemon has accepted a follower's offer to lead."""
+        return self._is_stepping_down
--- a/ferrydock/route_daemon/_periodic.py
+++ b/ferrydock/route_daemon/_periodic.py
@@ -1,7 +1,7 @@
 """The tasks of a daemon that run until it ends.
 
-Owns the tasks. One that fails is a broken invariant and ends the process: a daemon that has lost a
-loop would go on with old state.
+Owns the tasks. The failure of one is a broken invariant and ends the process: a daemon without one
+of its loops would continue with stale state.
 """
 
 import asyncio
@@ -15,18 +15,17 @@
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
 
-# Pauses vary by this factor, so that daemons that started together do not act together. Chosen,
-# not measured.
+# Random factor of each pause, so that daemons that started together do not act at the same time.
 PAUSE_JITTER = (0.85, 1.15)
 
 
 class PeriodicTasks:
-    """Runs coroutines beside each other, and functions again and again.
+    """Runs coroutines concurrently, and functions periodically.
 
     Attributes
     ----------
     failed : asyncio.Event
-        Set once a task has failed.
+        Set when a task has failed.
     """
 
     __slots__ = ("_tasks", "failed", "rng")
@@ -37,13 +36,13 @@
         self._tasks: list[asyncio.Task] = []
 
     def spawn(self, work: Coroutine) -> None:
-        """Run a coroutine that ends only with the daemon."""
+        """Run a coroutine as a task until the daemon ends."""
         task = asyncio.get_running_loop().create_task(work)
         task.add_done_callback(self._on_end)
         self._tasks.append(task)
 
     def every(self, pause_s: float, step: Callable[[], Awaitable[None]]) -> None:
-        """Call `step` again and again, with about `pause_s` between two calls."""
+        """Call `step` periodically, with a pause of about `pause_s` seconds between two calls."""
         self.spawn(self._repeat(pause_s, step))
 
     async def _repeat(self, pause_s: float, step: Callable[[], Awaitable[None]]) -> None:
@@ -59,7 +58,7 @@
             self.failed.set()
 
     async def close(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/ferrydock/route_daemon/_readiness.py
+++ b/ferrydock/route_daemon/_readiness.py
@@ -1,6 +1,6 @@
-"""Rule: when a daemon calls itself ready for callers.
+"""Rule: when a daemon reports that it is ready for callers.
 
-Owns nothing; reads the configuration in force, the target list and whether a stop has begun.
+Owns no state; reads the configuration in force, the target list and whether a stop has begun.
 """
 
 import asyncio
@@ -14,9 +14,9 @@
 class Readiness:
     """Answers the balancer's readiness checks.
 
-    A daemon is ready once it has a configuration and a target list, from the store or from its hall
-    leader, and until it stops. A lost store does not end readiness: other daemons would be no
-    better off, and public routes go on.
+    A daemon is ready from when it has a configuration and a target list, received from the store or
+    from its hall leader, until it begins to stop. Losing the store does not end readiness: other
+    daemons would have lost it too, and requests of public routes can still be served.
     """
 
     __slots__ = ("current", "directory", "stopping")
@@ -29,7 +29,7 @@
         self.directory = directory
 
     def answer(self, path: str) -> tuple[int, str]:
-        """Return status and text; the path does not matter."""
+        """Return the HTTP status and text of a readiness check, whatever its path."""
         why_not = self._why_not_ready()
         return (503, why_not) if why_not else (200, "ready\n")
 
--- a/ferrydock/route_daemon/_remote_leadership.py
+++ b/ferrydock/route_daemon/_remote_leadership.py
@@ -1,7 +1,7 @@
-"""Rule: when a daemon takes over another hall.
+"""Rule: when a daemon takes over leadership of another hall.
 
-Only the leader of a hall looks at the others, and only a hall that has had no leader for some
-seconds is taken over. Owns since when the other hall's leader is certainly known, in memory.
+Only the leader of a hall checks the other halls, and it takes over only a hall that has had no
+leader for some seconds. Owns, in memory, when the other hall's leader was last confirmed.
 """
 
 import asyncio
@@ -16,38 +16,37 @@
 __all__ = ["RemoteHallLeadership"]
 
 # How long a hall must have been without a leader before the leader of another hall takes it over,
-# and the random pause on top. Longer than daemons of the hall itself need (lease, jitter, a lost
-# call), so that a hall is led from inside while one of its daemons reaches the store. Chosen, not
-# measured.
-REMOTE_TAKE_AFTER_S = 6.0
-REMOTE_TAKE_JITTER_S = 2.0
+# and the largest random addition. Longer than the hall's own daemons need (expiry of the lease,
+# jitter, one lost call), so that one of them leads the hall while any of them reaches the store.
+REMOTE_TAKEOVER_AFTER_S = 6.0
+REMOTE_TAKEOVER_JITTER_S = 2.0
 
-# Pause between two looks at another hall's key. Chosen, not measured.
-REMOTE_LOOK_S = (0.8, 1.2)
+# Range of the pause between two reads of another hall's key.
+REMOTE_CHECK_S = (0.8, 1.2)
 
-# Pause between two looks whether this daemon has come to lead its own hall, without a call. A new
-# leader learns the leaders of other halls right after, and from them which requests crash their
-# targets: within 3 s of the end of the last leader, of which 1.8 s are the lease and up to 0.4 s
-# the pause before it is taken. Chosen, not measured.
-CANDIDATE_LOOK_S = 0.1
+# Pause between two checks of whether this daemon leads its own hall; a check makes no store call.
+# A new leader then reads the leaders of the other halls, and learns from them which requests crash
+# their targets. This must happen within 3 s of the end of the last leader, of which up to 1.8 s
+# pass until the lease expires and up to 0.4 s until the new leader acquires it.
+CANDIDATE_CHECK_S = 0.1
 
-# Pause between two looks whether the key of another hall's leader is known for too long, without a
-# call. Chosen, not measured.
-CONFIRMED_LOOK_S = 0.5
+# Pause between two checks of whether the last confirmation of another hall's leader is too old; a
+# check makes no store call.
+CONFIRMATION_CHECK_S = 0.5
 
 
 class RemoteHallLeadership(HallLeadership):
-    """Leadership of another hall, taken over only after nobody there has for some seconds.
+    """Leadership of another hall, taken over only when the hall has had no leader for seconds.
 
     Parameters
     ----------
     is_candidate : callable
-        Whether this daemon leads its own hall; only such a daemon takes over another.
+        Returns whether this daemon leads its own hall; only such a daemon takes over another.
 
     Attributes
     ----------
     confirmation : Confirmation
-        Since when the hall's key is certainly as it was read last.
+        Records when the hall's key was last confirmed to be unchanged since it was read.
     """
 
     def __init__(self, *arguments, is_candidate: Callable[[], bool]):
@@ -56,16 +55,19 @@
         self.confirmation = Confirmation()
 
     async def run(self) -> None:
-        """Look whether the hall is without a leader for long, and then lead it."""
+        """Check the hall until this daemon stops; lead it if it has no leader for too long."""
         while not self.is_stopping():
             if not self.is_candidate():
-                await asyncio.sleep(CANDIDATE_LOOK_S)
+                await asyncio.sleep(CANDIDATE_CHECK_S)
                 continue
-            if not await self._look():
-                await asyncio.sleep(self.rng.uniform(*REMOTE_LOOK_S))
+            if not await self._check_hall():
+                await asyncio.sleep(self.rng.uniform(*REMOTE_CHECK_S))
 
-    async def _look(self) -> bool:
-        """Look at the hall's key until it changes; return whether to look again at once."""
+    async def _check_hall(self) -> bool:
+        """Read the hall's key, wait while it stays as it is, and take over a hall without a leader.
+
+        Returns whether the key was removed, so that the caller checks again without a pause.
+        """
         began_s = self.clock.now_s()
         read = await self.store.range(self.key)
         if isinstance(read, Unavailable):
@@ -75,29 +77,31 @@
         if read.items:
             self.leader_address = controller_address(read.items[0].value)
             return await self._wait_while_confirmed(read.position)
-        jitter_s = self.rng.uniform(0, REMOTE_TAKE_JITTER_S)
-        await self._wait_for_taken_key(read.position, REMOTE_TAKE_AFTER_S + jitter_s)
+        jitter_s = self.rng.uniform(0, REMOTE_TAKEOVER_JITTER_S)
+        await self._wait_until_key_written(read.position, REMOTE_TAKEOVER_AFTER_S + jitter_s)
         await self._wait_until_settled()
-        again = await self.store.range(self.key)
-        if isinstance(again, RangeDone) and again.items:
-            self.leader_address = controller_address(again.items[0].value)
-        elif isinstance(again, RangeDone) and self.is_candidate():
-            await self._take_and_lead()
+        reread = await self.store.range(self.key)
+        if isinstance(reread, RangeDone) and reread.items:
+            self.leader_address = controller_address(reread.items[0].value)
+        elif isinstance(reread, RangeDone) and self.is_candidate():
+            await self._acquire_and_lead()
         return False
 
     async def _wait_while_confirmed(self, read: Position) -> bool:
-        """Wait until the leader's key is gone; return whether it is, or False to read it again.
+        """Wait until the leader's key is removed or its last confirmation is too old.
 
-        A wait that is never answered would leave this daemon with a leader that is gone. The wait
-        ends once the store's position has not confirmed the key for too long: while that stands
-        still, the key is known without a call.
+        Returns whether the key was removed; after False the caller reads the key again. A watch
+        that is never answered would leave this daemon with a leader that has ended, so the wait
+        also ends when no position named by the store has confirmed the key for
+        `REMOTE_LEADER_MAX_AGE_S`. While the store's position does not change, each of its answers
+        confirms the key without a further call.
         """
-        waiting = asyncio.ensure_future(self._wait_for_free_key(read, None))
+        key_removed = asyncio.ensure_future(self._wait_until_key_removed(read, None))
         try:
-            while not waiting.done():
+            while not key_removed.done():
                 if self.confirmation.age_s(self.clock.now_s()) > REMOTE_LEADER_MAX_AGE_S:
                     return False
-                await asyncio.wait({waiting}, timeout=CONFIRMED_LOOK_S)
-            return waiting.result()
+                await asyncio.wait({key_removed}, timeout=CONFIRMATION_CHECK_S)
+            return key_removed.result()
         finally:
-            waiting.cancel()
+            key_removed.cancel()
--- a/ferrydock/route_daemon/_replica_failures.py
+++ b/ferrydock/route_daemon/_replica_failures.py
@@ -1,6 +1,6 @@
-"""What a daemon does when a replica or a target turns out to be broken, here or at a peer.
+"""What a daemon does when it or a peer finds a replica or a target broken.
 
-Owns no state: it passes findings on between the stall detector (this daemon's requests), the relay
+Owns no state: it forwards failures between the stall detector (this daemon's requests), the relay
 (peers) and the controllers (the hall leader's repairs).
 """
 
@@ -16,19 +16,19 @@
 
 __all__ = ["ReplicaFailures"]
 
-# Reason of an interruption, as in log lines: the hall leader reported the replica as broken.
+# Reason logged for an interruption because the hall leader reported the replica as broken.
 REPORTED = "told"
 
 
 class ReplicaFailures:
-    """Passes on findings; registers itself with the stall detector and the relay.
+    """Forwards failures; registers itself with the stall detector and the relay.
 
     Parameters
     ----------
     broken : BrokenReplicas
-        What is reported to peers, and where their reports come in.
+        Sends this daemon's reports to peers and receives theirs.
     controllers : sequence of ReplicaController
-        One for each hall; those that lead act on dead targets.
+        One for each hall; those that hold their hall's lease act on dead targets.
     """
 
     __slots__ = ("broken", "clock", "controllers", "current", "leadership", "stalls")
@@ -52,7 +52,7 @@
         broken.on_received = self.report_received
 
     def targets_dead(self, target_ids: list[str], reason: str) -> None:
-        """Tell the controller of their hall that targets did not answer."""
+        """Report targets that did not answer to the controller of their hall."""
         for target_id in target_ids:
             target = self._directory.targets.get(target_id)
             for controller in self.controllers:
@@ -60,14 +60,14 @@
                     controller.suspect([target_id], reason)
 
     def replica_broken(self, key: tuple[str, int]) -> None:
-        """Report a replica that this daemon found broken to its peers."""
+        """Report to peers a replica that this daemon found broken."""
         self.broken.note(key, self.clock.now_s())
 
     def report_received(self, key: tuple[str, int]) -> None:
         """Handle a peer's report that a replica is broken.
 
-        A follower believes its hall leader. The leader asks the members itself: the follower that
-        reported it may be cut off from them.
+        A follower accepts the report of its hall leader. The leader checks the replica's members
+        itself, because the follower that reported the replica may be cut off from them.
         """
         if not self.leadership.lease.valid:
             self.stalls.break_replica(key, REPORTED)
--- a/ferrydock/route_daemon/_retry_shares.py
+++ b/ferrydock/route_daemon/_retry_shares.py
@@ -1,7 +1,8 @@
-"""Rule: how many retries this daemon may send; its share of what the whole site may.
+"""Rule: how many retries this daemon may send: its share of the limit of the whole site.
 
-Owns one `RetryBudget` for each service, in memory. A site's bound holds for all daemons together,
-also while they cannot see each other, so each keeps to a share that it knows by itself.
+Owns one `RetryBudget` for each service, in memory. A site's limit applies to all daemons together,
+even while they cannot reach each other, so each daemon stays within a share that it computes by
+itself.
 """
 
 from collections.abc import Callable, Iterator
@@ -12,23 +13,22 @@
 __all__ = ["RetryShares"]
 
 # Part of the configured ratio of retries to requests that is used. The rest is room for requests
-# that end in one window of the platform's count and are retried in the next. Set in commit 16068df;
-# chosen, not measured.
+# that end in one window in which the platform counts and are retried in the next.
 RATIO_FRACTION = 0.8
 
-# Part of the configured slack that all daemons share. Room for one daemon more in five than were
-# counted. Set in commit 16068df and held by a test ("the shares of all daemons in the retry slack
-# stay within it"); chosen, not measured.
+# Part of the configured slack that all daemons share. The rest is room for daemons that were not
+# counted: one in five.
 SLACK_FRACTION = 0.8
 
-# Part of its share of the slack that a new process starts with. It does not know what the one that
-# it replaces has spent. Chosen, not measured.
+# Part of its share of the slack that a new process starts with: it does not know how many retries
+# the process that it replaces has sent.
 START_FRACTION = 0.25
 
-# Retries that a new process starts with at least, unless its whole share is smaller. Where hundreds
-# of daemons share the slack, the part above is below one: with 68 daemons and a slack of 278 a
-# daemon began with 0.82; on one day there 141 begun answers were cut for want of a retry.
-MIN_START = 1.0
+# Retries that a new process starts with at least, unless its whole share is smaller. With many
+# daemons `START_FRACTION` of a share is below one retry: with 68 daemons and a slack of 278 a
+# daemon started with 0.82, and on one such day 141 answers that had begun were cut off for lack of
+# a retry.
+MIN_START_RETRIES = 1.0
 
 
 class RetryShares:
@@ -39,7 +39,7 @@
     settings : LiveSettings
         The site's ratio and slack.
     site_daemons : callable
-        Returns how many daemons share them.
+        Returns how many daemons share the ratio and slack.
     """
 
     __slots__ = ("_budgets", "settings", "site_daemons")
@@ -55,21 +55,21 @@
         if budget is None:
             share = self._slack_share()
             ratio = self.settings.current.retry_ratio * RATIO_FRACTION
-            start = min(share, max(MIN_START, share * START_FRACTION))
-            budget = RetryBudget(ratio, share, start)
+            start_retries = min(share, max(MIN_START_RETRIES, share * START_FRACTION))
+            budget = RetryBudget(ratio, share, start_retries)
             self._budgets[service] = budget
         return budget
 
     def update(self) -> None:
-        """Limit each budget to the share that the present number of daemons leaves."""
+        """Limit each budget to this daemon's share at the current number of daemons."""
         share = self._slack_share()
         for budget in self._budgets.values():
             budget.limit(share)
 
     def items(self) -> Iterator[tuple[str, RetryBudget]]:
-        """Return pairs of service and budget."""
+        """Return an iterator over pairs of service and budget."""
         return iter(self._budgets.items())
 
     def _slack_share(self) -> float:
-        """Return how many retries this daemon may save up: the slack over all daemons."""
+        """Return how many unused retries a budget may hold: the slack divided by the daemons."""
         return self.settings.current.retry_slack * SLACK_FRACTION / self.site_daemons()
--- a/ferrydock/route_daemon/_settings.py
+++ b/ferrydock/route_daemon/_settings.py
@@ -1,7 +1,7 @@
-"""Settings of the route daemon: their typed form, their check, and the ones in force now.
+"""Settings of the route daemon: their typed form, their validation, and the ones in force.
 
-Owns the settings in force; they are read again once a second and on SIGHUP. The names by which
-operators know them belong to the deployment's adapter.
+Owns the settings in force; they are read again once a second and on SIGHUP. The deployment's
+adapter defines the names that operators see.
 """
 
 import ipaddress
@@ -17,8 +17,8 @@
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
 
-# Bounds of what a setting may be: the range of ports, a name that fits a log line, a day as the
-# longest time that makes sense. Chosen, not measured.
+# Bounds of settings: the range of ports, a name that fits a log line, and a day as the longest
+# plausible time.
 MAX_PORT = 65535
 MAX_NAME_LENGTH = 200
 DAY_S = 86400
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteDaemonSettings:
-    """What one daemon is told at its start.
+    """The settings of one daemon.
 
     Attributes
     ----------
     name : str
-        Of this daemon's machine.
+        Name of this daemon's machine.
     hall, halls : str, tuple of str
         The daemon's hall, and all halls of the site.
     listen, ready_listen, metrics_listen : str
@@ -41,22 +41,23 @@
     store_address : str
         ``IP:PORT`` of the platform's store.
     freshness_s : float
-        Bound on how long a revoked key may still be accepted: no request with a key is served
-        on a configuration that was confirmed longer ago (`configuration.max_keyed_age_s`).
+        Longest time for which a revoked key may still be accepted: no request with a key is served
+        by a configuration that was confirmed longer ago (`configuration.max_keyed_age_s`).
     stop_within_s : float
-        Time from the order to stop until the process is killed.
+        Time from the signal to stop until the process is killed.
     retry_ratio, retry_slack : float
         Retries that all daemons together may send to a service within each window that the
         platform counts: the ratio times its requests, plus the slack.
     load_window_s, load_overshoot : float
-        Window in which the platform counts the weight loads that begin, and the factor by which
-        they may exceed the configured rate within one window.
+        Window in which the platform counts the loads of model weights that begin, and the factor by
+        which they may exceed the configured rate within one window.
     is_first_start : bool
         Whether the whole site starts for the first time, all daemons at once.
     change_within_s : float
-        How soon each daemon must act on a new configuration and on a target that leaves.
+        How soon each daemon must act on a new configuration and on a target that is being removed.
     processor_share, processor_speed : float
-        Part of a core that the machine has, and how many times as fast as a usual one it is.
+        Share of a core that the machine has, and the speed of that core relative to a reference
+        core.
     """
 
     name: str
@@ -80,7 +81,7 @@
 
     @property
     def processor_cores(self) -> float:
-        """Processor of the machine, in usual cores."""
+        """Processor capacity of the machine, in reference cores."""
         return self.processor_share * self.processor_speed
 
 
@@ -111,10 +112,10 @@
     return isinstance(value, tuple) and bool(value) and all(_is_name(name) for name in value)
 
 
-# What is checked of each setting, and how it is named to an operator.
+# The check of each setting, and the description of allowed values that an operator sees.
 _ADDRESS = (_is_address, "IP:PORT with a port of 1 to 65535")
-# `retry_window_s`, `stall_s` and `memory_bytes` are checked, so that a bad value is named at the
-# start, but no decision of the daemon reads them.
+# `retry_window_s`, `stall_s` and `memory_bytes` are checked so that a bad value is reported at the
+# start, but the daemon does not use them.
 _CONSTRAINTS: Mapping[str, tuple[Callable, str]] = {
     "name": (_is_name, "a text of 1 to 200 signs"),
     "hall": (_is_name, "a text of 1 to 200 signs"),
@@ -143,14 +144,14 @@
 def check_settings(
     given: Mapping[str, Any], shown: Mapping[str, str]
 ) -> RouteDaemonSettings | Invalid:
-    """Return checked settings, or every fault with the field's name, value and what is allowed.
+    """Return checked settings, or every fault with the setting's name, value and allowed values.
 
     Parameters
     ----------
     given : mapping
-        Values by the names of `RouteDaemonSettings`; a missing one is a fault.
+        Values by the field names of `RouteDaemonSettings`; a missing one is a fault.
     shown : mapping
-        Names by which operators know the fields.
+        Names of the settings that operators see, by field name.
     """
     faults = []
     for name, (check, allowed) in _CONSTRAINTS.items():
@@ -173,9 +174,9 @@
     Parameters
     ----------
     settings : RouteDaemonSettings
-        As read at the start.
+        As read when the process starts.
     read : callable
-        Reads them again.
+        Reads the settings again.
     """
 
     __slots__ = ("current", "read")
@@ -189,10 +190,10 @@
         self.read = read
 
     def reread(self) -> None:
-        """Put the settings in force as they stand now; unreadable ones change nothing."""
-        after = self.read()
-        if isinstance(after, Invalid):
-            log_event(_LOG, logging.ERROR, "settings_unreadable", why=after.reason)
-        elif after != self.current:
-            self.current = after
-            log_event(_LOG, logging.INFO, "settings_changed", name=after.name)
+        """Read the settings again and apply them; invalid settings change nothing."""
+        updated = self.read()
+        if isinstance(updated, Invalid):
+            log_event(_LOG, logging.ERROR, "settings_unreadable", why=updated.reason)
+        elif updated != self.current:
+            self.current = updated
+            log_event(_LOG, logging.INFO, "settings_changed", name=updated.name)
--- a/ferrydock/route_daemon/_site_daemons.py
+++ b/ferrydock/route_daemon/_site_daemons.py
@@ -1,4 +1,4 @@
-"""How many daemons the site has, as far as one daemon can tell; keeps no state of its own."""
+"""The number of daemons of the site, estimated by one daemon; owns no state."""
 
 from ..clock import Clock
 from ..relay import DaemonCounter
@@ -9,12 +9,12 @@
 
 
 class SiteDaemons:
-    """Counts the daemons of the own hall and takes all halls for equally large.
+    """Estimates the daemons of the site: those of the own hall times the number of halls.
 
     Parameters
     ----------
     counter : DaemonCounter
-        Daemons of the own hall.
+        Provides the number of daemons of the own hall.
     """
 
     __slots__ = ("clock", "counter", "settings")
@@ -25,11 +25,11 @@
         self.clock = clock
 
     def count(self) -> int:
-        """Return the number of daemons of the site."""
+        """Return the estimated number of daemons of the site."""
         return len(self.settings.current.halls) * self.counter.daemons(self.clock.now_s())
 
     def refresh(self, leadership: OwnHallLeadership) -> None:
-        """Count the followers, if this daemon is the one they ask; else the leader tells."""
+        """Count the followers if this daemon leads; followers receive the count from it."""
         if leadership.lease.valid:
             now_s = self.clock.now_s()
             self.counter.receive(self.counter.count_followers(now_s), now_s)
--- a/ferrydock/route_daemon/_status_listener.py
+++ b/ferrydock/route_daemon/_status_listener.py
@@ -1,6 +1,6 @@
-"""Small listeners that answer with a text: readiness for the balancer, metrics for a scraper.
+"""HTTP listeners that answer with a text: readiness for the balancer, metrics for a scraper.
 
-Owns its listening socket.
+Each listener owns its listening socket.
 """
 
 from collections.abc import Callable
@@ -9,18 +9,18 @@
 
 __all__ = ["StatusListener"]
 
-# How long closing waits for an answer that its reader does not take, in seconds. The library's own
-# 60 s are more than a daemon has before it is killed. Chosen, not measured.
+# How long closing waits for a client to read its response. aiohttp's default of 60 s is longer than
+# the time that a daemon has until it is killed.
 SHUTDOWN_S = 0.2
 
 
 class StatusListener:
-    """Answers GET at any path with what a function returns.
+    """Answers requests of any path with the result of a function.
 
     Parameters
     ----------
     answer : callable
-        Takes the path, returns status and text.
+        Takes the path and returns HTTP status and text.
     """
 
     __slots__ = ("_runner", "answer")
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -1,6 +1,6 @@
-"""Following the store: the configuration and the target list, unless the hall leader relays them.
+"""Reading the configuration and the target list from the store unless the hall leader relays them.
 
-Owns whether the store was reached last, and the wait for changes of the list. Fills the current
+Owns whether the last store call succeeded, and the watch of the target list. Updates the current
 configuration and the target directory.
 """
 
@@ -29,25 +29,24 @@
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
 
-# Pause between two confirmations of the configuration, and the shorter one of a leader, whose
-# followers rely on them. The shorter one belongs to the bound explained at
-# `freshness.LEADER_MAX_AGE_S`; the other leaves room below the revocation bound. Chosen, not
-# measured.
+# Pause between two reads that confirm the configuration, and the shorter one of a leader, whose
+# followers rely on its reads. The shorter one is part of the bound explained at
+# `freshness.LEADER_MAX_AGE_S`; the other stays well below the bound on revoked keys.
 CONFIRM_EVERY_S = 1.0
 LEADER_CONFIRM_EVERY_S = 0.5
 CONFIRM_JITTER = (0.9, 1.1)
 
-# Pause between two looks whether the leader relays. Chosen, not measured.
-RELAYED_LOOK_S = 0.1
+# Pause between two checks of whether the leader relays the store.
+RELAYED_CHECK_S = 0.1
 
-# How long a daemon waits for its hall leader at the first start of a site before it reads the store
-# itself. Measured in docs/MEASUREMENTS.md, second sitting, "a peer is heard first at the start".
+# How long a daemon waits at the first start of a site for updates from its hall leader before it
+# reads the store itself.
 HEAR_PEER_S = 0.8
 
 
-# How long after an era has settled a hall has a leader that relays the whole list, in seconds: the
-# longest pause before a free lease is taken, and some calls.
-NEXT_LEADER_S = 1.0
+# Time within which a hall has a leader that relays the complete target list after an era of the
+# store has settled: the longest pause before a free lease is acquired, and some calls.
+NEXT_LEADER_WAIT_S = 1.0
 
 
 class StoreFollower:
@@ -56,28 +55,29 @@
     Parameters
     ----------
     leadership : OwnHallLeadership
-        Tells whether the hall leader makes the store unnecessary, and whether the store can be
-        relied on after it came back older.
+        Provides whether the hall leader relays the store, and whether the store can be relied on
+        after it was restored from an older copy.
     on_change : callable
-        Called after a new configuration.
+        Called when a new configuration has been read.
     confirmations : sequence of Confirmation
-        Of other things that are followed in the store; each call tells them its position.
+        Confirmations of other data that this daemon watches in the store; they receive the store
+        position that each read of the configuration returns.
 
     Attributes
     ----------
     reached_s : float
-        Local time at which the last call began that read the configuration.
+        Local time at which the last successful read of the configuration began.
     """
 
     __slots__ = (
         "_age_alarm",
-        "_asked_s",
+        "_wait_began_s",
         "_check_backoff",
-        "_check_from_s",
-        "_first_in_era",
-        "_is_reached",
+        "_next_check_s",
+        "_first_position_in_era",
+        "_is_store_reached",
         "_read_version",
-        "_reads_whole",
+        "_is_reading_full_list",
         "clock",
         "confirmations",
         "current",
@@ -85,7 +85,7 @@
         "directory",
         "leadership",
         "on_change",
-        "reached_s",
+        "last_read_began_s",
         "rng",
         "settling",
     )
@@ -109,43 +109,43 @@
         self.rng = rng
         self.on_change = on_change
         self.settling: EraSettling = leadership.settling
-        self.reached_s = float("-inf")
-        self._first_in_era = Position()
+        self.last_read_began_s = float("-inf")
+        self._first_position_in_era = Position()
         self._age_alarm = AgeAlarm("targets")
-        self._asked_s = float("-inf")
+        self._wait_began_s = float("-inf")
         self._check_backoff = StoreBackoff(rng)
-        self._check_from_s = float("-inf")
-        self._is_reached = True
+        self._next_check_s = float("-inf")
+        self._is_store_reached = True
         self._read_version = -1
-        self._reads_whole = False
+        self._is_reading_full_list = False
 
     async def follow_configuration(self) -> None:
-        """Read and confirm the configuration, until the daemon ends."""
+        """Read the configuration periodically while the hall leader does not relay it."""
         backoff = StoreBackoff(self.rng)
         await self._wait_for_leader()
         while True:
             if self.leadership.is_relayed:
                 backoff.reset()
-                await asyncio.sleep(RELAYED_LOOK_S)
+                await asyncio.sleep(RELAYED_CHECK_S)
                 continue
             began_s = self.clock.now_s()
             read = await self.deployment.configuration_source.read()
             if isinstance(read, Unavailable):
-                self._note_store(self.current.lookup is None, read.reason)
-                await asyncio.sleep(self._pause_s(backoff))
+                self._log_store_state(self.current.lookup is None, read.reason)
+                await asyncio.sleep(self._failure_pause_s(backoff))
                 continue
             backoff.reset()
-            self._note_store(True)
+            self._log_store_state(True)
             now_s = self.clock.now_s()
             for confirmation in self.confirmations:
                 confirmation.note_store(read.store_position, began_s, now_s)
             self.settling.look(self.directory.position)
-            self.reached_s = began_s
-            self._take(read, began_s)
+            self.last_read_began_s = began_s
+            self._apply_configuration(read, began_s)
             await asyncio.sleep(self._until_next_read_s())
 
     def _until_next_read_s(self) -> float:
-        """Return the pause before the configuration is read again: at once as an era settles."""
+        """Return the pause before the next read, in seconds; it ends when a new era has settled."""
         is_leader = self.leadership.lease.valid
         pause_s = LEADER_CONFIRM_EVERY_S if is_leader else CONFIRM_EVERY_S
         pause_s *= self.rng.uniform(*CONFIRM_JITTER)
@@ -153,14 +153,15 @@
         return min(pause_s, left_s) if left_s > 0 else pause_s
 
     async def follow_targets(self) -> None:
-        """Read the target list whenever the hall leader does not relay it.
+        """Watch the target list while the hall leader does not relay it.
 
-        A wait for changes that tells nothing is no sign that there are none: its connection may be
-        silent for good. Once the store is known to be ahead of the list, the changes are asked for
-        beside the wait, and a wait that has missed some is given up. Without this a list stood
-        still for up to 21.5 s, and 14 requests of one emulated play reached leaving targets.
+        A watch that returns nothing does not prove that nothing has changed: its connection may be
+        dead. When the store's position is known to be ahead of the list, the changes are requested
+        by a separate call, and a watch that has missed some is cancelled and started again. Without
+        this a list was out of date for up to 21.5 s, and 14 requests of one emulated run reached
+        targets that were being removed.
 
-        The first list of a new era is read once more when that has settled.
+        The first list of a new era is read again when the era has settled.
         """
         reading: asyncio.Task | None = None
         await self._wait_for_leader()
@@ -168,45 +169,48 @@
             while True:
                 self.settling.look(self.directory.position)
                 is_relayed = self.leadership.is_relayed
-                is_due = is_relayed or self._is_list_due or await self._find_missed_changes()
+                is_due = is_relayed or self._is_list_due or await self._fetch_missed_changes()
                 if reading is not None and is_due:
                     reading.cancel()
                     reading = None
                 if not self.leadership.is_relayed and (reading is None or reading.done()):
                     reading = asyncio.ensure_future(self._read_targets())
-                await asyncio.sleep(RELAYED_LOOK_S)
+                await asyncio.sleep(RELAYED_CHECK_S)
         finally:
             if reading is not None:
                 reading.cancel()
 
     @property
     def _is_list_due(self) -> bool:
-        """Whether the whole list is to be read again, since what was kept in it may be gone.
+        """Whether the complete list must be read again, because it contains provisional entries.
 
-        The leader reads it as soon as the era has settled; the others have it from a leader by
-        then, or read it themselves. Once it is being read, it is due no longer.
+        These are entries of an older era that the store may have lost. The leader reads the list as
+        soon as the era has settled; the other daemons read it only if they have not received it
+        from a leader within `NEXT_LEADER_WAIT_S`. False while the complete list is being read.
         """
-        if self._reads_whole:
+        if self._is_reading_full_list:
             return False
-        wait_s = 0.0 if self.leadership.is_leader else NEXT_LEADER_S
+        wait_s = 0.0 if self.leadership.is_leader else NEXT_LEADER_WAIT_S
         return self.directory.is_provisional and self.settling.left_s() <= -wait_s
 
     def _is_overdue(self, now_s: float) -> bool:
-        """Return whether the wait for changes should have been answered by now.
+        """Return whether the watch of the target list should have returned changes by `now_s`.
 
-        That is so if the store is ahead of the list for longer than an answer takes. Before the
-        first list there is nothing to compare with, and its call has a time-out of its own.
+        That is the case if the store has been ahead of the list for longer than an answer takes.
+        Before the first list there is nothing to compare with, and the call that reads it has a
+        time-out of its own.
         """
         ahead_for_s = self.directory.confirmation.ahead_for_s(now_s)
-        if not self.directory.loaded or ahead_for_s is None or now_s < self._check_from_s:
+        if not self.directory.loaded or ahead_for_s is None or now_s < self._next_check_s:
             return False
-        waited_s = now_s - self._asked_s - self.deployment.target_source.gather_s
+        waited_s = now_s - self._wait_began_s - self.deployment.target_source.gather_s
         return min(ahead_for_s, waited_s) >= UNANSWERED_S
 
-    async def _find_missed_changes(self) -> bool:
-        """Ask for changes beside an overdue wait, and take them; return whether there were any.
+    async def _fetch_missed_changes(self) -> bool:
+        """Request and apply the changes that an overdue watch has missed; return whether any exist.
 
-        The store's revision also rises by other keys: then there are none, and the wait goes on.
+        The store's revision also rises by writes to other keys: then there are no changes, and the
+        watch continues.
         """
         now_s = self.clock.now_s()
         if not self._is_overdue(now_s):
@@ -216,10 +220,10 @@
         changes = await self.deployment.target_source.changes_since(known)
         if isinstance(changes, Unavailable):
             log_event(_LOG, logging.WARNING, "targets_unavailable", why=changes.reason, beside=True)
-            self._check_from_s = self.clock.now_s() + self._pause_s(self._check_backoff)
+            self._next_check_s = self.clock.now_s() + self._failure_pause_s(self._check_backoff)
             return False
         self._check_backoff.reset()
-        self._take_changes(changes, now_s)
+        self._apply_changes(changes, now_s)
         if not (changes.whole or changes.entries or changes.removed):
             return False
         log_event(
@@ -233,17 +237,17 @@
         )
         return True
 
-    def _take_changes(self, changes: TargetChanges, asked_s: float) -> None:
-        """Take changes that were asked for at `asked_s`, unless what is known is newer."""
+    def _apply_changes(self, changes: TargetChanges, requested_s: float) -> None:
+        """Apply changes requested at local time `requested_s` unless the known list is newer."""
         if changes.position >= self.directory.position:
             self.directory.take(changes)
-            self.directory.confirmation.confirm(asked_s)
+            self.directory.confirmation.confirm(requested_s)
 
     async def _wait_for_leader(self) -> None:
-        """Give the hall leader time to relay what it has read; the leader does not wait.
+        """Wait for the hall leader to relay the store; the leader itself does not wait.
 
-        Only at the first start of a site, when all daemons would read the store at once. A daemon
-        that starts later has callers waiting.
+        Only at the first start of a site, when all daemons would read the store at the same time. A
+        daemon that starts later may already have callers, so it reads the store at once.
         """
         if not self.deployment.settings.is_first_start:
             return
@@ -251,10 +255,10 @@
         while self.clock.now_s() < until_s:
             if self.leadership.is_relayed or self.leadership.lease.valid:
                 return
-            await asyncio.sleep(RELAYED_LOOK_S / 2)
+            await asyncio.sleep(RELAYED_CHECK_S / 2)
 
-    def _take(self, read: ConfigurationRead, began_s: float) -> None:
-        """Put what was read in force; `began_s` is when the call began."""
+    def _apply_configuration(self, read: ConfigurationRead, began_s: float) -> None:
+        """Apply the result of a read; `began_s` is the local time at which the call began."""
         found = read.found
         confirmed_s = began_s if self._is_newest(read) else None
         if isinstance(found, Configuration):
@@ -267,35 +271,36 @@
             log_event(_LOG, logging.ERROR, "configuration_unreadable", why=found.reason)
 
     def _is_newest(self, read: ConfigurationRead) -> bool:
-        """Return whether what the store holds is certainly the operator's newest configuration.
+        """Return whether the configuration in the store is certainly the operator's newest.
 
-        In an era that settles that is so only if it was written in it, after its first answer: an
-        older one may have replaced a newer that the store has lost, with keys that were taken away.
+        While an era settles, only a configuration written after the first read of that era is: an
+        earlier one may be older than one that the store has lost, and contain keys that have been
+        revoked since.
         """
-        if read.store_position.era != self._first_in_era.era:
-            self._first_in_era = read.store_position
-        return self.settling.is_settled() or read.written > self._first_in_era
+        if read.store_position.era != self._first_position_in_era.era:
+            self._first_position_in_era = read.store_position
+        return self.settling.is_settled() or read.written > self._first_position_in_era
 
     async def _read_targets(self) -> None:
-        """Follow the target source until it ends; the caller starts it again."""
+        """Apply what the target source yields until it ends; the caller restarts it."""
         backoff = StoreBackoff(self.rng)
         is_known = self.directory.loaded and not self._is_list_due
         known = self.directory.position if is_known else None
-        self._reads_whole = known is None
-        self._asked_s = self.clock.now_s()
+        self._is_reading_full_list = known is None
+        self._wait_began_s = self.clock.now_s()
         async for changes in self.deployment.target_source.follow(known):
             if isinstance(changes, Unavailable):
                 log_event(_LOG, logging.WARNING, "targets_unavailable", why=changes.reason)
-                await asyncio.sleep(self._pause_s(backoff))
-                self._asked_s = self.clock.now_s()
+                await asyncio.sleep(self._failure_pause_s(backoff))
+                self._wait_began_s = self.clock.now_s()
                 continue
             backoff.reset()
-            self._reads_whole = False
-            self._take_changes(changes, self._asked_s)
-            self._asked_s = self.clock.now_s()
+            self._is_reading_full_list = False
+            self._apply_changes(changes, self._wait_began_s)
+            self._wait_began_s = self.clock.now_s()
 
-    def look_at_age(self) -> None:
-        """Log when the target list becomes older than a change may take, and when it is back."""
+    def check_age(self) -> None:
+        """Log when the target list's age exceeds `change_within_s`, and when it is below again."""
         now_s = self.clock.now_s()
         self._age_alarm.look(
             self.directory.age_s(now_s),
@@ -307,18 +312,19 @@
             is_relayed=self.leadership.is_relayed,
         )
 
-    def _pause_s(self, backoff: StoreBackoff) -> float:
-        """Return how long to leave the store alone after a failure.
+    def _failure_pause_s(self, backoff: StoreBackoff) -> float:
+        """Return the pause after a failed store call, in seconds.
 
-        It is urgent for a hall leader, and for a daemon that has nothing yet to serve with.
+        The next call is urgent for a hall leader, and for a daemon that cannot serve yet because it
+        has no configuration or no target list.
         """
         has_nothing = self.current.lookup is None or not self.directory.loaded
         return backoff.after_failure(self.leadership.is_leader or has_nothing)
 
-    def _note_store(self, is_reached: bool, reason: str = "") -> None:
-        """Log when the store is lost and when it is back, not each call."""
-        if is_reached == self._is_reached:
+    def _log_store_state(self, is_reached: bool, reason: str = "") -> None:
+        """Log when the store becomes unreachable and when it is reachable again, not each call."""
+        if is_reached == self._is_store_reached:
             return
-        self._is_reached = is_reached
+        self._is_store_reached = is_reached
         event = "store_regained" if is_reached else "store_lost"
         log_event(_LOG, logging.WARNING, event, why=reason or None, version=self.current.version)
--- a/ferrydock/route_daemon/_upkeep.py
+++ b/ferrydock/route_daemon/_upkeep.py
@@ -1,6 +1,6 @@
-"""What a daemon tidies once a second, and what it does when its target list has changed.
+"""What a daemon does once a second, and when its target list has changed.
 
-Owns the number of the last change of the list that was acted on.
+Owns the number of the last change of the target list for which free slots were assigned.
 """
 
 from ..forwarding import RouteGateway, TargetLoads, Upstream
@@ -12,15 +12,15 @@
 
 
 class Upkeep:
-    """Forgets targets that are gone, applies time limits, reads the settings again.
+    """Removes the state of removed targets, enforces time limits and reads the settings again.
 
     Parameters
     ----------
     gateway : RouteGateway
-        Its forwarder's parts are tidied.
+        Its time limits are enforced, and the state of its forwarder's components is pruned.
     """
 
-    __slots__ = ("_acted_change", "directory", "gateway", "order_sender", "settings")
+    __slots__ = ("_last_handled_change", "directory", "gateway", "order_sender", "settings")
 
     def __init__(
         self,
@@ -33,13 +33,16 @@
         self.directory = directory
         self.order_sender = order_sender
         self.settings = settings
-        self._acted_change = 0
+        self._last_handled_change = 0
 
-    def tidy(self) -> None:
-        """Drop what is known of targets that are gone; apply limits and settings in force."""
+    def run_once(self) -> None:
+        """Remove the state of targets that are no longer listed; enforce limits, reread settings.
+
+        Connections to a target that still has requests running stay open.
+        """
         listed = self.directory.targets
-        busy = {target_id for target_id, load in self._loads.items() if load.running}
-        self._upstream.forget_others(listed, busy)
+        busy_ids = {target_id for target_id, load in self._loads.items() if load.running}
+        self._upstream.forget_others(listed, busy_ids)
         self._loads.forget_others(listed)
         attempts = self.gateway.forwarder.attempts
         attempts.notices.forget_others(listed)
@@ -52,9 +55,9 @@
         self.settings.reread()
 
     async def assign_free_slots(self) -> None:
-        """Look for room for queued requests when the target list has changed."""
-        if self.directory.changes != self._acted_change:
-            self._acted_change = self.directory.changes
+        """Assign free slots to queued requests if the target list has changed."""
+        if self.directory.changes != self._last_handled_change:
+            self._last_handled_change = self.directory.changes
             self.gateway.forwarder.selector.assign_free_slots()
 
     @property
--- a/ferrydock/route_daemon/tests/test_store_follower.py
+++ b/ferrydock/route_daemon/tests/test_store_follower.py
@@ -1,6 +1,6 @@
-"""How soon a daemon that reads the store knows a change that its wait is never told of.
+"""How soon a daemon that reads the store learns of a change that its watch never returns.
 
-In virtual time: the bounds are compared with the times of the whole mechanism, to the millisecond.
+In virtual time, so that bounds are compared with the delays of the mechanism to the millisecond.
 """
 
 import asyncio
@@ -22,40 +22,40 @@
 from ...targets import Target, TargetChanges, TargetDirectory
 from .._store_follower import StoreFollower
 
-# The promise: no request goes to a target so long after the store has its word that it leaves.
-DRAIN_S = 2.0
+# Time after which no request may be sent to a target whose removal is written in the store.
+CHANGE_WITHIN_S = 2.0
 CALL_S = 0.02
-SILENT_S = 21.5
+WATCH_TIMEOUT_S = 21.5
 
 
 def target(draining):
     return Target("t", "s", "127.0.0.1:1", "h", 1, draining)
 
 
-class SilentSource:
-    """A list whose waits for changes are never answered; other calls are, while it is reached."""
+class SilentWatchSource:
+    """A target source whose watches are never answered; other calls are while the store answers."""
 
     def __init__(self, store):
         self.store = store
         self.gather_s = 0.2
-        self.waits = 0
-        self.list_takes_s = CALL_S
+        self.watches = 0
+        self.list_duration_s = CALL_S
 
     async def follow(self, since=None):
         if since is None:
-            await asyncio.sleep(self.list_takes_s)
+            await asyncio.sleep(self.list_duration_s)
             yield TargetChanges(True, (target(False),), (), Position(0, self.store.revision))
         while True:
-            self.waits += 1
-            await asyncio.sleep(SILENT_S)
+            self.watches += 1
+            await asyncio.sleep(WATCH_TIMEOUT_S)
             yield Unavailable("no answer")
 
     async def changes_since(self, known):
-        self.store.checks += 1
+        self.store.change_requests += 1
         return await self.store.call(
             lambda: TargetChanges(
                 False,
-                (target(True),) if self.store.left_revision > known.revision else (),
+                (target(True),) if self.store.removal_revision > known.revision else (),
                 (),
                 Position(0, self.store.revision),
             )
@@ -63,16 +63,16 @@
 
 
 class FakeStore:
-    """The store's revision, and whether it answers."""
+    """A store that consists of its revision and of whether it answers."""
 
     def __init__(self):
         self.revision = 7
-        self.left_revision = 0
+        self.removal_revision = 0
         self.is_silent = False
-        self.checks = 0
+        self.change_requests = 0
 
     async def call(self, answer):
-        """Answer a call, or let it run into its time-out."""
+        """Answer a call, or let it time out if the store is silent."""
         if self.is_silent:
             await asyncio.sleep(1.0)
             return Unavailable("no answer")
@@ -84,17 +84,17 @@
             lambda: ConfigurationRead(ConfigurationUnchanged(), Position(0, self.revision))
         )
 
-    def leave(self):
-        """Write that the target leaves."""
+    def write_target_removal(self):
+        """Write that the target is draining."""
         self.revision += 1
-        self.left_revision = self.revision
+        self.removal_revision = self.revision
 
     def write_other_key(self):
         self.revision += 1
 
 
-class Leadership:
-    """That of a daemon which leads its hall, or which reads the store beside a lost leader."""
+class FakeLeadership:
+    """Leadership of a daemon that leads its hall, or that reads the store for lack of a leader."""
 
     def __init__(self, is_leader):
         self.clock = LoopClock()
@@ -105,17 +105,17 @@
 
 
 class Daemon:
-    """The parts of a daemon that follow the store."""
+    """The components of a daemon that read the store."""
 
     def __init__(self, is_leader=True, seed=1):
         self.store = FakeStore()
-        self.source = SilentSource(self.store)
+        self.source = SilentWatchSource(self.store)
         self.directory = TargetDirectory()
-        self.leadership = Leadership(is_leader)
+        self.leadership = FakeLeadership(is_leader)
         deployment = SimpleNamespace(
             configuration_source=self.store,
             target_source=self.source,
-            settings=SimpleNamespace(is_first_start=False, change_within_s=DRAIN_S),
+            settings=SimpleNamespace(is_first_start=False, change_within_s=CHANGE_WITHIN_S),
         )
         self.follower = StoreFollower(
             deployment,
@@ -127,120 +127,120 @@
         )
 
     @property
-    def knows(self):
+    def knows_removal(self):
         return self.directory.targets["t"].draining
 
     async def run(self, scenario):
         loop = asyncio.get_running_loop()
-        work = [
+        tasks = [
             loop.create_task(self.follower.follow_configuration()),
             loop.create_task(self.follower.follow_targets()),
         ]
         await asyncio.sleep(2.0)
-        assert not self.knows
+        assert not self.knows_removal
         await scenario()
-        for task in work:
+        for task in tasks:
             task.cancel()
 
-    async def until_known(self):
-        """Return how long it takes until the target is known to leave."""
-        from_s = asyncio.get_running_loop().time()
-        while not self.knows:
+    async def seconds_until_known(self):
+        """Return how many seconds pass until the target is known to be draining."""
+        began_s = asyncio.get_running_loop().time()
+        while not self.knows_removal:
             await asyncio.sleep(0.001)
-        return asyncio.get_running_loop().time() - from_s
+        return asyncio.get_running_loop().time() - began_s
 
 
 @pytest.mark.parametrize("is_leader", [True, False])
 @pytest.mark.parametrize("seed", range(20))
-def test_a_change_that_the_wait_is_not_told_of_is_known_within_the_bound(is_leader, seed):
+def test_a_change_missed_by_a_silent_watch_is_known_within_the_bound(is_leader, seed):
     daemon = Daemon(is_leader, seed)
 
     async def scenario():
         await asyncio.sleep(random.Random(seed).uniform(0.0, 1.0))
-        daemon.store.leave()
-        assert await daemon.until_known() < DRAIN_S
-        assert daemon.source.waits == 2, "the silent wait is given up for a new one"
+        daemon.store.write_target_removal()
+        assert await daemon.seconds_until_known() < CHANGE_WITHIN_S
+        assert daemon.source.watches == 2, "the silent watch is replaced by a new one"
 
     run_virtually(daemon.run(scenario))
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_after_an_outage_it_is_known_soon_though_the_wait_from_before_says_nothing(seed):
+def test_a_change_after_an_outage_is_known_soon_although_the_old_watch_is_silent(seed):
     daemon = Daemon(seed=seed)
 
     async def scenario():
         daemon.store.is_silent = True
         await asyncio.sleep(5.0)
         daemon.store.is_silent = False
-        daemon.store.leave()
-        # A call's time-out, the longest pause of a leader, two calls, the wait's grace and a look.
-        assert await daemon.until_known() < 1.0 + 0.72 + 2 * CALL_S + 0.15 + 0.1
+        daemon.store.write_target_removal()
+        # A call's time-out, a leader's longest pause, two calls, `UNANSWERED_S` and one check.
+        assert await daemon.seconds_until_known() < 1.0 + 0.72 + 2 * CALL_S + 0.15 + 0.1
 
     run_virtually(daemon.run(scenario))
 
 
-def test_a_quiet_list_stays_young_without_a_call():
+def test_an_unchanged_list_stays_recent_without_a_call():
     daemon = Daemon()
-    oldest = []
+    ages = []
 
     async def scenario():
         for _ in range(1000):
             await asyncio.sleep(0.01)
-            oldest.append(daemon.directory.age_s(daemon.leadership.clock.now_s()))
-        assert max(oldest) < LEADER_MAX_AGE_S
-        assert daemon.store.checks == 0
-        assert daemon.source.waits == 1
+            ages.append(daemon.directory.age_s(daemon.leadership.clock.now_s()))
+        assert max(ages) < LEADER_MAX_AGE_S
+        assert daemon.store.change_requests == 0
+        assert daemon.source.watches == 1
 
     run_virtually(daemon.run(scenario))
 
 
-def test_while_the_first_list_is_read_nothing_is_asked_beside_it():
+def test_no_changes_are_requested_while_the_first_list_is_read():
     daemon = Daemon()
-    daemon.source.list_takes_s = 1.9
+    daemon.source.list_duration_s = 1.9
     daemon.store.revision = 9
 
     async def scenario():
-        assert daemon.store.checks == 0
+        assert daemon.store.change_requests == 0
 
     run_virtually(daemon.run(scenario))
 
 
-def test_other_keys_cost_one_call_each_and_leave_the_wait_and_the_leader_alone():
+def test_a_write_to_another_key_costs_one_call_and_neither_ages_the_list_nor_ends_the_watch():
     daemon = Daemon()
-    oldest = []
+    ages = []
 
     async def scenario():
         for _ in range(5):
             daemon.store.write_other_key()
             for _ in range(300):
                 await asyncio.sleep(0.01)
-                oldest.append(daemon.directory.age_s(daemon.leadership.clock.now_s()))
-        assert max(oldest) < LEADER_MAX_AGE_S
-        assert daemon.store.checks == 5
-        assert daemon.source.waits == 1
+                ages.append(daemon.directory.age_s(daemon.leadership.clock.now_s()))
+        assert max(ages) < LEADER_MAX_AGE_S
+        assert daemon.store.change_requests == 5
+        assert daemon.source.watches == 1
 
     run_virtually(daemon.run(scenario))
 
 
-def test_a_store_that_stays_silent_is_asked_ever_less_and_what_is_known_stays():
+def test_a_silent_store_is_called_less_often_and_the_known_list_is_kept():
     daemon = Daemon()
 
     async def scenario():
-        daemon.store.leave()
-        await daemon.until_known()
-        checks = daemon.store.checks
+        daemon.store.write_target_removal()
+        await daemon.seconds_until_known()
+        change_requests = daemon.store.change_requests
         daemon.store.write_other_key()
         daemon.store.is_silent = True
         await asyncio.sleep(20.0)
-        assert daemon.knows
-        assert daemon.store.checks - checks <= 20 / 1.4 + 1
+        assert daemon.knows_removal
+        assert daemon.store.change_requests - change_requests <= 20 / 1.4 + 1
         assert daemon.directory.age_s(daemon.leadership.clock.now_s()) > 19.0
 
     run_virtually(daemon.run(scenario))
 
 
-class OlderStore(FakeStore):
-    """A store that comes back older, with a configuration that it had replaced before."""
+class RestoredStore(FakeStore):
+    """A store that can be restored from an older copy, with a configuration replaced since."""
 
     def __init__(self):
         super().__init__()
@@ -255,22 +255,24 @@
         found = (
             ConfigurationUnchanged() if is_same else Configuration(version, (), {}, (), encoded=b"")
         )
-        at = Position(self.era, self.revision)
-        return await self.call(lambda: ConfigurationRead(found, at, Position(self.era, written)))
+        position = Position(self.era, self.revision)
+        return await self.call(
+            lambda: ConfigurationRead(found, position, Position(self.era, written))
+        )
 
     read_version = -1
 
-    def come_back(self, version, written, revision):
+    def restore_older_copy(self, version, written, revision):
         self.era += 1
         self.stored, self.revision = (version, written), revision
 
 
-class OlderDaemon(Daemon):
-    """A daemon before such a store."""
+class RestoredStoreDaemon(Daemon):
+    """A daemon that reads a `RestoredStore`."""
 
     def __init__(self):
         super().__init__()
-        self.store = self.source.store = OlderStore()
+        self.store = self.source.store = RestoredStore()
         self.follower.deployment.configuration_source = self.store
         self.follower.settling = EraSettling(self.store, self.leadership.clock, False)
         self.current = self.follower.current
@@ -280,23 +282,23 @@
         return self.current.age_s(self.leadership.clock.now_s())
 
 
-def test_an_older_configuration_of_a_new_era_is_neither_put_in_force_nor_confirmed():
-    daemon = OlderDaemon()
+def test_an_older_configuration_of_a_new_era_is_neither_applied_nor_confirmed():
+    daemon = RestoredStoreDaemon()
 
     async def scenario():
-        daemon.store.come_back(version=6, written=20, revision=40)
+        daemon.store.restore_older_copy(version=6, written=20, revision=40)
         await asyncio.sleep(10.0)
         assert daemon.current.version == 9
-        assert daemon.age_s > 9.0, "the store's older value says nothing of the newer one"
+        assert daemon.age_s > 9.0, "the store's older value does not confirm the newer one"
 
     run_virtually(daemon.run(scenario))
 
 
-def test_what_the_operator_writes_again_is_confirmed_at_once():
-    daemon = OlderDaemon()
+def test_a_configuration_rewritten_in_a_new_era_is_confirmed_at_once():
+    daemon = RestoredStoreDaemon()
 
     async def scenario():
-        daemon.store.come_back(version=6, written=20, revision=40)
+        daemon.store.restore_older_copy(version=6, written=20, revision=40)
         await asyncio.sleep(1.0)
         daemon.store.revision = 42
         daemon.store.stored = (9, 41)
@@ -306,11 +308,13 @@
     run_virtually(daemon.run(scenario))
 
 
-def test_what_stands_in_the_copy_is_confirmed_only_once_the_era_has_settled():
-    daemon = OlderDaemon()
+def test_a_configuration_of_the_older_copy_is_confirmed_only_when_the_era_has_settled():
+    daemon = RestoredStoreDaemon()
 
     async def scenario():
-        daemon.store.come_back(version=9, written=30, revision=40)  # a newer one may be lost
+        daemon.store.restore_older_copy(
+            version=9, written=30, revision=40
+        )  # a newer one may have been lost
         await asyncio.sleep(SETTLE_S)
         assert daemon.age_s > SETTLE_S - 0.1
         await asyncio.sleep(1.0)
@@ -319,12 +323,12 @@
     run_virtually(daemon.run(scenario))
 
 
-def test_a_daemon_that_starts_in_a_new_era_trusts_no_key_before_it_has_settled():
-    daemon = OlderDaemon()
-    daemon.store.come_back(version=6, written=20, revision=40)
+def test_a_daemon_started_in_a_new_era_confirms_nothing_before_the_era_has_settled():
+    daemon = RestoredStoreDaemon()
+    daemon.store.restore_older_copy(version=6, written=20, revision=40)
     ages = []
 
-    async def scenario():  # begins 2 s after the start
+    async def scenario():  # runs 2 s after the daemon has started
         ages.append(daemon.age_s)
         await asyncio.sleep(1.5)
         ages.append(daemon.age_s)
@@ -334,26 +338,26 @@
     assert ages[1] < 1.0
 
 
-class OlderList(SilentSource):
-    """A list that takes long, of a store that comes back older; waits end with the era."""
+class RestoredList(SilentWatchSource):
+    """A target list of a `RestoredStore` that takes long to read; its watches end with the era."""
 
     def __init__(self, store):
         super().__init__(store)
-        self.lists = 0
-        self.list_takes_s = 0.7
+        self.list_reads = 0
+        self.list_duration_s = 0.7
 
-    def whole(self):
-        at = Position(self.store.era, self.store.revision)
-        return TargetChanges(True, (target(False),), (), at)
+    def full_list(self):
+        position = Position(self.store.era, self.store.revision)
+        return TargetChanges(True, (target(False),), (), position)
 
     async def follow(self, since=None):
         era = since.era if since is not None else None
         while True:
             if era != self.store.era:
-                self.lists += 1
-                await asyncio.sleep(self.list_takes_s)
+                self.list_reads += 1
+                await asyncio.sleep(self.list_duration_s)
                 era = self.store.era
-                yield self.whole()
+                yield self.full_list()
             await asyncio.sleep(0.1)
 
     async def changes_since(self, known):
@@ -361,16 +365,16 @@
 
 
 @pytest.mark.parametrize("is_leader", [True, False])
-def test_the_list_of_a_new_era_is_read_twice_however_long_that_takes(is_leader):
-    daemon = OlderDaemon()
+def test_the_list_of_a_new_era_is_read_twice_although_a_read_takes_long(is_leader):
+    daemon = RestoredStoreDaemon()
     daemon.leadership.is_leader = is_leader
-    daemon.source = daemon.follower.deployment.target_source = OlderList(daemon.store)
+    daemon.source = daemon.follower.deployment.target_source = RestoredList(daemon.store)
 
     async def scenario():
-        before = daemon.source.lists
-        daemon.store.come_back(version=9, written=30, revision=40)
+        reads_before = daemon.source.list_reads
+        daemon.store.restore_older_copy(version=9, written=30, revision=40)
         await asyncio.sleep(SETTLE_S + 5.0)
-        assert daemon.source.lists == before + 2
+        assert daemon.source.list_reads == reads_before + 2
         assert not daemon.directory.is_provisional
 
     run_virtually(daemon.run(scenario))
