--- a/ferrydock/freshness/__init__.py
+++ b/ferrydock/freshness/__init__.py
@@ -1,10 +1,11 @@
-"""How old is what a daemon knows, and who notices when it is too old.
+"""How old a daemon's data may be, how its age is known, and what happens when it is too old.
 
-Here stand the bounds on the age of each thing that a daemon follows (`_bounds`, the one place for
-them), the rule by which the age of something followed by its changes is known (`_confirmation`),
-when a store that came back from an older copy can be relied on again (`_settling`), and the log
-lines about ages (`_age_alarm`). What does not belong here: reading or relaying anything
-(`ferrydock.route_daemon`, `ferrydock.relay`) and the bound on keys (`ferrydock.configuration`).
+This package holds the bounds on the age of all data that a daemon receives (`_bounds`, which lists
+all of them), the rule for the age of data that is updated by a watch (`_confirmation`), when a
+store that was restored from an older copy can be relied on again (`_settling`), and the log lines
+about ages (`_age_alarm`). What does not belong here: reading or relaying data
+(`ferrydock.route_daemon`, `ferrydock.relay`) and the bound on revoked keys
+(`ferrydock.configuration`).
 """
 
 from ._age_alarm import AgeAlarm
--- a/ferrydock/freshness/_age_alarm.py
+++ b/ferrydock/freshness/_age_alarm.py
@@ -1,6 +1,6 @@
-"""Log lines as the age of something followed passes its bound, and as it is back below.
+"""Log lines for when the age of a daemon's data exceeds its bound, and when it is below again.
 
-Owns whether the bound is passed. Two lines for each time, however long it lasts.
+Owns whether the bound is exceeded. Logs two lines each time, however long that lasts.
 """
 
 import logging
@@ -13,37 +13,38 @@
 
 
 class AgeAlarm:
-    """Tells once when an age passes its bound, and once when it is back.
+    """Logs one line when an age exceeds its bound, and one when it is within the bound again.
 
     Parameters
     ----------
-    followed : str
-        What is followed; the events are named ``<followed>_outdated`` and ``<followed>_current``.
+    subject : str
+        Name of the data; the events are ``<subject>_outdated`` and ``<subject>_current``.
 
     Notes
     -----
-    Nothing is said before the first confirmation: a daemon that starts is not late.
+    Nothing is logged before the age has been within its bound for the first time: a daemon that has
+    just started has no data yet.
     """
 
-    __slots__ = ("_is_passed", "_passed_s", "_was_confirmed", "followed")
+    __slots__ = ("_is_exceeded", "_exceeded_since_s", "_was_confirmed", "subject")
 
-    def __init__(self, followed: str):
-        self.followed = followed
-        self._is_passed = False
+    def __init__(self, subject: str):
+        self.subject = subject
+        self._is_exceeded = False
         self._was_confirmed = False
-        self._passed_s = 0.0
+        self._exceeded_since_s = 0.0
 
-    def look(self, age_s: float, bound_s: float, now_s: float, **fields) -> None:
-        """Compare an age with its bound; `fields` go into the line."""
-        is_passed = age_s > bound_s
-        self._was_confirmed = self._was_confirmed or not is_passed
-        if is_passed == self._is_passed or not self._was_confirmed:
+    def check(self, age_s: float, bound_s: float, now_s: float, **fields) -> None:
+        """Compare an age with its bound, both in seconds; `fields` are added to the log line."""
+        is_exceeded = age_s > bound_s
+        self._was_confirmed = self._was_confirmed or not is_exceeded
+        if is_exceeded == self._is_exceeded or not self._was_confirmed:
             return
-        self._is_passed = is_passed
-        if is_passed:
-            self._passed_s = now_s
-            event = f"{self.followed}_outdated"
+        self._is_exceeded = is_exceeded
+        if is_exceeded:
+            self._exceeded_since_s = now_s
+            event = f"{self.subject}_outdated"
             log_event(_LOG, logging.WARNING, event, age_s=age_s, bound_s=bound_s, **fields)
         else:
-            event, after_s = f"{self.followed}_current", now_s - self._passed_s
+            event, after_s = f"{self.subject}_current", now_s - self._exceeded_since_s
             log_event(_LOG, logging.WARNING, event, age_s=age_s, after_s=after_s, **fields)
--- a/ferrydock/freshness/_confirmation.py
+++ b/ferrydock/freshness/_confirmation.py
@@ -1,11 +1,11 @@
-"""Rule: since when something that is followed by its changes is certainly complete.
-
-A wait for changes that brings nothing does not tell a quiet source from a silent connection. Other
-calls of the same store do: each answer names the store's position. If that is no later than the
-position up to which the changes are known, nothing is missing, and the call has confirmed that for
-free. If it is later, there are changes that are not known yet, of this or of something else. A new
-era is later than all positions of the one before, however low its revisions are.
-Pure: takes the time as an argument.
+"""Rule: when data that is updated by a watch was last confirmed to be complete.
+
+A watch that returns nothing does not distinguish a source without changes from a dead connection.
+Other calls to the same store do, because each answer contains the store's position. If that is no
+later than the position up to which the changes are known, none is missing, and the call has
+confirmed the data at no extra cost. If it is later, there are changes that are not known yet, to
+this data or to other keys. A new era is later than all positions of earlier eras, however low its
+revisions are. Pure: takes the time as an argument.
 """
 
 from collections import deque
@@ -15,14 +15,14 @@
 
 __all__ = ["Confirmation"]
 
-# Positions of the store that are ahead of the known changes and are remembered. They come twice a
-# second at most, and the changes are asked for within half a second. Chosen, not measured.
-MAX_AHEAD = 32
+# Number of store positions ahead of the known changes that are kept. At most two are noted per
+# second, and the missing changes are requested within half a second.
+MAX_AHEAD_POSITIONS = 32
 
 
 @dataclass(frozen=True, slots=True)
-class _Ahead:
-    """A position of the store up to which the changes were not known when it was named."""
+class _AheadPosition:
+    """A store position that was later than the known changes when an answer contained it."""
 
     position: Position
     began_s: float
@@ -30,14 +30,14 @@
 
 
 class Confirmation:
-    """Until when something followed was certainly complete.
+    """When data that is updated by a watch was last confirmed to be complete.
 
     Attributes
     ----------
     known : Position
         Position of the store up to which all changes are known.
     confirmed_s : float or None
-        Local time at which nothing was missing; None if that was never so.
+        Latest local time at which no change is known to have been missing; None if never confirmed.
 
     Examples
     --------
@@ -59,41 +59,41 @@
     def __init__(self):
         self.known = Position()
         self.confirmed_s: float | None = None
-        self._ahead: deque[_Ahead] = deque(maxlen=MAX_AHEAD)
+        self._ahead: deque[_AheadPosition] = deque(maxlen=MAX_AHEAD_POSITIONS)
 
     def note_known(self, position: Position) -> None:
-        """Note that all changes up to a position of the store are known now."""
+        """Note that all changes up to a position of the store are known."""
         self.known = max(self.known, position)
         while self._ahead and self._ahead[0].position <= self.known:
             self.confirm(self._ahead.popleft().began_s)
 
     def note_store(self, position: Position, began_s: float, now_s: float) -> None:
-        """Note where the store stood.
+        """Note the store position that the answer to a call contains.
 
         Parameters
         ----------
         position : Position
-            As named by an answer of the store that is never older than the call; revision 0 if not
-            named.
+            The store's position, no earlier than the start of the call; revision 0 if the answer
+            does not contain it.
         began_s, now_s : float
-            Local times at which the call began, and now.
+            Local time at which the call began, and the current local time.
         """
         if not position.revision:
             return
         if position <= self.known:
             self.confirm(began_s)
         elif not self._ahead or position >= self._ahead[-1].position:
-            self._ahead.append(_Ahead(position, began_s, now_s))
+            self._ahead.append(_AheadPosition(position, began_s, now_s))
 
     def confirm(self, at_s: float) -> None:
-        """Note that nothing was missing at a local time."""
+        """Note that no change was missing at local time `at_s`."""
         if self.confirmed_s is None or at_s > self.confirmed_s:
             self.confirmed_s = at_s
 
     def age_s(self, now_s: float) -> float:
-        """Return seconds since nothing was missing; infinite if that was never known."""
+        """Return the seconds since the last confirmation; infinite before the first."""
         return float("inf") if self.confirmed_s is None else now_s - self.confirmed_s
 
     def ahead_for_s(self, now_s: float) -> float | None:
-        """Return for how long the store is known to be ahead; None if it is not."""
+        """Return for how many seconds the store has been ahead of the known changes, or None."""
         return now_s - self._ahead[0].noticed_s if self._ahead else None
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -139,7 +139,7 @@
             now_s = self.clock.now_s()
             for confirmation in self.confirmations:
                 confirmation.note_store(read.store_position, began_s, now_s)
-            self.settling.look(self.directory.position)
+            self.settling.check_era(self.directory.position)
             self.last_read_began_s = began_s
             self._apply_configuration(read, began_s)
             await asyncio.sleep(self._until_next_read_s())
@@ -149,8 +149,8 @@
         is_leader = self.leadership.lease.valid
         pause_s = LEADER_CONFIRM_EVERY_S if is_leader else CONFIRM_EVERY_S
         pause_s *= self.rng.uniform(*CONFIRM_JITTER)
-        left_s = self.settling.left_s()
-        return min(pause_s, left_s) if left_s > 0 else pause_s
+        remaining_s = self.settling.remaining_s()
+        return min(pause_s, remaining_s) if remaining_s > 0 else pause_s
 
     async def follow_targets(self) -> None:
         """Watch the target list while the hall leader does not relay it.
@@ -167,7 +167,7 @@
         await self._wait_for_leader()
         try:
             while True:
-                self.settling.look(self.directory.position)
+                self.settling.check_era(self.directory.position)
                 is_relayed = self.leadership.is_relayed
                 is_due = is_relayed or self._is_list_due or await self._fetch_missed_changes()
                 if reading is not None and is_due:
@@ -191,7 +191,7 @@
         if self._is_reading_full_list:
             return False
         wait_s = 0.0 if self.leadership.is_leader else NEXT_LEADER_WAIT_S
-        return self.directory.is_provisional and self.settling.left_s() <= -wait_s
+        return self.directory.is_provisional and self.settling.remaining_s() <= -wait_s
 
     def _is_overdue(self, now_s: float) -> bool:
         """Return whether the watch of the target list should have returned changes by `now_s`.
@@ -302,7 +302,7 @@
     def check_age(self) -> None:
         """Log when the target list's age exceeds `change_within_s`, and when it is below again."""
         now_s = self.clock.now_s()
-        self._age_alarm.look(
+        self._age_alarm.check(
             self.directory.age_s(now_s),
             self.deployment.settings.change_within_s,
             now_s,
