--- a/ferrydock/configuration/__init__.py
+++ b/ferrydock/configuration/__init__.py
@@ -1,10 +1,10 @@
-"""The configuration: routes, services, teams and limits, which come whole and in versions.
+"""The configuration: routes, services, teams and limits, published as complete versions.
 
-Here stand its typed form (`_model`), the port it comes through (`_source`), look-ups (`_lookup`),
-the version in force (`_current`) and how old it may be for keys (`_freshness`). What does not
-belong here: reading it from a store (the deployment's adapter, for example `ferrydock.platform`),
-passing it on between daemons (`ferrydock.relay`), and the operators' table of the other program
-(`ferrydock.table`).
+This package holds its typed form (`_model`), the interface to its source (`_source`), look-ups
+(`_lookup`), the version in force (`_current`) and how old it may be for requests with a key
+(`_freshness`). What does not belong here: reading it from a store (the deployment's adapter, for
+example `ferrydock.platform`), relaying it between daemons (`ferrydock.relay`), and the operators'
+table of the other program (`ferrydock.table`).
 """
 
 from ._current import CurrentConfiguration
--- a/ferrydock/configuration/_current.py
+++ b/ferrydock/configuration/_current.py
@@ -1,6 +1,6 @@
-"""The configuration in force in this process; it never goes back to an older version.
+"""The configuration in force in this process, which is never replaced by an older version.
 
-Owns the version in force and the time at which it was last confirmed as the newest, in memory.
+Owns, in memory, the version in force and the time at which it was last confirmed as the newest.
 """
 
 import logging
@@ -15,14 +15,15 @@
 
 
 class CurrentConfiguration:
-    """Holds the newest configuration that this process has seen.
+    """Holds the newest configuration that this process has received.
 
     Attributes
     ----------
     lookup : ConfigurationLookup or None
         The configuration in force; None before the first.
     confirmed_s : float or None
-        Local time at which the configuration in force was certainly the newest.
+        Latest local time at which the configuration in force was confirmed as the newest; None if
+        it never was.
     """
 
     __slots__ = ("confirmed_s", "lookup")
@@ -37,15 +38,15 @@
         return -1 if self.lookup is None else self.lookup.configuration.version
 
     def offer(self, configuration: Configuration, confirmed_s: float | None) -> bool:
-        """Put a configuration in force if it is newer; return whether it was.
+        """Put a configuration in force if it is newer; return whether it is newer.
 
         Parameters
         ----------
         configuration : Configuration
-            From the store or from a peer.
+            Received from the store or from a peer.
         confirmed_s : float or None
-            Local time at which it certainly was the newest: the start of the call that read it.
-            None if it may have been older.
+            Local time at which it was certainly the newest: the start of the call that read it.
+            None if a newer one may have existed.
         """
         if configuration.version < self.version:
             return False
@@ -66,24 +67,24 @@
         return is_newer
 
     def confirm(self, version: int, confirmed_s: float | None) -> None:
-        """Note that `version` was the newest at `confirmed_s`; another version changes nothing."""
+        """Note that `version` was the newest at local time `confirmed_s`, if it is in force."""
         if confirmed_s is None or version != self.version:
             return
         if self.confirmed_s is None or confirmed_s > self.confirmed_s:
             self.confirmed_s = confirmed_s
 
     def service(self, name: str) -> ServiceSpec | None:
-        """Return a service of the configuration in force, or None."""
+        """Return a service of the configuration in force, or None if there is no such service."""
         return self.lookup.configuration.services.get(name) if self.lookup else None
 
     def engine_services(self) -> list[ServiceSpec]:
         """Return the services whose targets form replicas: those whose engine has models.
 
-        An engine without models is a valid configuration; planning for it would divide by zero.
+        An engine without models is valid, but planning replicas for it would divide by zero.
         """
         services = self.lookup.configuration.services.values() if self.lookup else ()
         return [s for s in services if s.engine is not None and s.engine.models]
 
     def age_s(self, now_s: float) -> float:
-        """Return seconds since the configuration was certainly the newest; inf if it never was."""
+        """Return seconds since the configuration was last confirmed; infinite if it never was."""
         return float("inf") if self.confirmed_s is None else now_s - self.confirmed_s
--- a/ferrydock/configuration/_lookup.py
+++ b/ferrydock/configuration/_lookup.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request and the team of a key; indexes of one configuration."""
+"""Looking up the route of a request and the team of a key, in indexes of one configuration."""
 
 from ._model import Configuration, Route, Team
 
@@ -6,34 +6,36 @@
 
 
 class ConfigurationLookup:
-    """Indexes of one configuration.
+    """Indexes of one configuration by host and path, and by key.
 
     Parameters
     ----------
     configuration : Configuration
-        What is looked up in.
+        The configuration to index.
     """
 
-    __slots__ = ("_by_host", "_by_key", "configuration")
+    __slots__ = ("_routes_by_host", "_teams_by_key", "configuration")
 
     def __init__(self, configuration: Configuration):
         self.configuration = configuration
-        self._by_host: dict[str, dict[str, Route]] = {}
+        self._routes_by_host: dict[str, dict[str, Route]] = {}
         for route in configuration.routes:
-            self._by_host.setdefault(route.host, {})[route.path_prefix] = route
-        self._by_key = {key: team for team in configuration.teams for key in team.keys}
+            self._routes_by_host.setdefault(route.host, {})[route.path_prefix] = route
+        self._teams_by_key = {key: team for team in configuration.teams for key in team.keys}
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of `host` with the longest prefix of `path`, or None.
+        """Return the route of `host` with the longest path prefix that matches, or None.
 
         Parameters
         ----------
         host : str
-            As the request names it; a port is ignored.
+            Host of the request; a port is ignored.
         path : str
-            As it was sent, with its query.
+            Path of the request as it was sent, with its query.
         """
-        prefixes = self._by_host.get(host) or self._by_host.get(host.partition(":")[0].lower())
+        prefixes = self._routes_by_host.get(host) or self._routes_by_host.get(
+            host.partition(":")[0].lower()
+        )
         if prefixes is None:
             return None
         path = path.partition("?")[0]
@@ -46,9 +48,9 @@
 
     @property
     def has_teams(self) -> bool:
-        """Whether requests need a key at all."""
+        """Whether the configuration has teams, so that requests of non-public routes need a key."""
         return bool(self.configuration.teams)
 
     def team(self, key: str) -> Team | None:
         """Return the team that holds `key`, or None."""
-        return self._by_key.get(key)
+        return self._teams_by_key.get(key)
--- a/ferrydock/configuration/_model.py
+++ b/ferrydock/configuration/_model.py
@@ -1,6 +1,6 @@
-"""The typed form of a configuration: routes, services, teams, limits. Data only, no state.
+"""The typed form of a configuration: routes, services, teams and limits; immutable data.
 
-Every number has its unit in its name; an adapter decodes its own format into these types.
+Every time has its unit in its name. An adapter decodes its own format into these types.
 """
 
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
 
 
 class RouteKind(StrEnum):
-    """How often a request of a route may run, and what kind of answer it gets."""
+    """Whether a request of a route may run more than once, and whether its answer is a stream."""
 
     REPEATABLE = "repeatable"
     AT_MOST_ONCE = "at_most_once"
@@ -30,18 +30,18 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Whether the answer is a stream of events."""
         return self in (RouteKind.STREAM, RouteKind.RESUMABLE_STREAM)
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request whose end is unknown may be sent again."""
+        """Whether a request may be sent again when its outcome is unknown."""
         return self in (RouteKind.REPEATABLE, RouteKind.RESUMABLE_STREAM)
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One of the services behind a route, with its weight among them."""
+    """One of the services of a route, and its weight in the random choice among them."""
 
     service: str
     weight: float
@@ -49,24 +49,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and within which bounds.
+    """The services to which requests of one host and path prefix are sent, and their limits.
 
     Attributes
     ----------
     first_answer_s : float
         Objective for the time to the first byte of an answer.
     services : tuple of WeightedService
-        One of them is drawn for each request.
+        One of them is drawn at random, by weight, for each request.
     time_limit_s : float
-        Longest time for a whole answer.
+        Longest time until an answer is complete.
     attempts : int
-        How many targets one request may be sent to at most.
+        Maximum number of targets that one request may be sent to.
     priority : int
         0 is the most urgent.
     public : bool
-        Whether a request needs no key.
+        Whether requests need no key.
     max_pause_s : float
-        Longest pause between two events with which a stream is still in time; infinite for none.
+        Longest pause between two events of a stream that counts as in time; infinite for no limit.
     """
 
     name: str
@@ -89,11 +89,11 @@
     Attributes
     ----------
     size : int
-        Targets of one replica.
+        Number of targets that form one replica.
     share : float
-        Expected part of the service's requests, relative to the other models.
+        Expected share of the service's requests, relative to the other models.
     load_s, warm_s : float
-        Time to load the weights from their store, and from the target's own host.
+        Time to load the weights from the weight store, and from the target's own host.
     """
 
     name: str
@@ -105,14 +105,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What is configured of the engines of a service.
+    """The configuration of a service's engines.
 
     Attributes
     ----------
     slots : int
-        Requests that a replica works on at a time.
+        Number of requests that a replica works on concurrently.
     loads_per_s : float
-        Loads from the weight store that may begin in a second, on the whole site.
+        Maximum number of loads from the weight store that may begin per second on the whole site.
     """
 
     slots: int
@@ -126,12 +126,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service behind routes.
+    """A service that routes refer to.
 
     Attributes
     ----------
     max_connections : int
-        Connections that one of its targets accepts, from all daemons together.
+        Number of connections that one of its targets accepts, from all daemons together.
     engine : EngineSpec or None
         None for a plain service, whose targets form no replicas.
     """
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """A team of callers, known by its keys; `priority` 0 is the most urgent."""
+    """A team of callers, identified by its keys; `priority` 0 is the most urgent."""
 
     name: str
     keys: frozenset[str]
@@ -152,9 +152,9 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressLimits:
-    """What a caller may send, how long its head may take and its connection may rest.
+    """Limits on the size of a request, the time for sending its headers, and idle connections.
 
-    The defaults stand where a configuration names no limit. Chosen, not measured.
+    The defaults apply where a configuration sets no limit.
     """
 
     header_bytes: int = 16384
@@ -165,13 +165,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole version. Versions only rise.
+    """One complete version of the configuration; later versions have higher numbers.
 
     Attributes
     ----------
     encoded : bytes
-        The stored value it was decoded from, to be passed on to other daemons; empty if it was
-        built in this process.
+        The stored value that it was decoded from, for relaying to other daemons; empty if it was
+        created in this process.
     """
 
     version: int
--- a/ferrydock/configuration/_source.py
+++ b/ferrydock/configuration/_source.py
@@ -1,4 +1,4 @@
-"""The port through which a configuration comes; an adapter of the deployment fills it."""
+"""The interface to the source of the configuration, implemented by the deployment's adapter."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -22,22 +22,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationUnreadable:
-    """There is a newer value, but it cannot be decoded; `reason` names the field."""
+    """The stored value is missing or cannot be decoded; `reason` names the key or the field."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRead:
-    """What a call brought.
+    """The result of reading the configuration.
 
     Attributes
     ----------
+    found : Configuration, ConfigurationUnchanged or ConfigurationUnreadable
+        The newest configuration, or why there is none.
     store_position : Position
-        Where the store stood, no earlier than the start of the call; revision 0 if its answer does
-        not name it. A list of all changes up to it is complete as of that start.
+        Position of the store, no earlier than the start of the call; revision 0 if the answer does
+        not contain it. Data with all changes up to it is complete as of the start of the call.
     written : Position
-        Where the value was written; revision 0 if there is none.
+        Position at which the value was written; revision 0 if there is no value.
     """
 
     found: Configuration | ConfigurationUnchanged | ConfigurationUnreadable
@@ -46,10 +48,10 @@
 
 
 class ConfigurationSource(Protocol):
-    """What ferrydock needs of whatever keeps the configuration."""
+    """Reads and decodes the operator's configuration."""
 
     async def read(self) -> ConfigurationRead | Unavailable:
-        """Read the newest configuration, certainly no older than the start of this call."""
+        """Read the newest configuration as of the start of this call, or later."""
 
     def decode(self, encoded: bytes) -> Configuration | ConfigurationUnreadable:
-        """Decode a stored value that another daemon passed on."""
+        """Decode a stored value that another daemon has relayed."""
