--- a/ferrydock/__init__.py
+++ b/ferrydock/__init__.py
@@ -6,10 +6,10 @@
 
 __all__ = ["__version__"]
 
-# Allocations between two runs of the garbage collector until a program is loaded, in place of 700.
-# What is imported lives as long as the process, so looking through it again and again finds
-# nothing: importing the route daemon took 0.43 s of processor in place of 0.47 (medians of twelve
-# alternating starts on one machine). `startup.run_service` ends it.
+# Allocations between two runs of the garbage collector during imports, instead of the default of
+# 700. Imported objects live as long as the process, so repeated collections find nothing: importing
+# the route daemon took 0.43 s of processor time instead of 0.47 s (medians of twelve alternating
+# starts on one machine). `startup.run_service` restores the default.
 IMPORT_GC_THRESHOLD = 100_000
 
 gc.set_threshold(IMPORT_GC_THRESHOLD)
--- a/ferrydock/clock.py
+++ b/ferrydock/clock.py
@@ -1,4 +1,4 @@
-"""Clocks. Decisions take ``now_s`` as an argument; only the I/O around them reads a clock."""
+"""Clocks. Decisions take ``now_s`` as an argument; only the I/O code around them reads a clock."""
 
 import time
 from typing import Protocol
@@ -7,13 +7,13 @@
 
 
 class Clock(Protocol):
-    """What ferrydock asks of a clock."""
+    """Interface of a clock."""
 
     def now_s(self) -> float:
-        """Return seconds on a clock that never goes back; its origin means nothing."""
+        """Return the seconds of a monotonic clock, whose origin is arbitrary."""
 
     def wall_s(self) -> float:
-        """Return seconds since the Unix epoch, for people to read and never for a decision."""
+        """Return seconds since the Unix epoch, for display only and never for a decision."""
 
 
 class SystemClock:
@@ -21,8 +21,8 @@
 
     Notes
     -----
-    ``CLOCK_BOOTTIME`` where the system has it: unlike ``CLOCK_MONOTONIC`` it also runs while the
-    machine is suspended, so a lease cannot look fresh after a long sleep.
+    Uses ``CLOCK_BOOTTIME`` where the system has it: unlike ``CLOCK_MONOTONIC`` it also advances
+    while the machine is suspended, so a lease cannot appear valid after a long suspension.
     """
 
     __slots__ = ("_clock_id",)
@@ -31,7 +31,7 @@
         self._clock_id = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
     def now_s(self) -> float:
-        """Return seconds since the machine was booted."""
+        """Return seconds on the monotonic clock of the machine."""
         return time.clock_gettime(self._clock_id)
 
     def wall_s(self) -> float:
@@ -40,7 +40,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told, for tests and replays.
+    """A clock that moves only by `advance`, for tests and replays.
 
     Examples
     --------
@@ -56,11 +56,11 @@
         self._now_s = now_s
 
     def now_s(self) -> float:
-        """Return the time that was set."""
+        """Return the time in seconds."""
         return self._now_s
 
     def wall_s(self) -> float:
-        """Return the same time."""
+        """Return the same time as `now_s`."""
         return self._now_s
 
     def advance(self, seconds: float) -> None:
--- a/ferrydock/daemon.py
+++ b/ferrydock/daemon.py
@@ -1,6 +1,6 @@
-"""The command line of the table's daemon, ``ferrydockd``.
+"""The command line of ``ferrydockd``, the daemon that serves by the operators' table.
 
-Owns nothing; flags are read from the command line and from ``FERRYDOCK_...`` variables.
+Owns no state; flags are read from the command line and from ``FERRYDOCK_...`` variables.
 """
 
 import logging
@@ -36,9 +36,8 @@
 
 _LOG = logging.getLogger("ferrydock.daemon")
 
-# Rate assumed of a weight store that has no address to ask, in bytes a second. Chosen, not
-# measured.
-UNKNOWN_RATE_BYTES_PER_S = 1e9
+# Rate assumed of a weight store without an address at which its rate can be queried.
+ASSUMED_RATE_BYTES_PER_S = 1e9
 
 
 class NodeService(aiomisc.Service):
@@ -47,14 +46,14 @@
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Settings that `node.read_settings` has checked.
     """
 
     settings: Settings
     node: Node
 
     async def start(self) -> None:
-        """Compose the node and start it, as aiomisc asks."""
+        """Create the node and start it; called by aiomisc."""
         clock = SystemClock()
         if self.settings.embedded:
             platform: Platform = await embedded_platform(
@@ -66,23 +65,23 @@
         await self.node.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Do nothing: the node was stopped by `run_until_stopped`."""
+        """Do nothing: `run_until_stopped` has already stopped the node."""
 
     async def run(self, signals: DaemonSignals) -> int:
-        """Serve until the daemon is told to stop; return the exit status."""
+        """Serve until a signal stops the daemon; return the exit status."""
         node = self.node
         return await run_until_stopped(
-            signals, node.rounds.failed, node.stop, node.close, _pass_over_hangup
+            signals, node.rounds.failed, node.stop, node.close, _log_ignored_hangup
         )
 
 
-def _pass_over_hangup() -> None:
-    """Log a SIGHUP: this daemon's settings are flags, and its table is watched."""
+def _log_ignored_hangup() -> None:
+    """Log a SIGHUP and ignore it: the settings are flags, and changes of the table are watched."""
     log_event(_LOG, logging.INFO, "hangup_passed_over")
 
 
 def _platform(settings: Settings) -> Platform:
-    weight_store: WeightStore = StaticWeightStore(UNKNOWN_RATE_BYTES_PER_S)
+    weight_store: WeightStore = StaticWeightStore(ASSUMED_RATE_BYTES_PER_S)
     if settings.weight_store_url:
         weight_store = HttpWeightStore(settings.weight_store_url)
     return Platform(
--- a/ferrydock/environment.py
+++ b/ferrydock/environment.py
@@ -10,7 +10,7 @@
 
 
 def apply_environment(values: flags.FlagValues, environment: Mapping[str, str]) -> Invalid | None:
-    """Set flags that were not given on the command line.
+    """Set flags from environment variables unless they were given on the command line.
 
     Parameters
     ----------
@@ -22,7 +22,7 @@
     Returns
     -------
     Invalid or None
-        Every variable that cannot be read.
+        A fault for each variable that cannot be parsed; None if there is none.
     """
     faults = []
     for name in values:
--- a/ferrydock/hall_lease.py
+++ b/ferrydock/hall_lease.py
@@ -1,7 +1,9 @@
-"""The lease that makes a daemon the leader of a hall, and the hall's keys; used by both programs.
+"""The lease that makes a daemon the leader of a hall, and the hall's keys in the store.
 
-The lease lives in the store; this module owns until when its holder may rely on it. Which daemon
-tries for it, and when, is decided by `route_daemon._own_leadership` and by `hall.HallController`.
+Used by the route daemon and by ``ferrydockd``. The lease is in the store; this module owns the time
+until which its holder may rely on it. `route_daemon._own_leadership`,
+`route_daemon._remote_leadership` and `hall.HallController` decide which daemon tries to acquire it,
+and when.
 """
 
 import uuid
@@ -34,38 +36,38 @@
     "placement_key",
 ]
 
-# How long before the store could let a lease lapse its holder stops relying on it. Covers the time
-# between a look at the clock and the end of what is done under the lease. Chosen, not measured.
+# How long before the store could let a lease expire its holder stops relying on it. Covers the time
+# between reading the clock and the end of an action under the lease.
 CLOCK_MARGIN_S = 0.25
 
 
 def controller_key(hall: str) -> str:
-    """Return the key that a hall's controller holds."""
+    """Return the store key that the daemon with a hall's lease holds."""
     return f"/ferrydock/hall/{hall}/controller"
 
 
 def placement_key(hall: str) -> str:
-    """Return the key of a hall's placement record."""
+    """Return the store key of a hall's placement record."""
     return f"/ferrydock/hall/{hall}/placement"
 
 
 @dataclass(frozen=True, slots=True)
 class HeldLease:
-    """A lease as its holder knows it.
+    """A lease and its validity, as known to its holder.
 
     Attributes
     ----------
     term : int
-        Rank of the store's position at which the controller's key was created: rank of its
-        orders.
+        Rank of the store position at which the controller's key was created; it ranks the orders
+        that the holder sends.
     lease_id : int
-        Lease that the key is bound to.
+        Id of the store's lease to which the key is bound.
     valid_until_s : float
-        Time on the local clock up to which the store cannot have let the lease lapse.
+        Local time until which the store cannot have let the lease expire.
     era : int
-        Era of the store that all of this belongs to.
+        Era of the store to which the other attributes belong.
     value : bytes
-        What the holder wrote to the key; no other write is like it.
+        Value that the holder wrote to the key; unique to this write.
     """
 
     term: int
@@ -76,29 +78,30 @@
 
 
 class ControllerLease:
-    """Takes, keeps and gives back the lease.
+    """Acquires, renews and releases the lease of a hall.
 
     Parameters
     ----------
     store : Store
-        Grants it.
+        Grants the lease.
     clock : Clock
-        Tells how long it is still valid.
+        Used to determine whether the lease is still valid.
     hall, holder : str
-        Which hall; name of this daemon.
+        Name of the hall, and name of this daemon.
     address : str, default=""
         ``IP:PORT`` at which other daemons reach the holder.
     processor_cores : float, optional
-        Processor of the holder's machine, written to the key for its followers; None to leave it
-        out.
+        Processor cores of the holder's machine, written to the key for its followers; None to omit
+        them.
 
     Notes
     -----
-    Validity counts from before the call was sent, less a margin. A holder that wakes after a
-    pause therefore sees that its time is over before it does anything else.
+    Validity is counted from before the call was sent, less a margin, so a holder that resumes after
+    a pause of its process finds the lease expired before it acts.
 
-    A lease is believed only in the era of the store in which it was taken or reclaimed: a store
-    that has come back older may have lost it, and given its id to another daemon.
+    A lease counts only in the era of the store in which it was acquired or reclaimed: a store that
+    was restored from an older copy may have lost the lease, and may have granted its id to another
+    daemon.
     """
 
     __slots__ = ("address", "clock", "hall", "held", "holder", "processor_cores", "store")
@@ -122,14 +125,14 @@
 
     @property
     def valid(self) -> bool:
-        """Whether this daemon may act as the leader right now."""
+        """Whether this daemon may currently act as the hall's leader."""
         held = self.held
         if held is None or held.era != self.store.era:
             return False
         return self.clock.now_s() < held.valid_until_s
 
     async def acquire(self, ttl_s: float) -> HeldLease | Conflict | Unavailable | Unknown:
-        """Try to take the lease; `Conflict` if another daemon holds it."""
+        """Try to acquire the lease; return `Conflict` if another daemon holds it."""
         sent_s = self.clock.now_s()
         lease = await self.store.grant_lease(ttl_s)
         if not isinstance(lease, LeaseGranted):
@@ -151,102 +154,107 @@
         if isinstance(done, Unknown):
             return await self._read_back(key, value, lease, sent_s)
         if not done.succeeded:
-            await self._give_up(lease)
+            await self._revoke_unused(lease)
             return Conflict(f"{_holder_of(done.reads[0])} is the controller")
         if done.era != lease.era:
-            return await self._take_back(key, done.position)
-        return self._hold(done.position, lease, sent_s, value)
+            return await self._remove_own_key(key, done.position)
+        return self._record_held(done.position, lease, sent_s, value)
 
     async def _read_back(
         self, key: str, value: bytes, lease: LeaseGranted, sent_s: float
     ) -> HeldLease | Conflict | Unavailable | Unknown:
-        """Find out whether a write whose answer was lost took effect."""
-        found = await self.store.range(key)
-        if not isinstance(found, RangeDone):
+        """Read the key to determine whether a write whose answer was lost took effect."""
+        read = await self.store.range(key)
+        if not isinstance(read, RangeDone):
             return Unknown("the answer to the lease was lost and could not be read back")
-        if found.items and found.items[0].value == value:
-            created = Position(found.era, found.items[0].create_revision)
-            if found.era != lease.era:
-                return await self._take_back(key, created)
-            return self._hold(created, lease, sent_s, value)
-        await self._give_up(lease)
+        if read.items and read.items[0].value == value:
+            created = Position(read.era, read.items[0].create_revision)
+            if read.era != lease.era:
+                return await self._remove_own_key(key, created)
+            return self._record_held(created, lease, sent_s, value)
+        await self._revoke_unused(lease)
         return Conflict("the lease was not taken")
 
-    async def _take_back(self, key: str, created: Position) -> Conflict:
-        """Remove our key, which was bound to the id of a lease that the store has forgotten.
+    async def _remove_own_key(self, key: str, created: Position) -> Conflict:
+        """Delete this daemon's key, which is bound to the id of a lease that the store has lost.
 
-        In the new era that id may be another daemon's, and our key would stand as long as that.
+        In the new era that id may belong to another daemon's lease, and the key would exist as long
+        as that lease.
         """
         condition = Compare(key, created.revision, CompareField.CREATE_REVISION)
         await self.store.transact(Txn((condition,), (Delete(key),), (), created.era))
         return Conflict("the store came back older while the lease was taken")
 
-    async def _give_up(self, lease: LeaseGranted) -> None:
-        """End a lease that came to nothing; one of an older era may be another daemon's now."""
+    async def _revoke_unused(self, lease: LeaseGranted) -> None:
+        """Revoke a granted lease that the key was not bound to.
+
+        Not if it is of an older era: its id may belong to another daemon's lease in the new one.
+        """
         if lease.era == self.store.era:
             await self.store.revoke_lease(lease.lease_id)
 
-    def _hold(
+    def _record_held(
         self, created: Position, lease: LeaseGranted, sent_s: float, value: bytes
     ) -> HeldLease:
-        until_s = sent_s + lease.ttl_s - CLOCK_MARGIN_S
-        self.held = HeldLease(created.rank(), lease.lease_id, until_s, created.era, value)
+        valid_until_s = sent_s + lease.ttl_s - CLOCK_MARGIN_S
+        self.held = HeldLease(created.rank(), lease.lease_id, valid_until_s, created.era, value)
         return self.held
 
     async def reclaim(self) -> bool:
-        """Go on with the lease in a new era of the store, if it certainly never ended.
+        """Continue to use the lease in a new era of the store if it has certainly never ended.
 
-        That is so if its time, by the last renewal of the older era, is not over, and the key in
+        That is the case if it has not expired by its last renewal in the older era, and the key in
         the new era is still this daemon's and bound to the same lease: then no other daemon can
-        have taken the hall in between. The time is not extended by this.
+        have led the hall in between. The lease is not extended by this. Returns whether the lease
+        is valid.
         """
         held = self.held
         if held is None or held.era == self.store.era:
             return False
-        found = await self.store.range(controller_key(self.hall))
-        if not isinstance(found, RangeDone) or not found.items:
+        read = await self.store.range(controller_key(self.hall))
+        if not isinstance(read, RangeDone) or not read.items:
             return False
-        item = found.items[0]
-        is_ours = item.value == held.value and item.lease_id == held.lease_id
-        if not is_ours or self.clock.now_s() >= held.valid_until_s:
+        item = read.items[0]
+        is_own = item.value == held.value and item.lease_id == held.lease_id
+        if not is_own or self.clock.now_s() >= held.valid_until_s:
             return False
-        term = Position(found.era, item.create_revision).rank()
-        self.held = replace(held, term=term, era=found.era)
+        term = Position(read.era, item.create_revision).rank()
+        self.held = replace(held, term=term, era=read.era)
         return self.valid
 
     async def keep(self) -> HeldLease | LeaseLost | Unavailable:
-        """Renew the lease; `LeaseLost` if the store has let it lapse."""
+        """Renew the lease; return `LeaseLost` if it has expired in the store."""
         held = self.held
         if held is None:
             return LeaseLost(0)
         sent_s = self.clock.now_s()
-        kept = await self.store.keep_lease(held.lease_id)
+        renewed = await self.store.keep_lease(held.lease_id)
         if held.era != self.store.era:
-            # It may be another daemon's lease that was renewed or is gone: see `reclaim`.
+            # The id may belong to another daemon's lease in the new era: see `reclaim`.
             return Unavailable("the store has come back older")
-        if isinstance(kept, LeaseLost):
+        if isinstance(renewed, LeaseLost):
             self.held = None
-            return kept
-        if isinstance(kept, Unavailable):
-            return kept
-        until_s = max(held.valid_until_s, sent_s + kept.ttl_s - CLOCK_MARGIN_S)
-        self.held = replace(held, valid_until_s=until_s)
+            return renewed
+        if isinstance(renewed, Unavailable):
+            return renewed
+        valid_until_s = max(held.valid_until_s, sent_s + renewed.ttl_s - CLOCK_MARGIN_S)
+        self.held = replace(held, valid_until_s=valid_until_s)
         return self.held
 
     async def give_back(self) -> None:
-        """End the lease, so that another daemon can take it without waiting."""
+        """Revoke the lease, so that another daemon can acquire it without waiting."""
         held, self.held = self.held, None
         if held is not None and held.era == self.store.era:
             await self.store.revoke_lease(held.lease_id)
 
 
 def controller_address(value: bytes) -> str:
-    """Return the address in a controller's key; empty if there is none in it."""
+    """Return ``IP:PORT`` of the holder from the value of a controller's key; empty if absent."""
     return str(orjson.loads(value).get("address", ""))
 
 
 def controller_cores(value: bytes) -> float | None:
-    """Return the processor of a controller's machine; None if its key does not tell it."""
+    """Return the holder's processor cores from the value of a controller's key; None if absent."""
     cores = orjson.loads(value).get("processor_cores")
     return float(cores) if isinstance(cores, int | float) else None
 
--- a/ferrydock/http_client.py
+++ b/ferrydock/http_client.py
@@ -1,4 +1,4 @@
-"""Opening HTTP client sessions, with what must hold for all of them in one place; stateless."""
+"""Opening HTTP client sessions with the options that apply to all of them; stateless."""
 
 import socket
 from collections.abc import Callable
@@ -16,24 +16,26 @@
 ) -> aiohttp.ClientSession:
     """Open a session without a limit on connections and without a time limit on whole calls.
 
-    aiohttp sends a request again by itself when a kept connection turns out to be closed. That is
-    switched off: whether something may be sent twice is decided by this product alone. aiohttp has
-    no public setting for it.
+    aiohttp by default repeats a request if a pooled connection turns out to be closed. This is
+    disabled, because only ferrydock may decide whether a request is sent twice; aiohttp has no
+    public setting for it.
 
     Parameters
     ----------
     connect_timeout_s : float
-        How long connecting may take.
+        Time limit for connecting, in seconds.
     keep_idle_s : float or None
-        How long an unused connection is kept; None to use each connection once.
+        Seconds for which an idle connection is kept open; None to use each connection once.
     socket_factory : callable, optional
-        Opens a socket with options of its own.
+        Creates sockets with custom options.
     **options
-        Further arguments of `aiohttp.ClientSession`.
+        Additional arguments of `aiohttp.ClientSession`.
     """
-    keeping = {"force_close": True} if keep_idle_s is None else {"keepalive_timeout": keep_idle_s}
+    keep_alive_options = (
+        {"force_close": True} if keep_idle_s is None else {"keepalive_timeout": keep_idle_s}
+    )
     connector = aiohttp.TCPConnector(
-        limit=0, use_dns_cache=False, socket_factory=socket_factory, **keeping
+        limit=0, use_dns_cache=False, socket_factory=socket_factory, **keep_alive_options
     )
     session = aiohttp.ClientSession(
         connector=connector,
--- a/ferrydock/invariants.py
+++ b/ferrydock/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants that the code relies on and a reader or type checker cannot see at the place."""
+"""Checks of invariants that neither a reader nor a type checker can see from the code nearby."""
 
 from typing import TypeVar
 
@@ -8,16 +8,16 @@
 
 
 class BrokenInvariant(AssertionError):
-    """Something that the code relies on does not hold: a fault of ferrydock's own."""
+    """A condition that the code relies on does not hold: a bug in ferrydock."""
 
 
 def existing(value: T | None, what: str) -> T:
-    """Return a value that must be there.
+    """Return a value that must not be None.
 
     Raises
     ------
     BrokenInvariant
-        If it is None; `what` names it.
+        If the value is None; the message names it as `what`.
 
     Examples
     --------
--- a/ferrydock/logs.py
+++ b/ferrydock/logs.py
@@ -12,8 +12,8 @@
 
 _NEEDS_QUOTES = frozenset(" =\"'\\\t\n\r")
 LINES_PER_S = 300.0
-LINES_AT_ONCE = 600.0
-HELD_BYTES = 256 * 1024
+BURST_LINES = 600.0
+MAX_BUFFERED_BYTES = 256 * 1024
 _LINE = "time=%(asctime)s level=%(levelname)s logger=%(name)s %(message)s"
 
 
@@ -28,14 +28,14 @@
 
 
 def format_event(event: str, **fields) -> str:
-    """Return one line ``event=... key=value ...``; fields that are None are left out.
+    """Return one line ``event=... key=value ...``; fields that are None are omitted.
 
     Parameters
     ----------
     event : str
-        Name of the event, snake case.
+        Name of the event in snake case.
     **fields
-        What happened, each with its unit as a suffix of the name.
+        Details of the event; a name ends with the unit of its value.
 
     Examples
     --------
@@ -48,7 +48,7 @@
 
 
 def parse_event(line: str) -> dict[str, str]:
-    """Return the pairs of a line that `format_event` made; other words are passed over.
+    """Return the pairs of a line written by `format_event`; other words are ignored.
 
     Examples
     --------
@@ -56,34 +56,34 @@
     {'time': 'now', 'event': 'ready', 'note': 'a "b" c', 'n': '1'}
     """
     fields: dict[str, str] = {}
-    at = 0
-    while at < len(line):
-        end = at
+    position = 0
+    while position < len(line):
+        end = position
         while end < len(line) and line[end] not in "= ":
             end += 1
-        name = line[at:end]
+        name = line[position:end]
         if end == len(line) or line[end] == " ":
-            at = end + 1
+            position = end + 1
             continue
-        fields[name], at = _parse_value(line, end + 1)
+        fields[name], position = _parse_value(line, end + 1)
     return fields
 
 
-def _parse_value(line: str, at: int) -> tuple[str, int]:
-    if line[at : at + 1] != '"':
-        end = line.find(" ", at)
+def _parse_value(line: str, position: int) -> tuple[str, int]:
+    if line[position : position + 1] != '"':
+        end = line.find(" ", position)
         end = len(line) if end < 0 else end
-        return line[at:end].strip(), end + 1
-    letters = []
-    at += 1
-    while at < len(line) and line[at] != '"':
-        if line[at] == "\\" and at + 1 < len(line):
-            at += 1
-            letters.append({"n": "\n", "r": "\r", "t": "\t"}.get(line[at], line[at]))
+        return line[position:end].strip(), end + 1
+    characters = []
+    position += 1
+    while position < len(line) and line[position] != '"':
+        if line[position] == "\\" and position + 1 < len(line):
+            position += 1
+            characters.append({"n": "\n", "r": "\r", "t": "\t"}.get(line[position], line[position]))
         else:
-            letters.append(line[at])
-        at += 1
-    return "".join(letters), at + 2
+            characters.append(line[position])
+        position += 1
+    return "".join(characters), position + 2
 
 
 def log_event(logger: logging.Logger, level: int, event: str, **fields) -> None:
@@ -93,90 +93,90 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking on a slow reader.
 
-    Lines above a rate, and those for which the reader leaves no room, are left out; how many is
-    said in a line of its own as soon as one can be written.
+    Lines above a rate, and lines for which the buffer has no room, are dropped. Their number is
+    logged in a line of its own as soon as a line can be written.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; it is set to non-blocking.
-    lines_per_s, lines_at_once : float
-        Rate of lines, and how many may come at once above it.
-    held_bytes : int
-        How much may wait for the reader.
+        File descriptor to write to; it is set to non-blocking.
+    lines_per_s, burst_lines : float
+        Sustained rate of lines, and the number that may be written at once above it.
+    max_buffered_bytes : int
+        Size of the buffer above which lines are dropped until the reader catches up.
     """
 
     def __init__(
         self,
         descriptor: int,
         lines_per_s: float = LINES_PER_S,
-        lines_at_once: float = LINES_AT_ONCE,
-        held_bytes: int = HELD_BYTES,
+        burst_lines: float = BURST_LINES,
+        max_buffered_bytes: int = MAX_BUFFERED_BYTES,
     ):
         super().__init__()
         os.set_blocking(descriptor, False)
         self.descriptor = descriptor
         self.lines_per_s = lines_per_s
-        self.lines_at_once = lines_at_once
-        self.held_bytes = held_bytes
-        self.left_out = 0
-        self._allowed = lines_at_once
-        self._filled_s = time.monotonic()
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self.burst_lines = burst_lines
+        self.max_buffered_bytes = max_buffered_bytes
+        self.dropped_count = 0
+        self._available_lines = burst_lines
+        self._refilled_s = time.monotonic()
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or count it as left out."""
+        """Write a line, or drop it and count it."""
         now_s = time.monotonic()
-        gained = (now_s - self._filled_s) * self.lines_per_s
-        self._allowed = min(self.lines_at_once, self._allowed + gained)
-        self._filled_s = now_s
-        if self._allowed < 1 or self._waiting_bytes > self.held_bytes:
-            self.left_out += 1
+        refill = (now_s - self._refilled_s) * self.lines_per_s
+        self._available_lines = min(self.burst_lines, self._available_lines + refill)
+        self._refilled_s = now_s
+        if self._available_lines < 1 or self._buffered_bytes > self.max_buffered_bytes:
+            self.dropped_count += 1
             self.flush()
             return
-        self._allowed -= 1
-        if self.left_out and self._allowed >= 1:
-            self._say_left_out(record)
-        self._hold(self.format(record))
+        self._available_lines -= 1
+        if self.dropped_count and self._available_lines >= 1:
+            self._log_dropped(record)
+        self._enqueue(self.format(record))
         self.flush()
 
-    def _say_left_out(self, record: logging.LogRecord) -> None:
-        count, self.left_out = self.left_out, 0
+    def _log_dropped(self, record: logging.LogRecord) -> None:
+        count, self.dropped_count = self.dropped_count, 0
         message = format_event("log_lines_left_out", count=count)
-        note = logging.LogRecord(
+        notice = logging.LogRecord(
             "ferrydock.logs", logging.WARNING, record.pathname, 0, message, (), None
         )
-        self._hold(self.format(note))
+        self._enqueue(self.format(notice))
 
-    def _hold(self, line: str) -> None:
+    def _enqueue(self, line: str) -> None:
         data = line.encode(errors="backslashreplace") + b"\n"
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        while self._waiting:
-            data = self._waiting[0]
+        """Write as much of the buffer as the descriptor accepts without blocking."""
+        while self._buffer:
+            data = self._buffer[0]
             try:
                 written = os.write(self.descriptor, data)
             except BlockingIOError:
                 return
             except OSError:
-                self._waiting.clear()
-                self._waiting_bytes = 0
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 return
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             if written < len(data):
-                self._waiting[0] = data[written:]
+                self._buffer[0] = data[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
 
 
 def configure(level: str, stream: TextIO | None = None) -> None:
-    """Send all events at or above `level` to `stream`, one line each; None: standard error."""
+    """Write all events at or above `level` to `stream`, or to standard error if it is None."""
     stream = stream or sys.stderr
     handler: logging.Handler = logging.StreamHandler(stream)
     with contextlib.suppress(OSError, ValueError, AttributeError):
--- a/ferrydock/outcomes.py
+++ b/ferrydock/outcomes.py
@@ -1,6 +1,6 @@
-"""Outcomes as values: what became of an operation, with the reason.
+"""Types of failed outcomes, which operations return with the reason instead of raising exceptions.
 
-An operation that can fail returns one of these in place of its result. Exceptions are left for
+An operation that can fail returns one of these instead of its result. Exceptions are reserved for
 broken invariants, which stop the process.
 """
 
@@ -11,7 +11,7 @@
 
 
 class Run(StrEnum):
-    """Whether a request ran, as far as the module can know."""
+    """Whether a request was run, as far as this process can know."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The other side was not reached: the operation had no effect."""
+    """The other side was not reached, so the operation had no effect."""
 
     reason: str
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another writer was first. `cells` names what was contested, ``sheet/row/column`` each."""
+    """Another writer was first; `cells` lists the contested cells, each ``sheet/row/column``."""
 
     reason: str
     cells: tuple[str, ...] = ()
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing wrong with an input, with the place where it stands."""
+    """One error in an input; `place` names where it is, for example a setting or a cell."""
 
     place: str
     problem: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The input was refused whole; every fault found is listed."""
+    """The input was rejected as a whole; `faults` lists every error that was found."""
 
     faults: tuple[Fault, ...]
 
@@ -70,13 +70,13 @@
     Attributes
     ----------
     reason : str
-        Snake-case word for programs, such as ``no_replica``.
+        Reason for programs, in snake case, such as ``no_replica``.
     message : str
-        The same for people.
+        Reason for people.
     retry_after_s : float or None
-        When it is worth to come back; None where coming back cannot help.
+        Seconds after which to retry; None if a retry cannot succeed.
     status : int
-        HTTP status that fits.
+        HTTP status of the answer.
     """
 
     reason: str
--- a/ferrydock/planned_stop.py
+++ b/ferrydock/planned_stop.py
@@ -1,16 +1,18 @@
-"""How both daemons end callers' requests and connections at a planned stop.
-
-Owns no state of a daemon but `StopLimit`, which ends the requests that are left when the time for a
-stop is over. The order of a stop is one rule, `finish_requests`:
-
-1. Readiness drops. Requests are served as ever, and each answer ends its connection.
-2. Once the balancer has taken the daemon out, listening ends. What has been read by then is served;
-   what is read later is refused as not run; then the socket closes, and connections without a
-   request.
-3. The stop waits until no caller's connection is left. A count of requests would not do: a request
-   that is read and not begun, or answered and not yet sent, is in no count, and was cut.
-4. Requests that are left when the time is over are ended from inside, with the answer that is true
-   of them, while the process still has time to send it.
+"""How the route daemon and ``ferrydockd`` end callers' requests and connections at a planned stop.
+
+Owns no state of a daemon except `StopLimit`, which ends the remaining requests when the time for a
+stop is over. `finish_requests` defines the order of a stop:
+
+1. The daemon reports that it is not ready. It still serves requests, and closes each connection
+   after the next answer.
+2. When the balancer has stopped sending callers to the daemon, it stops listening. Requests read
+   before are served, and requests read later are refused as not run; then the listening socket and
+   the connections without a request are closed.
+3. The stop waits until no caller's connection is open. Counting requests is not sufficient: a
+   request that has been read but not begun, or answered but not yet sent, is in no count and would
+   be cut off.
+4. Requests that remain when the time is over are ended by the daemon, with the answer that applies
+   to them, while the process still has time to send it.
 """
 
 import asyncio
@@ -37,30 +39,30 @@
 
 _LOG = logging.getLogger("ferrydock.planned_stop")
 
-# Why a request is refused or ended by a daemon that stops, as in answers, log lines and
+# Reason for which a daemon that is stopping refuses or ends a request, in answers, log lines and
 # `ferrydock explain`.
 STOPPING = "stopping"
 
-# When a caller may come back who met a daemon that stops, in seconds: at once, since its next
-# connection leads to another daemon.
+# When a caller may retry a request that a stopping daemon has refused: at once, because its next
+# connection goes to another daemon.
 STOPPING_RETRY_S = 0.0
 
-# Pause between two looks at the connections that are left: it also lets requests that lie unread
-# in the sockets be read and refused before their connections are closed. Chosen, not measured.
-LOOK_S = 0.05
+# Pause between two checks of the open connections. It also gives time to read and refuse requests
+# that are still unread in the sockets before their connections are closed.
+CHECK_EVERY_S = 0.05
 
 
 class DaemonStopping(Exception):
-    """The daemon's time to stop is over; the work in hand is to be ended with a true answer."""
+    """The daemon's time to stop is over; a handler must end its work with the applicable answer."""
 
 
 class StopLimit:
-    """A time limit on many pieces of work, which ends them all together.
+    """A time limit shared by many concurrent requests, which ends all of them at the same time.
 
     Attributes
     ----------
     is_over : bool
-        Whether it has ended them; work that begins later ends at once.
+        Whether the limit was reached; work that begins later ends at once.
 
     Examples
     --------
@@ -86,12 +88,12 @@
 
     @asynccontextmanager
     async def hold(self) -> AsyncIterator[None]:
-        """Run the body of an ``async with`` under the limit.
+        """Run the body of an ``async with`` statement under the limit.
 
         Raises
         ------
         DaemonStopping
-            If the limit was reached before the body's end.
+            If the limit was reached before the body ended.
         """
         if self.is_over:
             raise DaemonStopping
@@ -108,7 +110,7 @@
             self._limits.discard(limit)
 
     def end(self) -> None:
-        """End all work that is held; once."""
+        """End all work that runs under the limit; further calls do nothing."""
         if self.is_over:
             return
         self.is_over = True
@@ -118,31 +120,32 @@
 
 
 class StoppingListener(Protocol):
-    """A listener to callers, as a planned stop needs it."""
+    """What a planned stop requires of a listener for callers."""
 
     @property
     def connection_count(self) -> int:
-        """How many callers' connections are open."""
+        """Number of open connections of callers."""
 
     @property
     def in_flight(self) -> int:
-        """Requests whose handlers run."""
+        """Number of requests whose handlers are running."""
 
     def announce_stop(self) -> None:
-        """From now on end each connection with its next answer."""
+        """Begin to close each connection after its next answer."""
 
     def stop_listening(self) -> None:
-        """Serve what has been read, and refuse what is read from now on."""
+        """Serve the requests already read, and refuse those read later."""
 
     def close_resting(self) -> None:
-        """Take no new connections, and close those without a request."""
+        """Accept no new connections, and close those without a request."""
 
 
 def is_resting(connection: RequestHandler) -> bool:
-    """Return whether no whole request has been read that is not answered yet.
+    """Return whether a connection has no request that was read completely and is unanswered.
 
-    aiohttp keeps that nowhere public: its handler waits for a request exactly then. A request whose
-    handler has not begun, which no count of handlers shows, is under way here.
+    aiohttp has no public interface for that, but its protocol waits for a request in exactly this
+    state. A connection whose request was read but whose handler has not begun counts as in use,
+    although no count of handlers includes it.
     """
     waiter = connection._waiter
     return waiter is not None and not waiter.done()
@@ -155,21 +158,22 @@
     clock: Clock,
     unfinished: Callable[[], int] = lambda: 0,
 ) -> bool:
-    """Let the balancer take this daemon out, then wait for what is under way.
+    """Let the balancer remove this daemon, then wait until callers' requests have finished.
 
     Parameters
     ----------
     listen_s : float
-        Seconds for which new connections are still taken.
+        Time for which new connections are still accepted, in seconds.
     stop_within_s : float or None
-        Seconds from now until what is left has to be ended; None for as long as it takes.
+        Time after which this function returns although requests remain, in seconds; None for no
+        limit.
     unfinished : callable, optional
-        Returns how much is under way beside the callers' connections.
+        Returns the number of unfinished tasks other than callers' connections.
 
     Returns
     -------
     bool
-        Whether nothing is left.
+        Whether all connections and other tasks have ended.
     """
     until_s = float("inf") if stop_within_s is None else clock.now_s() + stop_within_s
     for listener in listeners:
@@ -179,17 +183,17 @@
     log_listeners(_LOG, "listening_ends", listeners, unfinished)
     for listener in listeners:
         listener.stop_listening()
-    is_left = True
-    while is_left and clock.now_s() < until_s:
-        await asyncio.sleep(LOOK_S)
+    is_unfinished = True
+    while is_unfinished and clock.now_s() < until_s:
+        await asyncio.sleep(CHECK_EVERY_S)
         for listener in listeners:
             listener.close_resting()
-        is_left = _left(listeners, unfinished) > 0
+        is_unfinished = _count_unfinished(listeners, unfinished) > 0
     log_listeners(_LOG, "stopped", listeners, unfinished)
-    return not is_left
+    return not is_unfinished
 
 
-def _left(listeners: Sequence[StoppingListener], unfinished: Callable[[], int]) -> int:
+def _count_unfinished(listeners: Sequence[StoppingListener], unfinished: Callable[[], int]) -> int:
     return sum(listener.connection_count for listener in listeners) + unfinished()
 
 
@@ -199,7 +203,7 @@
     listeners: Sequence[StoppingListener],
     unfinished: Callable[[], int] = lambda: 0,
 ) -> None:
-    """Log a step of the end of a daemon, with what is under way at its listeners."""
+    """Log a step of a stop with the numbers of requests, connections and other unfinished tasks."""
     log_event(
         logger,
         logging.INFO,
--- a/ferrydock/route_daemon/__main__.py
+++ b/ferrydock/route_daemon/__main__.py
@@ -1,6 +1,6 @@
 """The command line of the route daemon: ``python -m ferrydock.route_daemon --settings=FILE``.
 
-Owns nothing; flags are read from the command line and from ``FERRYDOCK_...`` variables.
+Owns no state; flags are read from the command line and from ``FERRYDOCK_...`` variables.
 """
 
 import logging
@@ -17,7 +17,7 @@
 from ..logs import log_event
 from ..outcomes import Invalid
 from ..startup import (
-    EXIT_BROKEN,
+    EXIT_STATUS_BROKEN,
     DaemonSignals,
     asked_for_text,
     parse_flags,
@@ -101,7 +101,7 @@
         status = run_service(service, service.run)
     except OSError as error:
         log_event(_LOG, logging.CRITICAL, "cannot_listen", why=error)
-        return EXIT_BROKEN
+        return EXIT_STATUS_BROKEN
     log_event(_LOG, logging.INFO, "exit", status=status)
     return status
 
--- a/ferrydock/route_daemon/_gauges.py
+++ b/ferrydock/route_daemon/_gauges.py
@@ -75,7 +75,7 @@
         crashes = self.gateway.forwarder.crashes.history
         metrics.crashing_known.set(crashes.known_count)
         metrics.crashes_remembered.set(crashes.remembered_count)
-        metrics.log_lines_left_out.set(_log_lines_left_out())
+        metrics.log_lines_left_out.set(_count_dropped_log_lines())
         return metrics.text().decode()
 
     def _set_plans(self) -> None:
@@ -85,6 +85,6 @@
                 self.metrics.add_plan(controller.hall, plan.replicas, plan.slots_wanted)
 
 
-def _log_lines_left_out() -> int:
+def _count_dropped_log_lines() -> int:
     handlers = logging.getLogger().handlers
-    return sum(handler.left_out for handler in handlers if isinstance(handler, BoundedHandler))
+    return sum(handler.dropped_count for handler in handlers if isinstance(handler, BoundedHandler))
--- a/ferrydock/route_metrics.py
+++ b/ferrydock/route_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a daemon that serves routes, in the usual text form."""
+"""Counters, gauges and histograms of the route daemon, in the Prometheus text format."""
 
 from collections.abc import Iterable, Mapping
 
@@ -6,13 +6,13 @@
 
 __all__ = ["RouteMetrics"]
 
-MOST_LABELS = 60
+MAX_ROUTE_LABELS = 60
 OTHER = "other"
-_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1.0, 2.0, 4.0, 8.0)
+_DURATION_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1.0, 2.0, 4.0, 8.0)
 
 
-class _BoundedNames:
-    """Lets a number of names through as they are, and calls all later ones ``other``."""
+class _LabelLimiter:
+    """Returns the first `MAX_ROUTE_LABELS` distinct names unchanged, and ``other`` for the rest."""
 
     __slots__ = ("_known",)
 
@@ -22,19 +22,19 @@
     def __call__(self, name: str) -> str:
         if name in self._known:
             return name
-        if len(self._known) >= MOST_LABELS:
+        if len(self._known) >= MAX_ROUTE_LABELS:
             return OTHER
         self._known.add(name)
         return name
 
 
 class RouteMetrics:
-    """What a daemon counts.
+    """The metrics of one daemon.
 
     Notes
     -----
-    Routes come and go by the hundred, so only the first `MOST_LABELS` that are used get a label
-    of their own.
+    A site may add and remove hundreds of routes, so only the first `MAX_ROUTE_LABELS` routes with
+    requests get a label of their own.
 
     Examples
     --------
@@ -53,7 +53,7 @@
     def __init__(self):
         self.registry = CollectorRegistry()
         registry = self.registry
-        self._routes = _BoundedNames()
+        self._routes = _LabelLimiter()
         self.requests = Counter(
             "ferrydock_requests",
             "Requests that have ended.",
@@ -64,19 +64,19 @@
             "ferrydock_first_answer_seconds",
             "Time from a request to the first bytes of its answer.",
             ("kind",),
-            buckets=_SECONDS,
+            buckets=_DURATION_BUCKETS_S,
             registry=registry,
         )
         self.longest_gap = Histogram(
             "ferrydock_longest_gap_seconds",
             "Longest pause between two events of a stream.",
-            buckets=_SECONDS,
+            buckets=_DURATION_BUCKETS_S,
             registry=registry,
         )
         self.queue_wait = Histogram(
             "ferrydock_queue_wait_seconds",
             "Time that a request waited for room at a target.",
-            buckets=_SECONDS,
+            buckets=_DURATION_BUCKETS_S,
             registry=registry,
         )
         self.attempts = Counter(
@@ -173,31 +173,35 @@
         )
 
     def ended(self, route: str, kind: str, outcome: str, first_s: float | None) -> None:
-        """Note a request's end; `first_s` is None if the caller got no answer of a target's."""
+        """Count a request that has ended.
+
+        `first_s` is the time to the first byte of the answer in seconds; None if the caller
+        received no answer of a target.
+        """
         self.requests.labels(self._routes(route), kind, outcome).inc()
         if first_s is not None:
             self.first_answer.labels(kind).observe(first_s)
 
     def set_replicas(self, models: Iterable[str]) -> None:
-        """Note which replicas are open, by the models they serve."""
+        """Set the number of open replicas per model; `models` has one entry per open replica."""
         self.replicas.clear()
         for model in models:
             self.replicas.labels(model).inc()
 
     def clear_plans(self) -> None:
-        """Drop the plans that were noted before."""
+        """Remove the planned replicas and wanted slots of all halls and models."""
         self.replicas_planned.clear()
         self.slots_wanted.clear()
 
     def add_plan(
         self, hall: str, replicas: Mapping[str, int], slots_wanted: Mapping[str, float]
     ) -> None:
-        """Note the replicas that a hall should hold, and the demand behind it, by model."""
+        """Set the replicas that a hall should have, and the slots wanted on the site, by model."""
         for model, count in replicas.items():
             self.replicas_planned.labels(hall, model).set(count)
         for model, slots in slots_wanted.items():
             self.slots_wanted.labels(model).set(slots)
 
     def text(self) -> bytes:
-        """Return all figures in the text form."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/ferrydock/startup.py
+++ b/ferrydock/startup.py
@@ -1,7 +1,7 @@
-"""What both daemons do at their start and end: flags, exit statuses, signals, the event loop.
+"""What the route daemon and ``ferrydockd`` share at start and end: flags, signals, the event loop.
 
 Stateless. Exit statuses: 0 after a planned stop, 1 after a broken invariant or if the daemon cannot
-listen, 2 for a bad flag or setting.
+listen, 2 for an invalid flag or setting.
 """
 
 import asyncio
@@ -19,8 +19,8 @@
 from .outcomes import Invalid
 
 __all__ = [
-    "EXIT_BAD_SETTING",
-    "EXIT_BROKEN",
+    "EXIT_STATUS_BAD_SETTING",
+    "EXIT_STATUS_BROKEN",
     "DaemonSignals",
     "asked_for_text",
     "parse_flags",
@@ -29,22 +29,22 @@
     "run_until_stopped",
 ]
 
-EXIT_BROKEN = 1
-EXIT_BAD_SETTING = 2
+EXIT_STATUS_BROKEN = 1
+EXIT_STATUS_BAD_SETTING = 2
 
-# Allocations between two runs of the garbage collector: the usual of the interpreter, which the
-# package raises while it is imported.
+# Allocations between two runs of the garbage collector: the interpreter's default, which
+# `ferrydock.__init__` raises during imports.
 GC_THRESHOLD = 700
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 HANDLED_SIGNALS = (*STOP_SIGNALS, signal.SIGHUP)
 
-# Threads for calls that block; the daemons make hardly any. Chosen, not measured.
+# Threads for blocking calls, of which the daemons make hardly any.
 THREAD_POOL_SIZE = 2
 
 
 def asked_for_text(arguments: Sequence[str], help_text: Callable[[], str]) -> str:
-    """Return what to print for ``--version`` or ``--help``; empty if neither was given."""
+    """Return the text to print for ``--version`` or ``--help``; empty if neither is given."""
     if "--version" in arguments:
         return f"ferrydockd {__version__}"
     return help_text() if "--help" in arguments else ""
@@ -53,70 +53,71 @@
 def parse_flags(
     values: flags.FlagValues, arguments: Sequence[str], environment: Mapping[str, str]
 ) -> str:
-    """Set flags from a command line and an environment; return what is wrong, or ""."""
+    """Set flags from a command line and an environment; return an error message, or ""."""
     try:
-        rest = values(arguments)
+        remaining = values(arguments)
     except flags.Error as error:
         return str(error).splitlines()[0]
-    if len(rest) > 1:
-        return f"{rest[1]!r} is not a flag; flags begin with --"
-    wrong = apply_environment(values, environment)
-    return wrong.reason if isinstance(wrong, Invalid) else ""
+    if len(remaining) > 1:
+        return f"{remaining[1]!r} is not a flag; flags begin with --"
+    invalid = apply_environment(values, environment)
+    return invalid.reason if isinstance(invalid, Invalid) else ""
 
 
 def refuse_to_start(problem: str) -> int:
-    """Say why the daemon does not start; return the exit status."""
+    """Print why the daemon does not start to standard error; return the exit status."""
     print(f"ferrydockd: {problem}", file=sys.stderr)
-    return EXIT_BAD_SETTING
+    return EXIT_STATUS_BAD_SETTING
 
 
 class DaemonSignals:
-    """Signals to a daemon, noted from before it listens.
+    """Handles signals to a daemon from before it begins to listen.
 
-    Handlers that are installed once a daemon has started come after its listener: a SIGTERM or
-    SIGHUP in between ended the process at once, with the requests that it had taken on.
+    With handlers installed only after the start, a SIGTERM or SIGHUP between the opening of the
+    listener and their installation would end the process at once, with the requests that it has
+    accepted.
 
     Attributes
     ----------
     stopping : asyncio.Event
-        Set by SIGTERM and SIGINT; a second one changes nothing.
+        Set by SIGTERM and SIGINT; a second signal has no effect.
     """
 
-    __slots__ = ("_act_on_hangup", "_hangup_came", "stopping")
+    __slots__ = ("_hangup_handler", "_is_hangup_pending", "stopping")
 
     def __init__(self):
         self.stopping = asyncio.Event()
-        self._act_on_hangup: Callable[[], None] | None = None
-        self._hangup_came = False
+        self._hangup_handler: Callable[[], None] | None = None
+        self._is_hangup_pending = False
 
     def install(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Handle the signals on a loop, which may not run yet."""
+        """Install the signal handlers on an event loop, which need not be running yet."""
         for number in STOP_SIGNALS:
             loop.add_signal_handler(number, self.stopping.set)
-        loop.add_signal_handler(signal.SIGHUP, self._hang_up)
+        loop.add_signal_handler(signal.SIGHUP, self._handle_hangup)
 
-    def on_hangup(self, act: Callable[[], None]) -> None:
-        """Call `act` for each SIGHUP, and for one that came during the start."""
-        self._act_on_hangup = act
-        if self._hangup_came:
-            self._hang_up()
+    def on_hangup(self, handler: Callable[[], None]) -> None:
+        """Call `handler` for each SIGHUP, and once if one arrived during the start."""
+        self._hangup_handler = handler
+        if self._is_hangup_pending:
+            self._handle_hangup()
 
-    def _hang_up(self) -> None:
-        if self._act_on_hangup is None:
-            self._hangup_came = True
+    def _handle_hangup(self) -> None:
+        if self._hangup_handler is None:
+            self._is_hangup_pending = True
         else:
-            self._act_on_hangup()
+            self._hangup_handler()
 
 
 def run_service(service: aiomisc.Service, work: Callable[[DaemonSignals], Awaitable[int]]) -> int:
-    """Start a service under aiomisc and uvloop, run `work`, return the exit status it gives.
+    """Start a service under aiomisc and uvloop, run `work` and return its exit status.
 
     Raises
     ------
     OSError
         If the service cannot listen.
     """
-    _settle_collector()
+    _restore_garbage_collector()
     entry = aiomisc.entrypoint(
         service,
         log_config=False,
@@ -133,17 +134,17 @@
 
 
 def _ignore_signals() -> None:
-    """Let no signal change the status of a process whose work is over.
+    """Ignore signals, so that none changes the exit status of a process that has finished.
 
-    The interpreter takes handlers away before the process is gone, and the signal would then end
-    it; it leaves alone what is ignored.
+    The interpreter removes signal handlers before the process exits, after which a signal would
+    terminate it; it does not change signals that are ignored.
     """
     for number in HANDLED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
 
 
-def _settle_collector() -> None:
-    """Let the garbage collector run as usual, over what is allocated from now on."""
+def _restore_garbage_collector() -> None:
+    """Restore the default garbage collection threshold, and exempt all objects imported so far."""
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
 
@@ -160,19 +161,19 @@
     Parameters
     ----------
     failed : asyncio.Event
-        Set when an invariant is broken; the daemon then ends at once.
+        Set when an invariant is broken; the daemon is then closed at once.
     stop, close : callable
-        End the daemon as planned, and at once.
+        Stop the daemon as planned, and close it at once.
     on_hangup : callable
         Called for SIGHUP.
     """
     signals.on_hangup(on_hangup)
-    waits = [asyncio.ensure_future(event.wait()) for event in (signals.stopping, failed)]
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
+    waiting_tasks = [asyncio.ensure_future(event.wait()) for event in (signals.stopping, failed)]
+    await asyncio.wait(waiting_tasks, return_when=asyncio.FIRST_COMPLETED)
+    for task in waiting_tasks:
+        task.cancel()
     if failed.is_set():
         await close()
-        return EXIT_BROKEN
+        return EXIT_STATUS_BROKEN
     await stop()
-    return EXIT_BROKEN if failed.is_set() else 0
+    return EXIT_STATUS_BROKEN if failed.is_set() else 0
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs are bounded, and a reader that stops reading costs lines only."""
+"""Logs are bounded, and a reader that stops reading loses lines but does not block the daemon."""
 
 import logging
 import os
@@ -18,20 +18,20 @@
     os.set_blocking(descriptor, False)
     data = b""
     try:
-        while piece := os.read(descriptor, 65536):
-            data += piece
+        while chunk := os.read(descriptor, 65536):
+            data += chunk
     except BlockingIOError:
         pass
     return data.decode().splitlines()
 
 
-def test_a_reader_that_stops_costs_lines_and_no_time():
+def test_a_reader_that_stops_reading_loses_lines_and_blocks_nothing():
     reader, writer = os.pipe()
-    logger, handler = logger_to(writer, lines_per_s=1e9, lines_at_once=1e9, held_bytes=4096)
+    logger, handler = logger_to(writer, lines_per_s=1e9, burst_lines=1e9, max_buffered_bytes=4096)
     for number in range(20000):
         log_event(logger, logging.INFO, "something", number=number)
-    assert handler.left_out > 10000
-    assert handler._waiting_bytes <= 4096 + 200
+    assert handler.dropped_count > 10000
+    assert handler._buffered_bytes <= 4096 + 200
     read_all(reader)
     handler.flush()
     log_event(logger, logging.INFO, "after")
@@ -43,7 +43,7 @@
     os.close(writer)
 
 
-def test_a_reader_that_is_gone_is_no_error():
+def test_a_closed_reader_raises_no_error():
     reader, writer = os.pipe()
     os.close(reader)
     logger, _ = logger_to(writer)
@@ -52,17 +52,17 @@
     os.close(writer)
 
 
-def test_lines_above_the_rate_are_counted():
+def test_lines_above_the_rate_are_dropped_and_counted():
     reader, writer = os.pipe()
-    logger, handler = logger_to(writer, lines_per_s=0.0, lines_at_once=5)
+    logger, handler = logger_to(writer, lines_per_s=0.0, burst_lines=5)
     for number in range(9):
         log_event(logger, logging.INFO, "often", number=number)
     assert len(read_all(reader)) == 5
-    assert handler.left_out == 4
+    assert handler.dropped_count == 4
     os.close(reader)
     os.close(writer)
 
 
-def test_what_is_written_is_read_back():
+def test_a_formatted_event_is_parsed_back():
     fields = {"why": 'a "quoted"\tword', "request": "r1", "empty": ""}
     assert parse_event(format_event("x", **fields)) == {"event": "x", **fields}
--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -31,7 +31,23 @@
 )
 # Folders and modules whose wording was brought up to the rules. In the others a comment must stand
 # over each constant; here the constant's name must say its unit.
-REWORDED: tuple[str, ...] = ("configuration", "freshness", "route_daemon")
+REWORDED: tuple[str, ...] = (
+    "__init__.py",
+    "clock.py",
+    "configuration",
+    "daemon.py",
+    "environment.py",
+    "freshness",
+    "hall_lease.py",
+    "http_client.py",
+    "invariants.py",
+    "logs.py",
+    "outcomes.py",
+    "planned_stop.py",
+    "route_daemon",
+    "route_metrics.py",
+    "startup.py",
+)
 MIN_WORDS_OF_A_MODULE = 12
 MAX_LINES_OF_A_FUNCTION = 40
 MAX_COLLABORATORS = 6
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that reach a daemon while it starts, before anything waits for them, and as it ends."""
+"""Signals that reach a daemon while it starts, before it waits for them, and while it exits."""
 
 import signal
 import subprocess
@@ -9,8 +9,8 @@
 
 LIMIT_S = 60.0
 
-# Pause between two signals to a daemon whose stop is over, and how many it gets at most: it needs
-# some 50 ms to be gone. Fewer than fill the pipe of its output, one line for each. Chosen.
+# Pause between two signals to a daemon that has stopped, and their maximum number. The process
+# needs about 50 ms to exit. Each signal may log a line: these are fewer than fill the output pipe.
 SIGNAL_AGAIN_S = 0.0005
 MAX_SIGNALS = 5000
 
@@ -49,16 +49,16 @@
 """
 
 
-@pytest.mark.parametrize("moment", ["starting", "started"])
+@pytest.mark.parametrize("phase", ["starting", "started"])
 @pytest.mark.parametrize("signals", ["SIGTERM", "SIGTERM,SIGTERM", "SIGHUP,SIGTERM", "SIGINT"])
-def test_a_daemon_that_is_signalled_while_it_starts_stops_as_planned(moment, signals):
-    """A daemon took requests from the moment it listened, and handled signals only later.
+def test_a_daemon_that_is_signalled_while_it_starts_stops_as_planned(phase, signals):
+    """Guards against signal handlers that are installed only after the daemon has begun to listen.
 
-    SIGTERM or SIGINT in between ended the process at once, whatever it had taken on;
-    SIGHUP ended it too. Evidence: exit status -15, -1 and -2 in place of 0.
+    SIGTERM, SIGINT or SIGHUP before that ended the process at once, with the requests that it had
+    accepted and exit status -15, -2 or -1 instead of 0.
     """
     done = subprocess.run(
-        [sys.executable, "-c", PROGRAM, moment, signals],
+        [sys.executable, "-c", PROGRAM, phase, signals],
         capture_output=True,
         text=True,
         timeout=LIMIT_S,
@@ -70,9 +70,10 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
 def test_signals_that_come_again_after_the_stop_leave_the_status_0(number):
-    """A soak of planned stops saw daemons that had stopped well end with status -15 and -1.
+    """Guards against exit status -15 or -1 of a daemon that has stopped as planned.
 
-    The handlers are gone before the process is, and a signal then has its usual effect.
+    The interpreter removes the signal handlers before the process exits, and a signal after that
+    would terminate it.
     """
     with subprocess.Popen(
         [sys.executable, "-c", PROGRAM, "started", "SIGTERM"], stdout=subprocess.PIPE, text=True
