--- a/ferrydock/configuration/_lookup.py
+++ b/ferrydock/configuration/_lookup.py
@@ -33,15 +33,15 @@
         path : str
             Path of the request as it was sent, with its query.
         """
-        prefixes = self._routes_by_host.get(host) or self._routes_by_host.get(
+        host_routes = self._routes_by_host.get(host) or self._routes_by_host.get(
             host.partition(":")[0].lower()
         )
-        if prefixes is None:
+        if host_routes is None:
             return None
         path = path.partition("?")[0]
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            route = prefixes.get(path[: end + 1])
+            route = host_routes.get(path[: end + 1])
             if route is not None:
                 return route
         return None
--- a/ferrydock/freshness/_confirmation.py
+++ b/ferrydock/freshness/_confirmation.py
@@ -54,18 +54,18 @@
     (1.0, None)
     """
 
-    __slots__ = ("_ahead", "confirmed_s", "known")
+    __slots__ = ("_positions_ahead", "confirmed_s", "known")
 
     def __init__(self):
         self.known = Position()
         self.confirmed_s: float | None = None
-        self._ahead: deque[_AheadPosition] = deque(maxlen=MAX_AHEAD_POSITIONS)
+        self._positions_ahead: deque[_AheadPosition] = deque(maxlen=MAX_AHEAD_POSITIONS)
 
     def note_known(self, position: Position) -> None:
         """Note that all changes up to a position of the store are known."""
         self.known = max(self.known, position)
-        while self._ahead and self._ahead[0].position <= self.known:
-            self.confirm(self._ahead.popleft().began_s)
+        while self._positions_ahead and self._positions_ahead[0].position <= self.known:
+            self.confirm(self._positions_ahead.popleft().began_s)
 
     def note_store(self, position: Position, began_s: float, now_s: float) -> None:
         """Note the store position that the answer to a call contains.
@@ -82,8 +82,8 @@
             return
         if position <= self.known:
             self.confirm(began_s)
-        elif not self._ahead or position >= self._ahead[-1].position:
-            self._ahead.append(_AheadPosition(position, began_s, now_s))
+        elif not self._positions_ahead or position >= self._positions_ahead[-1].position:
+            self._positions_ahead.append(_AheadPosition(position, began_s, now_s))
 
     def confirm(self, at_s: float) -> None:
         """Note that no change was missing at local time `at_s`."""
@@ -96,4 +96,4 @@
 
     def ahead_for_s(self, now_s: float) -> float | None:
         """Return for how many seconds the store has been ahead of the known changes, or None."""
-        return now_s - self._ahead[0].noticed_s if self._ahead else None
+        return now_s - self._positions_ahead[0].noticed_s if self._positions_ahead else None
--- a/ferrydock/hall_lease.py
+++ b/ferrydock/hall_lease.py
@@ -147,8 +147,10 @@
         if self.processor_cores is not None:
             fields["processor_cores"] = self.processor_cores
         value = orjson.dumps(fields)
-        absent = Compare(key, 0, CompareField.CREATE_REVISION)
-        done = await self.store.transact(Txn((absent,), (Put(key, value, lease.lease_id),), (key,)))
+        key_absent = Compare(key, 0, CompareField.CREATE_REVISION)
+        done = await self.store.transact(
+            Txn((key_absent,), (Put(key, value, lease.lease_id),), (key,))
+        )
         if isinstance(done, Unavailable):
             return done
         if isinstance(done, Unknown):
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -43,7 +43,7 @@
 from ._deployment import Deployment
 from ._gauges import Gauges
 from ._leadership import HallLeadership
-from ._own_leadership import OFFER, OwnHallLeadership
+from ._own_leadership import OFFER_METHOD, OwnHallLeadership
 from ._periodic import PeriodicTasks
 from ._readiness import Readiness
 from ._remote_leadership import RemoteHallLeadership
@@ -371,7 +371,7 @@
         self.tasks.every(POLL_REMOTE_HALLS_EVERY_S, self._poll_remote_halls)
         methods = {
             **scheduler_methods(self.scheduler, self.crash_exchange),
-            OFFER: self.leadership.answer_offer,
+            OFFER_METHOD: self.leadership.answer_offer,
         }
         await self.relay_server.start(self.settings.peer_address, methods)
         for leadership in self._leaderships():
@@ -397,7 +397,7 @@
         """Close at once; callers' requests first, while their components still run."""
         await self.gateway.close()
         await self.tasks.close()
-        parts = (
+        components = (
             self.ready_listener,
             self.metrics_listener,
             self.scheduler_client,
@@ -410,7 +410,7 @@
             self.deployment.store,
         )
         # Concurrently: each may wait for its peers, and all must close within `KILL_MARGIN_S`.
-        await asyncio.gather(*(part.close() for part in parts))
+        await asyncio.gather(*(component.close() for component in components))
 
     def reread_settings(self) -> None:
         """Read the settings again and apply them."""
--- a/ferrydock/route_daemon/_own_leadership.py
+++ b/ferrydock/route_daemon/_own_leadership.py
@@ -15,7 +15,7 @@
 from ._leader_choice import is_better_leader, pause_before_taking_s
 from ._leadership import HallLeadership
 
-__all__ = ["OFFER", "OwnHallLeadership"]
+__all__ = ["OFFER_METHOD", "OwnHallLeadership"]
 
 _LOG = logging.getLogger("ferrydock.route_daemon")
 
@@ -56,7 +56,7 @@
 STOPPING_CHECK_S = 0.2
 
 # Method name of the call by which a follower offers to lead; the reply is one byte.
-OFFER = "OfferToLead"
+OFFER_METHOD = "OfferToLead"
 ACCEPTED, DECLINED = b"1", b"0"
 
 # Shortest time between two offers of one follower.
@@ -191,7 +191,7 @@
         if isinstance(await self.store.range(self.key), Unavailable):
             return  # without the store this daemon could not acquire the lease
         offer = str(cores).encode()
-        answer = await self.relay.ask_leader(self.leader_address, OFFER, offer)
+        answer = await self.relay.ask_leader(self.leader_address, OFFER_METHOD, offer)
         self._is_offer_accepted = answer == ACCEPTED
         log_event(
             _LOG,
@@ -217,11 +217,11 @@
         ValueError
             If the offer is not a number.
         """
-        offered = float(data)
-        own = self.lease.processor_cores or 0.0
+        offered_cores = float(data)
+        own_cores = self.lease.processor_cores or 0.0
         if not self.lease.valid or self._is_stepping_down:
             return DECLINED
-        if not is_better_leader(offered, own, float("inf")):
+        if not is_better_leader(offered_cores, own_cores, float("inf")):
             return DECLINED
         self._is_stepping_down = True
         log_event(
@@ -229,8 +229,8 @@
             logging.INFO,
             "leadership_given_up",
             hall=self.controller.hall,
-            cores=own,
-            offered_cores=offered,
+            cores=own_cores,
+            offered_cores=offered_cores,
         )
         return ACCEPTED
 
--- a/ferrydock/route_daemon/_readiness.py
+++ b/ferrydock/route_daemon/_readiness.py
@@ -30,10 +30,10 @@
 
     def answer(self, path: str) -> tuple[int, str]:
         """Return the HTTP status and text of a readiness check, whatever its path."""
-        why_not = self._why_not_ready()
-        return (503, why_not) if why_not else (200, "ready\n")
+        reason = self._reason_not_ready()
+        return (503, reason) if reason else (200, "ready\n")
 
-    def _why_not_ready(self) -> str:
+    def _reason_not_ready(self) -> str:
         if self.stopping.is_set():
             return "stopping"
         if self.current.lookup is None:
--- a/ferrydock/route_daemon/_settings.py
+++ b/ferrydock/route_daemon/_settings.py
@@ -157,13 +157,13 @@
     for name, (check, allowed) in _CONSTRAINTS.items():
         value = given.get(name)
         if not check(value):
-            place = shown.get(name, name)
-            faults.append(Fault(place, f"{value!r} is not allowed; allowed: {allowed}"))
+            setting_name = shown.get(name, name)
+            faults.append(Fault(setting_name, f"{value!r} is not allowed; allowed: {allowed}"))
     if faults:
         return Invalid(tuple(faults))
     if given["hall"] not in given["halls"]:
-        place = shown.get("hall", "hall")
-        return Invalid((Fault(place, f"{given['hall']!r} is none of the site's halls"),))
+        setting_name = shown.get("hall", "hall")
+        return Invalid((Fault(setting_name, f"{given['hall']!r} is none of the site's halls"),))
     names = [field.name for field in fields(RouteDaemonSettings)]
     return RouteDaemonSettings(**{name: given[name] for name in names})
 
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -76,7 +76,7 @@
         "_next_check_s",
         "_first_position_in_era",
         "_is_store_reached",
-        "_read_version",
+        "_last_read_version",
         "_is_reading_full_list",
         "clock",
         "confirmations",
@@ -116,7 +116,7 @@
         self._check_backoff = StoreBackoff(rng)
         self._next_check_s = float("-inf")
         self._is_store_reached = True
-        self._read_version = -1
+        self._last_read_version = -1
         self._is_reading_full_list = False
 
     async def follow_configuration(self) -> None:
@@ -163,22 +163,22 @@
 
         The first list of a new era is read again when the era has settled.
         """
-        reading: asyncio.Task | None = None
+        reading_task: asyncio.Task | None = None
         await self._wait_for_leader()
         try:
             while True:
                 self.settling.check_era(self.directory.position)
                 is_relayed = self.leadership.is_relayed
                 is_due = is_relayed or self._is_list_due or await self._fetch_missed_changes()
-                if reading is not None and is_due:
-                    reading.cancel()
-                    reading = None
-                if not self.leadership.is_relayed and (reading is None or reading.done()):
-                    reading = asyncio.ensure_future(self._read_targets())
+                if reading_task is not None and is_due:
+                    reading_task.cancel()
+                    reading_task = None
+                if not self.leadership.is_relayed and (reading_task is None or reading_task.done()):
+                    reading_task = asyncio.ensure_future(self._read_targets())
                 await asyncio.sleep(RELAYED_CHECK_S)
         finally:
-            if reading is not None:
-                reading.cancel()
+            if reading_task is not None:
+                reading_task.cancel()
 
     @property
     def _is_list_due(self) -> bool:
@@ -262,11 +262,11 @@
         found = read.found
         confirmed_s = began_s if self._is_newest(read) else None
         if isinstance(found, Configuration):
-            self._read_version = found.version
+            self._last_read_version = found.version
             self.current.offer(found, confirmed_s)
             self.on_change()
         elif isinstance(found, ConfigurationUnchanged):
-            self.current.confirm(self._read_version, confirmed_s)
+            self.current.confirm(self._last_read_version, confirmed_s)
         else:
             log_event(_LOG, logging.ERROR, "configuration_unreadable", why=found.reason)
 
@@ -318,8 +318,8 @@
         The next call is urgent for a hall leader, and for a daemon that cannot serve yet because it
         has no configuration or no target list.
         """
-        has_nothing = self.current.lookup is None or not self.directory.loaded
-        return backoff.after_failure(self.leadership.is_leader or has_nothing)
+        cannot_serve = self.current.lookup is None or not self.directory.loaded
+        return backoff.after_failure(self.leadership.is_leader or cannot_serve)
 
     def _log_store_state(self, is_reached: bool, reason: str = "") -> None:
         """Log when the store becomes unreachable and when it is reachable again, not each call."""
--- a/ferrydock/route_daemon/_upkeep.py
+++ b/ferrydock/route_daemon/_upkeep.py
@@ -40,17 +40,17 @@
 
         Connections to a target that still has requests running stay open.
         """
-        listed = self.directory.targets
+        listed_targets = self.directory.targets
         busy_ids = {target_id for target_id, load in self._loads.items() if load.running}
-        self._upstream.forget_others(listed, busy_ids)
-        self._loads.forget_others(listed)
+        self._upstream.forget_others(listed_targets, busy_ids)
+        self._loads.forget_others(listed_targets)
         attempts = self.gateway.forwarder.attempts
-        attempts.notices.forget_others(listed)
+        attempts.notices.forget_others(listed_targets)
         now_s = self.gateway.clock.now_s()
         attempts.selector.catalog.limits.tidy(now_s)
         attempts.selector.pacer.tidy(now_s)
         attempts.selector.catalog.rests.tidy(now_s)
-        self.order_sender.forget_others(listed)
+        self.order_sender.forget_others(listed_targets)
         self.gateway.enforce_timeouts()
         self.settings.reread()
 
--- a/ferrydock/route_metrics.py
+++ b/ferrydock/route_metrics.py
@@ -14,17 +14,17 @@
 class _LabelLimiter:
     """Returns the first `MAX_ROUTE_LABELS` distinct names unchanged, and ``other`` for the rest."""
 
-    __slots__ = ("_known",)
+    __slots__ = ("_labelled_names",)
 
     def __init__(self):
-        self._known: set[str] = set()
+        self._labelled_names: set[str] = set()
 
     def __call__(self, name: str) -> str:
-        if name in self._known:
+        if name in self._labelled_names:
             return name
-        if len(self._known) >= MAX_ROUTE_LABELS:
+        if len(self._labelled_names) >= MAX_ROUTE_LABELS:
             return OTHER
-        self._known.add(name)
+        self._labelled_names.add(name)
         return name
 
 
