--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -65,7 +65,7 @@
 
     Attributes
     ----------
-    reached_s : float
+    last_read_began_s : float
         Local time at which the last successful read of the configuration began.
     """
 
@@ -169,8 +169,8 @@
             while True:
                 self.settling.check_era(self.directory.position)
                 is_relayed = self.leadership.is_relayed
-                is_due = is_relayed or self._is_list_due or await self._fetch_missed_changes()
-                if reading_task is not None and is_due:
+                must_cancel = is_relayed or self._is_list_due or await self._fetch_missed_changes()
+                if reading_task is not None and must_cancel:
                     reading_task.cancel()
                     reading_task = None
                 if not self.leadership.is_relayed and (reading_task is None or reading_task.done()):
--- a/ferrydock/route_daemon/_upkeep.py
+++ b/ferrydock/route_daemon/_upkeep.py
@@ -36,7 +36,7 @@
         self._last_handled_change = 0
 
     def run_once(self) -> None:
-        """Remove the state of targets that are no longer listed; enforce limits, reread settings.
+        """Remove the state of targets that are not listed; enforce limits and reread settings.
 
         Connections to a target that still has requests running stay open.
         """
