--- a/ferrydock/route_daemon/_retry_shares.py
+++ b/ferrydock/route_daemon/_retry_shares.py
@@ -17,7 +17,8 @@
 RATIO_FRACTION = 0.8
 
 # Part of the configured slack that all daemons share. The rest is room for daemons that were not
-# counted: one in five.
+# counted: one in five. `platform/tests/test_site.py` checks that the shares of all daemons together
+# stay within the slack.
 SLACK_FRACTION = 0.8
 
 # Part of its share of the slack that a new process starts with: it does not know how many retries
