--- a/ferrydock/route_daemon/__main__.py
+++ b/ferrydock/route_daemon/__main__.py
@@ -1,6 +1,6 @@
 """The command line of the route daemon: ``python -m ferrydock.route_daemon --settings=FILE``.
 
-Owns nothing; flags are read from the command line and from ``FERRYDOCK_...`` variables.
+Owns no state; flags are read from the command line and from ``FERRYDOCK_...`` variables.
 """
 
 import logging
@@ -17,7 +17,7 @@
 from ..logs import log_event
 from ..outcomes import Invalid
 from ..startup import (
-    EXIT_BROKEN,
+    EXIT_STATUS_BROKEN,
     DaemonSignals,
     asked_for_text,
     parse_flags,
@@ -40,22 +40,22 @@
     Parameters
     ----------
     deployment : Deployment
-        What the daemon runs against.
+        The store, configuration source and targets that the daemon uses.
     """
 
     deployment: Deployment
     daemon: RouteDaemon
 
     async def start(self) -> None:
-        """Compose the daemon and start it, as aiomisc asks."""
+        """Create the daemon and start it; called by aiomisc."""
         self.daemon = RouteDaemon(self.deployment, SystemClock())
         await self.daemon.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Do nothing: the daemon was stopped by `run_until_stopped`."""
+        """Do nothing: `run_until_stopped` has already stopped the daemon."""
 
     async def run(self, signals: DaemonSignals) -> int:
-        """Serve until the daemon is told to stop; return the exit status."""
+        """Serve until a signal stops the daemon; return the exit status."""
         daemon = self.daemon
         return await run_until_stopped(
             signals, daemon.failed, daemon.stop, daemon.close, daemon.reread_settings
@@ -101,7 +101,7 @@
         status = run_service(service, service.run)
     except OSError as error:
         log_event(_LOG, logging.CRITICAL, "cannot_listen", why=error)
-        return EXIT_BROKEN
+        return EXIT_STATUS_BROKEN
     log_event(_LOG, logging.INFO, "exit", status=status)
     return status
 
