--- a/ferrydock/forwarding/_answer_relay.py
+++ b/ferrydock/forwarding/_answer_relay.py
@@ -80,7 +80,7 @@
         before_s = self.clock.now_s() if events.count else None
         async for piece in answer.content.iter_any():
             now_s = self.clock.now_s()
-            self.loads.progressed(target_id, now_s)
+            self.loads.record_progress(target_id, now_s)
             if before_s is not None:
                 exchange.longest_gap_s = max(exchange.longest_gap_s, now_s - before_s)
             before_s = now_s
@@ -90,7 +90,7 @@
                     await self._begin(exchange, answer)
                 await _write(existing(exchange.response, "the begun answer"), whole)
         _check_ended(answer)
-        if events.is_torn:
+        if events.has_partial_event:
             return AttemptEnd(False, True, AttemptReason.TORN)
         if exchange.response is None:
             await self._begin(exchange, answer)
--- a/ferrydock/forwarding/_attempts.py
+++ b/ferrydock/forwarding/_attempts.py
@@ -19,7 +19,7 @@
 from ._endpoint_selector import EndpointSelector
 from ._exchange import Attempt, AttemptEnd, AttemptReason, CallerGone, Exchange
 from ._retry_rule import may_interrupt, may_retry_server_error
-from ._target_loads import SERVER_ERROR, TargetLoads
+from ._target_loads import FIRST_SERVER_ERROR_STATUS, TargetLoads
 from ._upstream import Upstream
 
 __all__ = ["AttemptRunner"]
@@ -106,11 +106,11 @@
         self._judge(endpoint.target, end)
         return end
 
-    def running_at(self, target_id: str) -> int:
+    def attempt_count_at(self, target_id: str) -> int:
         """Return how many attempts run at a target."""
         return len(self._running.get(target_id, ()))
 
-    def begun_at(self, target_id: str) -> list[Exchange]:
+    def responding_at(self, target_id: str) -> list[Exchange]:
         """Return the requests at a target whose answers have begun."""
         running = self._running.get(target_id, ())
         return [a.exchange for a in running if a.exchange.response is not None]
@@ -130,7 +130,7 @@
         """
         self._interrupt(self._at(key), reason)
 
-    def move_on(self, key: tuple[str, int], reason: str) -> None:
+    def move_streams(self, key: tuple[str, int], reason: str) -> None:
         """Let the begun streams at a replica go on elsewhere that certainly can; leave all others.
 
         For a replica that may be broken: nobody is refused or cut for that.
@@ -166,13 +166,13 @@
         """
         self.metrics.attempts.labels("whole" if end.whole else str(end.reason)).inc()
         now_s = self.clock.now_s()
-        if end.whole and end.status < SERVER_ERROR:
-            self.loads.succeeded(target.target_id)
+        if end.whole and end.status < FIRST_SERVER_ERROR_STATUS:
+            self.loads.record_success(target.target_id)
         elif end.reason == AttemptReason.REFUSED and self.notices.excuse_refusals(target):
             return
         elif end.reason in _FAILURES_OF_TARGET:
-            at_once = end.reason == AttemptReason.NOT_SENT
-            self.loads.failed(target.target_id, now_s, at_once)
+            eject_immediately = end.reason == AttemptReason.NOT_SENT
+            self.loads.record_failure(target.target_id, now_s, eject_immediately)
 
     async def _send(self, exchange: Exchange, endpoint: Endpoint) -> AttemptEnd:
         request = exchange.request
@@ -220,7 +220,7 @@
             self.selector.report()
         if head.not_executed:
             return AttemptEnd(False, False, AttemptReason.REFUSED, status=answer.status)
-        self.loads.progressed(target_id, self.clock.now_s())
+        self.loads.record_progress(target_id, self.clock.now_s())
         if self._is_bad(exchange, answer, head.signed):
             return AttemptEnd(False, True, AttemptReason.ERROR, status=answer.status)
         if exchange.route.kind.is_stream and answer.status < FIRST_ERROR_STATUS:
@@ -238,7 +238,7 @@
         is_success = answer.status < FIRST_ERROR_STATUS
         if is_success and (not signed or "Content-Encoding" in answer.headers):
             return True
-        if answer.status < SERVER_ERROR:
+        if answer.status < FIRST_SERVER_ERROR_STATUS:
             return False
         may_go_elsewhere = self.selector.may_go_elsewhere(exchange)
         return may_retry_server_error(exchange, self._left_s(exchange), may_go_elsewhere)
--- a/ferrydock/forwarding/_endpoint_selector.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -113,7 +113,7 @@
 
     def release(self, endpoint: Endpoint) -> None:
         """Give a slot back, and assign it to a request that waits for it."""
-        self.loads.ended(endpoint.target.target_id)
+        self.loads.request_ended(endpoint.target.target_id)
         self.assign_free_slots()
 
     def report(self) -> None:
@@ -150,7 +150,7 @@
         candidates = self._candidates(exchange, healthy or untried)
         endpoint = least_loaded(candidates, self.hall, DAEMON_SELECTION, self.rng)
         if endpoint is not None:
-            self.loads.began(endpoint.target.target_id, now_s)
+            self.loads.request_started(endpoint.target.target_id, now_s)
             self.pacer.note_sent(endpoint.target.target_id, now_s)
         return endpoint
 
--- a/ferrydock/forwarding/_events.py
+++ b/ferrydock/forwarding/_events.py
@@ -1,93 +1,95 @@
-"""Events of a stream with rising ids: cut whole, and known by the last id passed on.
+"""Splits a server-sent event stream with increasing event ids into complete events.
 
-Owns the position of one stream, so that it can go on from another target without a gap or a
-repeat.
+Owns the position of one stream, the id of the last event forwarded, so that the stream can be
+resumed from another target without gaps or repeated events.
 """
 
 __all__ = ["NumberedEvents"]
 
-_END = b"\n\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_ID_FIELD = b"id:"
 
 
 class NumberedEvents:
-    """Cuts the bytes of one or several runs of a stream into whole events.
+    """Splits the bytes of a stream, sent by one or several targets in turn, into complete events.
 
     Parameters
     ----------
     after : int or None
-        Id after which the first run goes on; None from the beginning.
+        Id of the event after which the stream starts; None for its beginning.
 
     Attributes
     ----------
     last_id : int or None
-        Id of the last event that was passed on.
+        Id of the last event forwarded to the caller, at first `after`.
     count : int
-        Events passed on.
+        Number of events forwarded.
 
     Examples
     --------
     >>> events = NumberedEvents(None)
-    >>> events.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), events.last_id, events.is_torn
+    >>> events.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), events.last_id, events.has_partial_event
     (b'id: 1\\ndata: a\\n\\n', 1, True)
     >>> events.start_run()
     >>> events.feed(b"id: 1\\ndata: a\\n\\nid: 2\\ndata: b\\n\\n"), events.last_id
     (b'id: 2\\ndata: b\\n\\n', 2)
     """
 
-    __slots__ = ("_is_resumed", "_rest", "count", "last_id")
+    __slots__ = ("_is_resumed", "_incomplete", "count", "last_id")
 
     def __init__(self, after: int | None):
         self.last_id = after
         self.count = 0
-        self._rest = b""
+        self._incomplete = b""
         self._is_resumed = False
 
     @property
-    def is_torn(self) -> bool:
-        """Whether part of an event is held back."""
-        return bool(self._rest)
+    def has_partial_event(self) -> bool:
+        """Whether the bytes received so far end within an event."""
+        return bool(self._incomplete)
 
     def start_run(self) -> None:
-        """Begin a run of another target, which goes on after the last event passed on."""
-        self._rest = b""
+        """Start reading from another target, which resumes after the last event forwarded."""
+        self._incomplete = b""
         self._is_resumed = self.count > 0
 
     def feed(self, piece: bytes) -> bytes:
-        """Take bytes; return the events that they complete, less those passed on before."""
-        data = self._rest + piece
-        end = data.rfind(_END) + len(_END)
-        if end < len(_END):
-            self._rest = data
+        """Add bytes, and return the events they complete, except those forwarded before."""
+        data = self._incomplete + piece
+        end = data.rfind(_EVENT_END) + len(_EVENT_END)
+        if end < len(_EVENT_END):
+            self._incomplete = data
             return b""
-        self._rest = data[end:]
-        whole = data[:end]
-        return self._only_new(whole) if self._is_resumed else self._counted(whole)
-
-    def _counted(self, whole: bytes) -> bytes:
-        """Note the last id of events that are all new."""
-        self.count += whole.count(_END)
-        start = whole.rfind(_ID)
-        number = _number(whole[start + len(_ID) :].split(b"\n", 1)[0]) if start >= 0 else None
+        self._incomplete = data[end:]
+        complete = data[:end]
+        return self._drop_repeated(complete) if self._is_resumed else self._record_last_id(complete)
+
+    def _record_last_id(self, complete: bytes) -> bytes:
+        """Count events none of which is a repeat, and record their last id."""
+        self.count += complete.count(_EVENT_END)
+        start = complete.rfind(_ID_FIELD)
+        number = (
+            _parse_id(complete[start + len(_ID_FIELD) :].split(b"\n", 1)[0]) if start >= 0 else None
+        )
         if number is not None:
             self.last_id = number
-        return whole
+        return complete
 
-    def _only_new(self, whole: bytes) -> bytes:
-        """Return the events whose ids are above the last one passed on, or that have none."""
+    def _drop_repeated(self, complete: bytes) -> bytes:
+        """Return the events whose id is above the last one forwarded, or that have no id."""
         kept = []
-        for event in whole.split(_END)[:-1]:
+        for event in complete.split(_EVENT_END)[:-1]:
             number = _id_of(event)
             if number is not None and self.last_id is not None and number <= self.last_id:
                 continue
             if number is not None:
                 self.last_id = number
             self.count += 1
-            kept.append(event + _END)
+            kept.append(event + _EVENT_END)
         return b"".join(kept)
 
 
-def _number(text: bytes) -> int | None:
+def _parse_id(text: bytes) -> int | None:
     text = text.strip()
     return int(text) if text.isdigit() else None
 
@@ -95,6 +97,6 @@
 def _id_of(event: bytes) -> int | None:
     """Return the number in an event's ``id:`` line, or None if it has no such line."""
     for line in event.split(b"\n"):
-        if line.startswith(_ID):
-            return _number(line[len(_ID) :])
+        if line.startswith(_ID_FIELD):
+            return _parse_id(line[len(_ID_FIELD) :])
     return None
--- a/ferrydock/forwarding/_exchange.py
+++ b/ferrydock/forwarding/_exchange.py
@@ -10,7 +10,7 @@
 from ..configuration import Route, ServiceSpec
 from ..retry_budget import RetryBudget
 from ..targets import ReplicaView
-from ._admission import order_s
+from ._admission import queue_order_s
 from ._dialect import Inbound
 from ._events import NumberedEvents
 
@@ -182,5 +182,5 @@
     def rank(self) -> tuple[int, int, int, float]:
         """Order among waiting requests, the smallest first: team, route, lateness, time."""
         is_late = self.is_late and self.response is None  # an answer that has begun is urgent
-        by_s = order_s(self.started_s, self.age_s, self.route.first_answer_s, is_late)
+        by_s = queue_order_s(self.started_s, self.age_s, self.route.first_answer_s, is_late)
         return (self.team_priority, self.route.priority, int(is_late), by_s)
--- a/ferrydock/forwarding/_forwarder.py
+++ b/ferrydock/forwarding/_forwarder.py
@@ -99,7 +99,7 @@
         """Make attempts until there is a final answer."""
         again_s = self.crashes.admit(exchange)
         if again_s > 0:
-            self._log.refused_as_crashing(exchange, again_s, self._held_s(exchange))
+            self._log.crashing_request_refused(exchange, again_s, self._held_s(exchange))
             return refusal(SERVICE_UNAVAILABLE, CRASHES_TARGETS, again_s)
         budget = self.budgets(exchange.service.name)
         budget.first_attempt()
@@ -121,7 +121,7 @@
             if end.whole:
                 self.crashes.answered(exchange)
                 self._note_first_answer(exchange)
-                self._log.done(exchange, end, endpoint, self._held_s(exchange))
+                self._log.request_done(exchange, end, endpoint, self._held_s(exchange))
                 return existing(exchange.response, "the whole answer")
             exchange.last_reason = end.reason
             self._log.attempt_failed(exchange, end, endpoint)
@@ -139,7 +139,7 @@
         if exchange.attempts:
             return await self.selector.acquire(exchange, max_retry_queue_s(exchange, now_s))
         left_s = self._left_s(exchange)
-        exchange.age_s = self.times.age_s(exchange.route.name, left_s)
+        exchange.age_s = self.times.request_age_s(exchange.route.name, left_s)
         usual_first_s = self.times.usual_first_s(exchange.service.name, exchange.inbound.model)
         waiting = queue_times(exchange.route.first_answer_s, exchange.age_s, usual_first_s, left_s)
         exchange.is_late = not waiting.in_time_s
@@ -150,9 +150,9 @@
         if exchange.attempts == 1 and exchange.first_s is not None:
             first_s = exchange.first_s - exchange.queued_s
             kind = exchange.service.name, exchange.inbound.model
-            self.times.answered(*kind, first_s)
+            self.times.record_first_bytes(*kind, first_s)
             if exchange.longest_gap_s:
-                self.times.streamed(*kind, exchange.longest_gap_s)
+                self.times.record_longest_pause(*kind, exchange.longest_gap_s)
 
     def _left_s(self, exchange: Exchange) -> float:
         return exchange.until_s - self.clock.now_s()
@@ -166,13 +166,13 @@
         An answer that has begun cannot be taken back: its connection is reset, so that the caller
         does not take what it has for the whole.
         """
-        self._log.gave_up(
+        self._log.request_failed(
             exchange,
             reason,
             exchange.may_have_run,
-            held_s=self._held_s(exchange),
-            endpoints=self.selector.endpoint_count(exchange),
-            waiting=self.selector.waiting,
+            since_arrival_s=self._held_s(exchange),
+            endpoint_count=self.selector.endpoint_count(exchange),
+            queued=self.selector.waiting,
         )
         if exchange.response is not None:
             if exchange.request.transport is not None:
--- a/ferrydock/forwarding/_hall_endpoint_selector.py
+++ b/ferrydock/forwarding/_hall_endpoint_selector.py
@@ -50,7 +50,7 @@
         if reply is not None and reply.target_id:
             endpoint = self._usable(exchange, reply.target_id)
             if endpoint is not None:
-                self.loads.began(endpoint.target.target_id, self.clock.now_s())
+                self.loads.request_started(endpoint.target.target_id, self.clock.now_s())
                 return endpoint
         # No reply, no target known to the scheduler, or one that is not in the list here (which
         # may be older or newer than the scheduler's) or has asked for rest meanwhile: decide alone.
--- a/ferrydock/forwarding/_listener.py
+++ b/ferrydock/forwarding/_listener.py
@@ -15,7 +15,7 @@
 from ..logs import log_event
 from ..planned_stop import is_resting
 from ._refusal import refusal
-from ._target_loads import SERVER_ERROR
+from ._target_loads import FIRST_SERVER_ERROR_STATUS
 
 __all__ = ["HEADERS_TOO_LARGE", "CallerConnection", "Listener", "caller_connection"]
 
@@ -107,14 +107,14 @@
             self.force_close()
 
     def handle_error(
-        self, request, status: int = SERVER_ERROR, exc=None, message: str | None = None
+        self, request, status: int = FIRST_SERVER_ERROR_STATUS, exc=None, message: str | None = None
     ) -> web.StreamResponse:
         """Answer what aiohttp could not read, or a fault of a handler, in ferrydock's own form."""
         if request.writer.output_size > 0:
             raise ConnectionError("the answer has begun")
         if isinstance(exc, LineTooLong):
             status = HEADERS_TOO_LARGE
-        is_own_fault = status >= SERVER_ERROR
+        is_own_fault = status >= FIRST_SERVER_ERROR_STATUS
         level = logging.ERROR if is_own_fault else logging.INFO
         log_event(_LOG, level, "request_unreadable", status=status, why=repr(exc))
         if is_own_fault:
--- a/ferrydock/forwarding/_move_rule.py
+++ b/ferrydock/forwarding/_move_rule.py
@@ -1,36 +1,37 @@
-"""Rule: after how long a silent stream goes on at another replica, without a verdict on its own.
+"""After which silence a stream is moved to another replica before its own is found broken.
 
-Pure. What is usual is observed by `_observed_times`; applied by `_stalls`.
+Pure functions. Usual times are observed by `_observed_times`; `_stalls` applies the limit.
 """
 
 __all__ = ["move_limit_s"]
 
-# How many times the usual longest pause of a healthy stream a silent one must last before it goes
-# on elsewhere. A wrong move costs a retry and a prompt that is read again, and fills the next
-# replica.
+# Multiple of the usual longest pause of a stream after which a silent stream is moved. Moving a
+# healthy stream costs a retry and a second processing of its prompt, and loads another replica.
 USUAL_PAUSES_BEFORE_MOVE = 1.6
 
 
 def move_limit_s(
     max_pause_s: float, usual_pause_s: float | None, usual_first_s: float | None
 ) -> float:
-    """Return after how long a silent stream goes on elsewhere; infinite if it should not.
+    """Return the silence, in seconds, after which a stream is moved; infinite if it should not be.
 
     Parameters
     ----------
     max_pause_s : float
-        Longest pause between two events with which it is still in time.
+        Longest pause between two events that the route's objective allows.
     usual_pause_s : float or None
-        Longest pause that 19 of 20 streams of this kind show; None if unknown.
+        Longest pause that 19 of 20 streams of this kind do not exceed; None if unknown.
     usual_first_s : float or None
-        Time within which a target answers nine of ten requests of this kind; None if unknown.
+        Time to the first bytes that nine of ten requests of this kind do not exceed; None if
+        unknown.
 
     Notes
     -----
-    Answers the loss of a member under many daemons: each has one stream or two at a replica, and
-    finds out for itself. To ask the members first takes longer than most callers bear. A stream is
-    moved only while it can still be in time, and only after a pause that healthy ones hardly show.
-    Otherwise its replica's members are asked, as for requests that have not begun.
+    Matters when a replica loses a member and many daemons use it: each has one or two streams there
+    and detects the loss by itself. Polling the members first takes longer than the pause that most
+    routes allow. A stream is moved only while its pause can still be within the objective, and only
+    after a pause that is rare in healthy streams. Otherwise the members of its replica are polled,
+    as for requests whose answers have not begun.
 
     Examples
     --------
--- a/ferrydock/forwarding/_observed_times.py
+++ b/ferrydock/forwarding/_observed_times.py
@@ -1,88 +1,95 @@
-"""What a daemon observes of its requests' times, for `_admission` and `_stalls`.
+"""Observed request times: time to the first bytes, pauses in streams, and callers' deadlines.
 
-Owns the last observations by model and by route, in memory; a new daemon has none.
+Used by `_admission` and `_stalls`. Owns the most recent observations by model and by route, in
+memory only, so that a daemon that has just started has none.
 """
 
 from collections import deque
 
 __all__ = ["ObservedTimes"]
 
-# Observations that are kept of each model and of each route. At two to ten requests a second they
-# are 6 to 30 s old at most. Chosen, not measured.
-KEPT = 64
+# Most recent observations kept for each model and each route. At two to ten requests a second they
+# are 6 to 30 s old at most.
+MAX_OBSERVATIONS = 64
 
-# Observations below which nothing is said. Chosen, not measured.
-ENOUGH = 8
+# Observations below which a quantile is not computed.
+MIN_OBSERVATIONS = 8
 
-# Part of the requests that a target answers within the usual time. The median would let half of
-# those that waited as long as allowed be late. Chosen, not measured.
+# Share of the requests that targets answer within the usual time to the first bytes. With the
+# median, half of the requests that waited for a slot as long as allowed would be late.
 FIRST_QUANTILE = 0.9
 
-# Part of the streams that show at most the usual longest pause. Not all: a few have stood still
-# with this daemon, or with a reader.
+# Share of the streams whose longest pause is within the usual one. Below 1, because a few streams
+# pause on account of this daemon or of a slow reader.
 PAUSE_QUANTILE = 0.95
 
-# Part of the callers of a route that have at most the usual patience on their first try. Callers
-# who came back have less, and up to three in four may have come back; a few have more. Chosen, not
-# measured.
+# Quantile of the remaining times of a route's requests that is taken as the remaining time of a
+# first attempt. Callers who retry have less time left, and up to three in four requests may be such
+# retries; a few callers have a longer deadline than the rest.
 PATIENCE_QUANTILE = 0.75
 
-# Smaller differences of patience say nothing: callers round it, and sending takes time. The
-# shortest time to come back is several times as long. Chosen, not measured.
+# Smaller differences in remaining time count as none: callers round it, and sending takes time. The
+# shortest Retry-After of a refusal is several times as long.
 MIN_AGE_S = 0.15
 
 
 class ObservedTimes:
-    """Times to the first bytes by service and model, and callers' patience by route.
+    """Times to the first bytes and pauses by service and model, and callers' deadlines by route.
 
     Examples
     --------
     >>> times = ObservedTimes()
     >>> times.usual_first_s("engines", "large")
     >>> for tenths in range(1, 11):
-    ...     times.answered("engines", "large", tenths / 10)
+    ...     times.record_first_bytes("engines", "large", tenths / 10)
     >>> times.usual_first_s("engines", "large")
     1.0
-    >>> [times.age_s("r", left_s) for left_s in (6.0,) * 8 + (5.2, 6.0)]
+    >>> [times.request_age_s("r", left_s) for left_s in (6.0,) * 8 + (5.2, 6.0)]
     [0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.7999999999999998, 0.0]
     """
 
-    __slots__ = ("_first_s", "_left_s", "_pauses_s")
+    __slots__ = ("_first_s", "_patience_s", "_pauses_s")
 
     def __init__(self):
         self._first_s: dict[tuple[str, str], deque[float]] = {}
-        self._left_s: dict[str, deque[float]] = {}
+        self._patience_s: dict[str, deque[float]] = {}
         self._pauses_s: dict[tuple[str, str], deque[float]] = {}
 
-    def streamed(self, service: str, model: str, pause_s: float) -> None:
-        """Note the longest pause between two events of a stream that one target brought whole."""
-        self._pauses_s.setdefault((service, model), deque(maxlen=KEPT)).append(pause_s)
+    def record_longest_pause(self, service: str, model: str, pause_s: float) -> None:
+        """Record the longest pause between two events of a stream that one target completed."""
+        self._pauses_s.setdefault((service, model), deque(maxlen=MAX_OBSERVATIONS)).append(pause_s)
 
     def usual_pause_s(self, service: str, model: str) -> float | None:
-        """Return the longest pause that 19 of 20 streams show; None if unknown."""
+        """Return the pause that 19 of 20 streams do not exceed; None with too few observations."""
         return _quantile(self._pauses_s.get((service, model), ()), PAUSE_QUANTILE)
 
-    def answered(self, service: str, model: str, first_s: float) -> None:
-        """Note the time from sending a request to the first bytes of its answer."""
-        self._first_s.setdefault((service, model), deque(maxlen=KEPT)).append(first_s)
+    def record_first_bytes(self, service: str, model: str, first_s: float) -> None:
+        """Record the time from sending a request to the first bytes of its answer."""
+        self._first_s.setdefault((service, model), deque(maxlen=MAX_OBSERVATIONS)).append(first_s)
 
     def usual_first_s(self, service: str, model: str) -> float | None:
-        """Return the time within which nine of ten requests are answered; None if unknown."""
+        """Return the time to first bytes that nine of ten requests keep to; None if unknown."""
         return _quantile(self._first_s.get((service, model), ()), FIRST_QUANTILE)
 
-    def age_s(self, route: str, left_s: float) -> float:
-        """Return how long ago a caller probably tried first, from the time that it has left.
+    def request_age_s(self, route: str, left_s: float) -> float:
+        """Estimate how many seconds ago a caller made its first attempt; 0 if this is the first.
 
-        All callers of a route have the same patience, so one with less of it left has tried before.
+        All callers of a route are assumed to have the same deadline, so one with less time left
+        has made an attempt before.
+
+        Parameters
+        ----------
+        left_s : float
+            Time until the caller's deadline.
         """
-        seen = self._left_s.setdefault(route, deque(maxlen=KEPT))
-        seen.append(left_s)
-        usual_s = _quantile(seen, PATIENCE_QUANTILE)
+        observed_s = self._patience_s.setdefault(route, deque(maxlen=MAX_OBSERVATIONS))
+        observed_s.append(left_s)
+        usual_s = _quantile(observed_s, PATIENCE_QUANTILE)
         age_s = usual_s - left_s if usual_s is not None else 0.0
         return age_s if age_s >= MIN_AGE_S else 0.0
 
 
-def _quantile(observed, part: float) -> float | None:
-    if len(observed) < ENOUGH:
+def _quantile(observed, quantile: float) -> float | None:
+    if len(observed) < MIN_OBSERVATIONS:
         return None
-    return sorted(observed)[min(len(observed) - 1, int(part * len(observed)))]
+    return sorted(observed)[min(len(observed) - 1, int(quantile * len(observed)))]
--- a/ferrydock/forwarding/_request_log.py
+++ b/ferrydock/forwarding/_request_log.py
@@ -1,7 +1,7 @@
-"""Log lines and metrics of a request's end and of its attempts.
+"""Log lines and metrics for finished requests and failed attempts.
 
-Owns how many lines it wrote within a second, and the metrics it writes to. `ferrydock explain`
-reads these lines back, so their events and fields are named there and in docs/OPERATIONS.md too.
+Owns the times of recent refusal lines, which bound their rate. `ferrydock explain` parses these
+lines, so their events and fields are also named there and in docs/OPERATIONS.md.
 """
 
 import logging
@@ -13,50 +13,51 @@
 from ..route_metrics import RouteMetrics
 from ..scheduling import Endpoint
 from ._exchange import AttemptEnd, Exchange
-from ._target_loads import SERVER_ERROR
+from ._target_loads import FIRST_SERVER_ERROR_STATUS
 
 __all__ = ["RequestLog"]
 
 _LOG = logging.getLogger("ferrydock.forwarding")
 
-# Lines a second on refusals of requests that crash their targets: their callers may come back at
-# once and often, and must not crowd out the lines on others. How many were left out stands in the
-# next one. Chosen, not measured.
-REFUSAL_LINES_PER_S = 10
+# Limit on log lines about refused requests that crash their targets. Their callers may retry
+# immediately and often, and their lines must not crowd out others. The next line written gives the
+# number of lines omitted before it.
+MAX_REFUSAL_LINES_PER_S = 10
 
-# Log lines give times in milliseconds.
 MS_PER_S = 1000
 
 
 class RequestLog:
     """Writes one line for each attempt that failed and one for each request that ended."""
 
-    __slots__ = ("_left_out", "_refused_at_s", "clock", "metrics")
+    __slots__ = ("_omitted_lines", "_refusal_log_times_s", "clock", "metrics")
 
     def __init__(self, metrics: RouteMetrics, clock: Clock):
         self.metrics = metrics
         self.clock = clock
-        self._refused_at_s: deque[float] = deque(maxlen=REFUSAL_LINES_PER_S)
-        self._left_out = 0
+        self._refusal_log_times_s: deque[float] = deque(maxlen=MAX_REFUSAL_LINES_PER_S)
+        self._omitted_lines = 0
 
-    def refused_as_crashing(self, exchange: Exchange, again_s: float, held_s: float) -> None:
-        """Count a request that crashes its targets and was refused; log it, at a bounded rate.
+    def crashing_request_refused(
+        self, exchange: Exchange, retry_after_s: float, since_arrival_s: float
+    ) -> None:
+        """Count the refusal of a request that crashes its targets, and log it, rate-limited.
 
         Parameters
         ----------
-        again_s : float
-            Seconds until it may come again.
-        held_s : float
-            Seconds since the request came.
+        retry_after_s : float
+            Seconds until the caller may retry.
+        since_arrival_s : float
+            Seconds since the request arrived.
         """
         self._count(exchange, "refused")
         self.metrics.crashing_refused.inc()
         now_s = self.clock.now_s()
-        at_s = self._refused_at_s
-        if len(at_s) == REFUSAL_LINES_PER_S and now_s - at_s[0] < 1.0:
-            self._left_out += 1
+        log_times_s = self._refusal_log_times_s
+        if len(log_times_s) == MAX_REFUSAL_LINES_PER_S and now_s - log_times_s[0] < 1.0:
+            self._omitted_lines += 1
             return
-        at_s.append(now_s)
+        log_times_s.append(now_s)
         log_event(
             _LOG,
             logging.INFO,
@@ -65,14 +66,14 @@
             route=exchange.route.name,
             why=CRASHES_TARGETS,
             identity=exchange.identity,
-            again_s=again_s,
-            held_ms=held_s * MS_PER_S,
-            left_out=self._left_out or None,
+            again_s=retry_after_s,
+            held_ms=since_arrival_s * MS_PER_S,
+            left_out=self._omitted_lines or None,
         )
-        self._left_out = 0
+        self._omitted_lines = 0
 
     def attempt_failed(self, exchange: Exchange, end: AttemptEnd, endpoint: Endpoint) -> None:
-        """Log an attempt that brought no final answer."""
+        """Log an attempt that ended without a final answer."""
         log_event(
             _LOG,
             logging.INFO,
@@ -89,9 +90,11 @@
             identity=exchange.identity if end.ran else None,
         )
 
-    def done(self, exchange: Exchange, end: AttemptEnd, endpoint: Endpoint, took_s: float) -> None:
-        """Log and count a request whose answer is whole."""
-        self._count(exchange, "done" if end.status < SERVER_ERROR else "target_error")
+    def request_done(
+        self, exchange: Exchange, end: AttemptEnd, endpoint: Endpoint, took_s: float
+    ) -> None:
+        """Log and count a request whose answer is complete."""
+        self._count(exchange, "done" if end.status < FIRST_SERVER_ERROR_STATUS else "target_error")
         first_s = exchange.first_s
         log_event(
             _LOG,
@@ -109,20 +112,20 @@
             took_ms=took_s * MS_PER_S,
         )
 
-    def gave_up(
+    def request_failed(
         self,
         exchange: Exchange,
         reason: str,
         may_have_run: bool,
-        held_s: float,
-        endpoints: int,
-        waiting: int,
+        since_arrival_s: float,
+        endpoint_count: int,
+        queued: int,
     ) -> None:
-        """Log and count a request that ends without a whole answer.
+        """Log and count a request that ends without a complete answer.
 
         Parameters
         ----------
-        held_s : float
+        since_arrival_s : float
             Seconds since the request came.
         endpoints : int
             Endpoints that could have served it, full ones included.
@@ -145,13 +148,13 @@
             outcome=outcome,
             may_have_run=may_have_run,
             queued_ms=exchange.queued_s * MS_PER_S,
-            open_replicas=endpoints,
-            waiting=waiting,
+            open_replicas=endpoint_count,
+            waiting=queued,
             attempts=exchange.attempts,
-            held_ms=held_s * MS_PER_S,
+            held_ms=since_arrival_s * MS_PER_S,
         )
 
-    def caller_left(self, exchange: Exchange, left: BaseException, held_s: float) -> None:
+    def caller_left(self, exchange: Exchange, error: BaseException, since_arrival_s: float) -> None:
         """Log a request whose caller's connection ended before its answer did."""
         log_event(
             _LOG,
@@ -160,9 +163,9 @@
             request=exchange.inbound.request_id,
             route=exchange.route.name,
             why="caller_left",
-            how=type(left).__name__,
+            how=type(error).__name__,
             attempts=exchange.attempts,
-            held_ms=held_s * MS_PER_S,
+            held_ms=since_arrival_s * MS_PER_S,
         )
 
     def _count(self, exchange: Exchange, outcome: str) -> None:
--- a/ferrydock/forwarding/_retry_rule.py
+++ b/ferrydock/forwarding/_retry_rule.py
@@ -1,7 +1,7 @@
-"""Rule: whether a request that got no final answer from one target may be sent to another.
+"""Whether a request that got no final answer from one target may be sent to another.
 
-Pure. The limit on how many retries all daemons send together is apart: `retry_budget.RetryBudget`,
-shared by `route_daemon.RetryShares`.
+Pure functions. The limit on the retries of all daemons together is not applied here, but by
+`retry_budget.RetryBudget`, which `route_daemon.RetryShares` divides among the daemons.
 """
 
 from ._exchange import AttemptEnd, AttemptReason, Exchange
@@ -9,19 +9,20 @@
 
 __all__ = ["may_interrupt", "may_retry", "may_retry_server_error"]
 
-# A server error is retried only while at least this part of the route's objective for the first
-# answer is left of the caller's time: otherwise the error is passed on, since a second answer would
-# come too late. Chosen, not measured.
+# A server error is retried only while the caller's remaining time exceeds this share of the route's
+# objective for the first bytes. Otherwise the error is forwarded, since a second answer would be
+# late.
 ERROR_RETRY_OBJECTIVE_FRACTION = 0.5
 
 
 def may_retry(exchange: Exchange, end: AttemptEnd, left_s: float, may_go_elsewhere: bool) -> bool:
     """Return whether a request may be sent again after an attempt without a final answer.
 
-    - Where a second run would do harm, only if the first certainly did not happen.
-    - A body that was passed on as it came cannot be sent twice, unless no byte of it was taken.
-    - An answer that has begun can go on only if it is a stream with numbered events.
-    - Not beyond the route's number of attempts, nor without another target, nor in the last 20 ms.
+    - On routes whose requests are not repeatable, only if the request certainly did not run.
+    - A body that is streamed through cannot be sent twice, unless no byte of it was sent.
+    - An answer that has begun can be continued only if it is a stream with numbered events.
+    - Not beyond the route's number of attempts, not without another target, and not in the last
+      20 ms before the caller's deadline.
 
     Parameters
     ----------
@@ -30,7 +31,7 @@
     left_s : float
         Seconds until the caller's deadline.
     may_go_elsewhere : bool
-        Whether there is, or will soon be, a target that was not tried.
+        Whether a target that was not tried exists, or may appear before the deadline.
     """
     if end.ran and not exchange.route.kind.is_repeatable:
         return False
@@ -43,30 +44,33 @@
     return may_go_elsewhere and left_s > TOO_LATE_S
 
 
-def may_interrupt(exchange: Exchange, promised: int, left_s: float, may_go_elsewhere: bool) -> bool:
-    """Return whether an attempt at a replica that seems broken may be ended from here.
+def may_interrupt(
+    exchange: Exchange, reserved_retries: int, left_s: float, may_go_elsewhere: bool
+) -> bool:
+    """Return whether an attempt at a replica that seems broken may be interrupted.
 
-    An answer that has not begun is ended: its caller is told at once. One that has begun is left
-    alone unless it can go on elsewhere. Ended here, its connection would be cut in the middle,
-    although the replica may only be slow, or go on.
+    An attempt whose answer has not begun may: its request is retried or refused immediately. One
+    whose answer has begun may only if the answer can be continued by another target. Otherwise the
+    caller's connection would be cut in the middle of an answer, although the replica may only be
+    slow.
 
     Parameters
     ----------
     promised : int
-        Retries that answers interrupted just before will take from the budget.
+        Retries that attempts interrupted in the same pass will take from the budget.
     """
     if exchange.response is None:
         return True
-    if exchange.budget is None or exchange.budget.left < promised + 1:
+    if exchange.budget is None or exchange.budget.left < reserved_retries + 1:
         return False
     interrupted = AttemptEnd(False, True, AttemptReason.TIME_OVER)
     return may_retry(exchange, interrupted, left_s, may_go_elsewhere)
 
 
 def may_retry_server_error(exchange: Exchange, left_s: float, may_go_elsewhere: bool) -> bool:
-    """Return whether a target's own error (status 500 and above) is worth another attempt.
+    """Return whether to retry after an error of the target itself (status 500 and above).
 
-    If not, the error is passed on to the caller as the final answer.
+    If not, the error is forwarded to the caller as the final answer.
     """
     if not exchange.route.kind.is_repeatable:
         return False
--- a/ferrydock/forwarding/_stalls.py
+++ b/ferrydock/forwarding/_stalls.py
@@ -1,8 +1,9 @@
-"""Rule: when this daemon considers a replica broken because nothing comes from it any more.
+"""Detection of replicas that are broken: requests are in flight but nothing is received.
 
-A replica that has lost a member accepts requests and is silent until the engine's own stall limit
-(seconds). This daemon finds out sooner by asking the members. Owns the time at which each replica
-was last asked; relies on `TargetLoads` for signs of progress and on the targets' reports.
+A replica that has lost a member still accepts requests, but sends nothing until the engine's own
+stall limit (seconds) ends them. This daemon detects that sooner by polling the members. Owns the
+time at which each replica was last polled; relies on `TargetLoads` for the time of the last
+progress, and on the targets' reports.
 """
 
 import asyncio
@@ -22,78 +23,82 @@
 
 _LOG = logging.getLogger("ferrydock.forwarding")
 
-# Seconds without a sign of progress after which the members of a replica are asked.
+# Time without progress after which the members of a replica with several requests are polled.
 QUIET_S = 0.2
 
-# The same where only one request waits, and silence after which one request alone may show that a
-# replica is broken: it may have a slow reader.
-QUIET_ALONE_S = 0.35
+# The same for a replica with one request in flight: that request may only have a slow reader. If it
+# has been quiet for less, members that do not answer are polled a second time.
+SINGLE_REQUEST_QUIET_S = 0.35
 
-# Seconds after which a replica whose members all answer, but which serves none of several requests,
-# is considered stuck. Chosen, not measured.
+# Time without progress on several requests after which a replica is considered stuck although all
+# its members answer.
 STUCK_S = 1.5
 
-# Seconds between two rounds of questions to one replica.
-ASK_AGAIN_S = 0.4
+# Minimum time between two polls of the members of one replica.
+POLL_INTERVAL_S = 0.4
 
-# How long a member may take to answer. A live one answers within milliseconds; a wrong verdict
-# costs a re-formed replica, a late one costs late answers.
+# How long a member may take to answer a poll. A live member answers within milliseconds. If the
+# limit is too short, a healthy replica is re-formed; if it is too long, callers get late answers.
 REPORT_TIMEOUT_S = 0.12
 
-# Pause between two looks, in seconds, above which this daemon itself stood still: looks come each
-# 0.025 s. What seemed silent in that time may only have been unread, and reports that did not come
-# in time may have come unseen. On a day of 68 daemons, 62 of them on half a core, replicas were
-# found silent 4,034 times and members suspected 1,696 times, where 18 had been crashed (emulated).
-STOOD_STILL_S = 0.075
+# Time between two calls of `step`, which is due every 0.025 s, above which this daemon itself was
+# paused. Events and reports that arrived during the pause may still be unread, so neither shows
+# that a replica is silent. Without this check, in an emulated day of 68 daemons, 62 of them on half
+# a core, replicas were found silent 4,034 times and members suspected 1,696 times, where 18 had
+# crashed.
+OWN_PAUSE_S = 0.075
 
-# Reasons of an interruption, as in log lines and `ferrydock explain`.
+# Reasons for interrupting an attempt, as written to log lines and read by `ferrydock explain`.
 SILENT = "silent"
 MEMBER_DEAD = "member_dead"
 STUCK = "stuck"
 GIVEN_UP = "given_up"
 
 
-def _is_own_silence(others_s: Sequence[float], limit_s: float) -> bool:
-    """Return whether all other replicas are silent as well: then it is this daemon's own link."""
-    return bool(others_s) and min(others_s) >= limit_s
+def _is_every_replica_quiet(others_quiet_s: Sequence[float], limit_s: float) -> bool:
+    """Return whether all other replicas are quiet as well, for `limit_s` or longer.
+
+    The cause is then this daemon's own network link. False if there are no other replicas.
+    """
+    return bool(others_quiet_s) and min(others_quiet_s) >= limit_s
 
 
 class FailureListener(Protocol):
-    """Told what the detector finds."""
+    """Receives the findings of a `StallDetector`."""
 
     def targets_dead(self, target_ids: list[str], reason: str) -> None:
-        """Targets did not answer when asked."""
+        """Handle targets that did not answer a poll."""
 
     def replica_broken(self, key: tuple[str, int]) -> None:
-        """A replica, by name and epoch, gets no more requests of this daemon."""
+        """Handle a replica, given by name and epoch, that this daemon stops using."""
 
 
 class StallDetector:
-    """Asks the members of a replica from which nothing has come for a while.
+    """Polls the members of replicas that have requests in flight but make no progress.
 
-    Silence alone is no verdict: the members are asked, and a replica is broken if one of them does
-    not answer. If all do, but several requests stand still for long, its head is ejected. Streams
-    do not wait for that: they go on elsewhere while the pause can still be one that their callers
-    bear, as far as the retry budget allows.
+    A replica counts as broken if one of its members does not answer the poll. If all answer, but
+    several requests make no progress for `STUCK_S`, the head is ejected. Streams that have begun
+    are retried on another replica before the poll has a result, while the pause is still within
+    what their route allows and as far as the retry budget permits.
 
     Parameters
     ----------
     attempts : AttemptRunner
-        Whose attempts are watched, and interrupted.
+        Owns the attempts that are monitored and interrupted.
     control : TargetControl
-        Asks targets for reports.
+        Requests reports from targets.
     times : ObservedTimes
-        Tells what is usual of streams.
+        Provides the usual pauses of streams and times to the first bytes.
 
     Attributes
     ----------
     listener : FailureListener or None
-        Told of dead targets and broken replicas.
+        Notified of dead targets and broken replicas.
     """
 
     __slots__ = (
-        "_asked_s",
-        "_looked_s",
+        "_last_poll_s",
+        "_last_step_s",
         "_resumed_s",
         "_tasks",
         "attempts",
@@ -113,61 +118,67 @@
         self.control = control
         self.clock = clock
         self.listener: FailureListener | None = None
-        self._asked_s: dict[tuple[str, int], float] = {}
+        self._last_poll_s: dict[tuple[str, int], float] = {}
         self._tasks: set[asyncio.Task] = set()
-        self._looked_s = float("-inf")
+        self._last_step_s = float("-inf")
         self._resumed_s = float("-inf")
 
     async def step(self) -> None:
-        """Look for silent replicas, and start asking their members."""
+        """Check all replicas in use for silence, and start polling the members of silent ones."""
         now_s = self.clock.now_s()
         self._note_own_pause(now_s)
         busy = [
-            (r, running, self._quiet_s(r, now_s)) for r, running in self.attempts.busy_replicas()
+            (r, attempt_count, self._quiet_s(r, now_s))
+            for r, attempt_count in self.attempts.busy_replicas()
         ]
-        for replica, running, quiet_s in busy:
+        for replica, attempt_count, quiet_s in busy:
             move_s = self._move_limit_s(replica)
-            others_s = [other_s for other, _, other_s in busy if other is not replica]
-            if quiet_s >= move_s and not _is_own_silence(others_s, move_s):
-                self.attempts.move_on(replica.key, SILENT)
-            limit_s = min(move_s, QUIET_S if running > 1 else QUIET_ALONE_S)
-            if quiet_s >= limit_s and self._may_ask(replica, now_s):
-                self._start_asking(replica, now_s, is_reported=False)
+            others_quiet_s = [
+                other_quiet_s for other, _, other_quiet_s in busy if other is not replica
+            ]
+            if quiet_s >= move_s and not _is_every_replica_quiet(others_quiet_s, move_s):
+                self.attempts.move_streams(replica.key, SILENT)
+            limit_s = min(move_s, QUIET_S if attempt_count > 1 else SINGLE_REQUEST_QUIET_S)
+            if quiet_s >= limit_s and self._may_poll(replica, now_s):
+                self._start_polling(replica, now_s, is_reported_by_peer=False)
 
     def _move_limit_s(self, replica: ReplicaView) -> float:
-        """Return the smallest limit of the streams under way at a replica: all of one model."""
-        begun = self.attempts.begun_at(replica.head.target_id)
-        if not begun:
+        """Return the silence after which the begun streams of a replica are moved; may be infinite.
+
+        All of them are of one model. The longest pause that any of their routes allows counts.
+        """
+        streaming = self.attempts.responding_at(replica.head.target_id)
+        if not streaming:
             return float("inf")
-        kind = begun[0].service.name, begun[0].inbound.model
+        kind = streaming[0].service.name, streaming[0].inbound.model
         return move_limit_s(
-            max(exchange.route.max_pause_s for exchange in begun),
+            max(exchange.route.max_pause_s for exchange in streaming),
             self.times.usual_pause_s(*kind),
             self.times.usual_first_s(*kind),
         )
 
     def _note_own_pause(self, now_s: float) -> None:
-        """Note that this daemon goes on after a pause of its own."""
-        if now_s - self._looked_s > STOOD_STILL_S:
+        """Record when this daemon resumes after a pause of its own process."""
+        if now_s - self._last_step_s > OWN_PAUSE_S:
             self._resumed_s = now_s
-        self._looked_s = now_s
+        self._last_step_s = now_s
 
     def _quiet_s(self, replica: ReplicaView, now_s: float) -> float:
-        """Return how long nothing has come from a replica while this daemon was reading."""
-        progress_s = self.attempts.loads.of(replica.head.target_id).progress_s
-        return now_s - max(progress_s, self._resumed_s)
+        """Return the seconds without progress of a replica since this daemon last resumed."""
+        last_progress_s = self.attempts.loads.of(replica.head.target_id).last_progress_s
+        return now_s - max(last_progress_s, self._resumed_s)
 
     def check_reported(self, replica: ReplicaView) -> None:
-        """Ask the members of a replica that a peer reports as broken.
+        """Poll the members of a replica that a peer reports as broken.
 
-        The peer may be cut off from them, so its report is checked before it is believed.
+        The peer itself may be cut off from the members, so its report is verified first.
         """
         now_s = self.clock.now_s()
-        if replica.key not in self.catalog.broken and self._may_ask(replica, now_s):
-            self._start_asking(replica, now_s, is_reported=True)
+        if replica.key not in self.catalog.broken and self._may_poll(replica, now_s):
+            self._start_polling(replica, now_s, is_reported_by_peer=True)
 
     def break_replica(self, key: tuple[str, int], reason: str) -> None:
-        """Send nothing more to a replica, and let its requests go on elsewhere."""
+        """Stop sending requests to a replica, and interrupt its attempts for a retry."""
         if key not in self.catalog.broken:
             self.catalog.broken.add(key)
             self.attempts.interrupt(key, reason)
@@ -175,58 +186,67 @@
                 self.listener.replica_broken(key)
 
     def replica_given_up(self, key: tuple[str, int]) -> None:
-        """Handle the hall leader's verdict, in this daemon, that a replica cannot serve."""
+        """Handle a decision of the hall leader, which runs in this daemon, against a replica.
+
+        The leader has decided that the replica cannot serve.
+        """
         self.break_replica(key, GIVEN_UP)
 
-    def _may_ask(self, replica: ReplicaView, now_s: float) -> bool:
-        return now_s - self._asked_s.get(replica.key, -ASK_AGAIN_S) >= ASK_AGAIN_S
+    def _may_poll(self, replica: ReplicaView, now_s: float) -> bool:
+        return now_s - self._last_poll_s.get(replica.key, -POLL_INTERVAL_S) >= POLL_INTERVAL_S
 
-    def _start_asking(self, replica: ReplicaView, now_s: float, is_reported: bool) -> None:
-        self._asked_s[replica.key] = now_s
-        self._spawn(self._ask(replica, is_reported))
+    def _start_polling(self, replica: ReplicaView, now_s: float, is_reported_by_peer: bool) -> None:
+        self._last_poll_s[replica.key] = now_s
+        self._spawn(self._poll_members(replica, is_reported_by_peer))
 
-    async def _ask(self, replica: ReplicaView, is_reported: bool) -> None:
-        """Ask all members at once, and act on what they say.
+    async def _poll_members(self, replica: ReplicaView, is_reported_by_peer: bool) -> None:
+        """Poll all members concurrently, and apply the result.
 
-        Where one request alone is silent for a short time, those that do not answer are asked once
-        more: a single question may have been lost on its way.
+        If the replica has one request, quiet for less than `SINGLE_REQUEST_QUIET_S`, members that
+        do not answer are polled once more: a single poll may have been lost in the network.
         """
-        asked_s = self.clock.now_s()
-        quiet_from_s = asked_s - self._quiet_s(replica, asked_s)
-        running = self.attempts.running_at(replica.head.target_id)
-        silent = await self._silent_members(replica.members)
-        is_short = self.clock.now_s() - quiet_from_s < QUIET_ALONE_S
-        if silent and running <= 1 and is_short and not is_reported:
-            silent = await self._silent_members(silent)
+        poll_started_s = self.clock.now_s()
+        quiet_from_s = poll_started_s - self._quiet_s(replica, poll_started_s)
+        attempt_count = self.attempts.attempt_count_at(replica.head.target_id)
+        unresponsive = await self._unresponsive_members(replica.members)
+        is_brief = self.clock.now_s() - quiet_from_s < SINGLE_REQUEST_QUIET_S
+        if unresponsive and attempt_count <= 1 and is_brief and not is_reported_by_peer:
+            unresponsive = await self._unresponsive_members(unresponsive)
         now_s = self.clock.now_s()
         self._note_own_pause(now_s)
-        if self._resumed_s > asked_s:
-            return  # reports may lie unread: this daemon stood still while it asked
-        if self._went_on(replica, asked_s) and not is_reported:
+        if self._resumed_s > poll_started_s:
+            return  # this daemon was paused during the poll: reports may still be unread
+        if self._has_progressed_since(replica, poll_started_s) and not is_reported_by_peer:
             return
         quiet_s = now_s - quiet_from_s
-        self._act(replica, [member.target_id for member in silent], quiet_s, running, is_reported)
+        self._apply_poll_result(
+            replica,
+            [member.target_id for member in unresponsive],
+            quiet_s,
+            attempt_count,
+            is_reported_by_peer,
+        )
 
-    def _went_on(self, replica: ReplicaView, asked_s: float) -> bool:
-        """Return whether something has come from a replica since its members were asked."""
-        return self.attempts.loads.of(replica.head.target_id).answered_s > asked_s
+    def _has_progressed_since(self, replica: ReplicaView, poll_started_s: float) -> bool:
+        """Return whether anything was received from a replica since its poll started."""
+        return self.attempts.loads.of(replica.head.target_id).last_answer_s > poll_started_s
 
-    async def _silent_members(self, members: Sequence[Target]) -> list[Target]:
-        """Ask members at once; return those that did not answer in time."""
+    async def _unresponsive_members(self, members: Sequence[Target]) -> list[Target]:
+        """Poll members concurrently; return those that did not answer in time."""
         reports = await asyncio.gather(*(self.control.report(m, REPORT_TIMEOUT_S) for m in members))
         pairs = zip(members, reports, strict=True)
         return [member for member, report in pairs if isinstance(report, Unavailable)]
 
-    def _act(
+    def _apply_poll_result(
         self,
         replica: ReplicaView,
-        silent: list[str],
+        unresponsive: list[str],
         quiet_s: float,
-        running: int,
-        is_reported: bool,
+        attempt_count: int,
+        is_reported_by_peer: bool,
     ) -> None:
-        """Draw the conclusion from which members did not answer."""
-        is_stuck = quiet_s > STUCK_S and running > 1 and not is_reported
+        """Log the result of a poll, and break or interrupt the replica if it shows a fault."""
+        is_stuck = quiet_s > STUCK_S and attempt_count > 1 and not is_reported_by_peer
         log_event(
             _LOG,
             logging.INFO,
@@ -234,16 +254,18 @@
             replica=replica.name,
             epoch=replica.epoch,
             quiet_ms=quiet_s * 1000,
-            attempts=running,
-            silent=",".join(silent) or None,
+            attempts=attempt_count,
+            silent=",".join(unresponsive) or None,
             stuck=is_stuck,
         )
-        if silent:
+        if unresponsive:
             if self.listener is not None:
-                self.listener.targets_dead(silent, f"silent in {replica.name}")
+                self.listener.targets_dead(unresponsive, f"silent in {replica.name}")
             self.break_replica(replica.key, MEMBER_DEAD)
         elif is_stuck:
-            self.attempts.loads.failed(replica.head.target_id, self.clock.now_s(), at_once=True)
+            self.attempts.loads.record_failure(
+                replica.head.target_id, self.clock.now_s(), eject_immediately=True
+            )
             self.attempts.interrupt(replica.key, STUCK)
 
     def _spawn(self, work: Coroutine) -> None:
--- a/ferrydock/forwarding/_target_loads.py
+++ b/ferrydock/forwarding/_target_loads.py
@@ -1,62 +1,65 @@
-"""What this daemon knows of each target from its own requests; rule: when a target is ejected.
+"""Load and health of each target, as observed from this daemon's own requests.
 
-Owns counts and times by target id, in memory.
+Decides when a target is ejected, which means that it gets no requests for some seconds. Owns the
+counts and times by target id, in memory only.
 """
 
 from collections.abc import Container, ItemsView
 from dataclasses import dataclass
 
-__all__ = ["SERVER_ERROR", "TargetLoad", "TargetLoads"]
+__all__ = ["FIRST_SERVER_ERROR_STATUS", "TargetLoad", "TargetLoads"]
 
-# Statuses from here on are a target's own errors (RFC 9110, section 15.6).
-SERVER_ERROR = 500
+# Statuses from this one on are errors of the target itself (RFC 9110, section 15.6).
+FIRST_SERVER_ERROR_STATUS = 500
 
-# Failures in a row after which a target is ejected: gets no requests for a while. One or two may be
-# the request's fault. Chosen, not measured.
+# Consecutive failures after which a target is ejected. One or two may be caused by the request.
 FAILURES_TO_EJECT = 3
 
-# Seconds of the first ejection; each further one without a success between takes twice as long, up
-# to the maximum. After it the next request is the trial. Chosen, not measured.
+# Duration of the first ejection. Each further one without a success in between lasts twice as long,
+# up to the maximum. The next request after an ejection tests whether the target has recovered.
 EJECTION_S = 2.0
 MAX_EJECTION_S = 8.0
 
 
 @dataclass(slots=True)
 class TargetLoad:
-    """This daemon's requests at one target.
+    """Requests of this daemon to one target, and their results.
 
     Attributes
     ----------
     running : int
-        Requests in flight.
+        This daemon's requests in flight at the target.
     progress_s : float
-        Local time of the last sign of work: an event, an answer, or a request sent to a target
-        that had none.
+        Local time of the last progress: an event or answer received from the target, or a request
+        sent while the target had no other request in flight.
     answered_s : float
-        Local time of the last of them that came from the target itself.
+        Local time of the last event or answer received from the target.
     failures : int
-        Failures in a row.
+        Failures since the last success or ejection.
     ejections : int
         Ejections since the last success.
+    ejected_until_s : float
+        Local time at which the current or last ejection ends.
     """
 
     running: int = 0
-    progress_s: float = 0.0
-    answered_s: float = float("-inf")
-    failures: int = 0
-    ejections: int = 0
+    last_progress_s: float = 0.0
+    last_answer_s: float = float("-inf")
+    consecutive_failures: int = 0
+    ejections_since_success: int = 0
     ejected_until_s: float = 0.0
 
 
 class TargetLoads:
-    """The loads of all targets that were used.
+    """Loads of the targets that this daemon has sent requests to, by target id.
 
     Examples
     --------
     >>> loads = TargetLoads()
-    >>> loads.failed("t", now_s=0.0); loads.failed("t", now_s=0.0); loads.is_ejected("t", 0.0)
+    >>> loads.record_failure("t", now_s=0.0); loads.record_failure("t", now_s=0.0)
+    >>> loads.is_ejected("t", 0.0)
     False
-    >>> loads.failed("t", now_s=0.0); loads.is_ejected("t", 1.9), loads.is_ejected("t", 2.0)
+    >>> loads.record_failure("t", now_s=0.0); loads.is_ejected("t", 1.9), loads.is_ejected("t", 2.0)
     (True, False)
     """
 
@@ -66,7 +69,7 @@
         self._loads: dict[str, TargetLoad] = {}
 
     def of(self, target_id: str) -> TargetLoad:
-        """Return the load of a target; a new one has none."""
+        """Return the load of a target; create an empty one for a new target."""
         load = self._loads.get(target_id)
         if load is None:
             load = self._loads[target_id] = TargetLoad()
@@ -81,50 +84,52 @@
         return {i: load.running for i, load in self._loads.items() if load.running > 0}
 
     def forget_others(self, target_ids: Container[str]) -> None:
-        """Drop targets that are not listed and have nothing in flight."""
-        gone = [i for i, load in self._loads.items() if i not in target_ids and not load.running]
-        for target_id in gone:
+        """Remove targets that are not in `target_ids` and have no request in flight."""
+        unlisted = [
+            i for i, load in self._loads.items() if i not in target_ids and not load.running
+        ]
+        for target_id in unlisted:
             del self._loads[target_id]
 
-    def began(self, target_id: str, now_s: float) -> None:
-        """Count a request that goes to a target."""
+    def request_started(self, target_id: str, now_s: float) -> None:
+        """Count a request that is sent to a target."""
         load = self.of(target_id)
         if load.running == 0:
-            load.progress_s = now_s
+            load.last_progress_s = now_s
         load.running += 1
 
-    def ended(self, target_id: str) -> None:
-        """Count a request that is over."""
+    def request_ended(self, target_id: str) -> None:
+        """Count a request at a target as finished."""
         self.of(target_id).running -= 1
 
-    def progressed(self, target_id: str, now_s: float) -> None:
-        """Note a sign of work."""
+    def record_progress(self, target_id: str, now_s: float) -> None:
+        """Record that an event or answer was received from a target."""
         load = self.of(target_id)
-        load.progress_s = load.answered_s = now_s
+        load.last_progress_s = load.last_answer_s = now_s
 
-    def succeeded(self, target_id: str) -> None:
-        """Note a good answer: earlier failures no longer count."""
+    def record_success(self, target_id: str) -> None:
+        """Record a successful answer, and reset the counts of failures and ejections."""
         load = self.of(target_id)
-        load.failures = 0
-        load.ejections = 0
+        load.consecutive_failures = 0
+        load.ejections_since_success = 0
 
-    def failed(self, target_id: str, now_s: float, at_once: bool = False) -> None:
-        """Note a failure of the target's own, and eject the target if there were too many.
+    def record_failure(self, target_id: str, now_s: float, eject_immediately: bool = False) -> None:
+        """Record a failure caused by the target, and eject the target after too many.
 
         Parameters
         ----------
         at_once : bool
-            Eject at the first failure: the target could not be connected to.
+            Whether this failure alone ejects the target, as when connecting to it failed.
         """
         load = self.of(target_id)
-        load.failures += 1
-        if at_once or load.failures >= FAILURES_TO_EJECT:
-            pause_s = min(MAX_EJECTION_S, EJECTION_S * 2**load.ejections)
-            load.ejections += 1
-            load.failures = 0
-            load.ejected_until_s = now_s + pause_s
+        load.consecutive_failures += 1
+        if eject_immediately or load.consecutive_failures >= FAILURES_TO_EJECT:
+            ejection_s = min(MAX_EJECTION_S, EJECTION_S * 2**load.ejections_since_success)
+            load.ejections_since_success += 1
+            load.consecutive_failures = 0
+            load.ejected_until_s = now_s + ejection_s
 
     def is_ejected(self, target_id: str, now_s: float) -> bool:
-        """Return whether a target is ejected now."""
+        """Return whether a target is ejected at `now_s`."""
         load = self._loads.get(target_id)
         return load is not None and now_s < load.ejected_until_s
--- a/ferrydock/forwarding/tests/overload.py
+++ b/ferrydock/forwarding/tests/overload.py
@@ -13,7 +13,7 @@
 from ...scheduling import EndpointCatalog, HallScheduler, InFlightCounts, SlotRequest
 from ...standins.fleet import LoopClock, run_virtually
 from ...targets import Membership, ReplicaState, Target, TargetDirectory
-from .._admission import QueueTimes, order_s, queue_times
+from .._admission import QueueTimes, queue_order_s, queue_times
 from .._observed_times import ObservedTimes
 from .._refusal import RETRY_AFTER_RANGE_S
 
@@ -64,13 +64,13 @@
 
     def queue_times(self, kind: Kind, left_s: float) -> tuple[QueueTimes, float]:
         """Return the times to wait, and the caller's age."""
-        age_s = self.times.age_s(kind.name, left_s)
+        age_s = self.times.request_age_s(kind.name, left_s)
         usual_s = self.times.usual_first_s("engines", "large")
         return queue_times(kind.objective_s, age_s, usual_s, left_s), age_s
 
     def rank(self, kind: Kind, arrived_s: float, age_s: float, left_s: float, is_late: bool):
         """Return the rank of a request and the time that orders it."""
-        return (0, 1, int(is_late)), order_s(arrived_s, age_s, kind.objective_s, is_late)
+        return (0, 1, int(is_late)), queue_order_s(arrived_s, age_s, kind.objective_s, is_late)
 
 
 class RuleBefore(Rule):
@@ -145,7 +145,7 @@
     ) -> None:
         first_s = FIRST_MEDIAN_S * self.rng.lognormvariate(0.0, FIRST_SPREAD)
         await asyncio.sleep(first_s)
-        self.rule.times.answered("engines", "large", first_s)
+        self.rule.times.record_first_bytes("engines", "large", first_s)
         if self.clock.now_s() - first_try_s <= kind.objective_s:
             outcome.in_time += 1
         else:
--- a/ferrydock/forwarding/tests/test_answer_notices.py
+++ b/ferrydock/forwarding/tests/test_answer_notices.py
@@ -61,7 +61,7 @@
             for _ in range(4):
                 assert b" 503 " in await rig.ask()
             assert len(rig.targets[0].requests) == 4
-            assert rig.loads.of("t0").ejections == 0
+            assert rig.loads.of("t0").ejections_since_success == 0
 
     play(scenario)
 
@@ -78,11 +78,14 @@
         async with Rig([route()], targets) as rig:
             while not rig.targets[0].requests:
                 assert b" 200 " in await rig.ask()
-            rig.loads.failed("t1", rig.clock.now_s(), at_once=True)
+            rig.loads.record_failure("t1", rig.clock.now_s(), eject_immediately=True)
             for _ in range(10):
                 assert b" 200 " in await rig.ask()
             assert len(rig.targets[0].requests) == 1
-            assert rig.loads.of("t0").ejections == 0 and rig.loads.of("t0").failures == 0
+            assert (
+                rig.loads.of("t0").ejections_since_success == 0
+                and rig.loads.of("t0").consecutive_failures == 0
+            )
 
     play(scenario)
 
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -8,7 +8,7 @@
 
 from ...configuration import Configuration, RouteKind
 from ...targets import Target
-from .._admission import LATE_WAIT_S, MIN_WAIT_S, queue_times
+from .._admission import MAX_LATE_WAIT_S, MIN_WAIT_S, queue_times
 from .._refusal import max_retry_queue_s
 from .rig import HEAD, TENANTS, Rig, ScriptedTarget, answers, attempt_id, play, resets, route, whole
 
@@ -600,7 +600,7 @@
 @pytest.mark.parametrize("age_s", [0.4, 1.4, 5.0])
 def test_a_caller_who_comes_back_waits_behind_first_tries(age_s):
     waiting = queue_times(0.4, age_s, 0.2, 6.0 - age_s)
-    assert waiting.in_time_s == 0 and 0 < waiting.late_s <= LATE_WAIT_S
+    assert waiting.in_time_s == 0 and 0 < waiting.late_s <= MAX_LATE_WAIT_S
 
 
 def test_a_request_that_may_have_run_is_worth_more_patience():
--- a/ferrydock/forwarding/tests/test_interruptions.py
+++ b/ferrydock/forwarding/tests/test_interruptions.py
@@ -23,7 +23,7 @@
 from .._move_rule import move_limit_s
 from .._refusal import max_retry_queue_s
 from .._retry_rule import may_interrupt
-from .._stalls import MEMBER_DEAD, QUIET_S, STOOD_STILL_S
+from .._stalls import MEMBER_DEAD, OWN_PAUSE_S, QUIET_S
 from .rig import Rig, ScriptedTarget, play, route
 from .test_forwarding import STREAM, body_of, event, events
 
@@ -247,15 +247,15 @@
         head = Target("t0", "s", "127.0.0.1:1", "h", 9)
         replica = ReplicaView("g0", 5, "large", head, (head,))
         self.loads = loads = TargetLoads()
-        loads.began("t0", self.clock.now_s())
+        loads.request_started("t0", self.clock.now_s())
         attempts = SimpleNamespace(
             busy_replicas=lambda: [(replica, running)],
             loads=loads,
             selector=SimpleNamespace(catalog=EndpointCatalog(TargetDirectory())),
-            running_at=lambda target_id: running,
-            begun_at=lambda target_id: begun,
+            attempt_count_at=lambda target_id: running,
+            responding_at=lambda target_id: begun,
             interrupt=lambda key, reason: None,
-            move_on=lambda key, reason: self.moved.append(key),
+            move_streams=lambda key, reason: self.moved.append(key),
         )
         self.detector = StallDetector(attempts, self, self.clock, TIMES)
 
@@ -303,7 +303,7 @@
 def test_a_daemon_that_stood_still_while_it_asked_believes_no_silence():
     async def scenario():
         watched = Watched()
-        watched.pause_while_asked_s = STOOD_STILL_S * 2
+        watched.pause_while_asked_s = OWN_PAUSE_S * 2
         for _ in range(6):
             await watched.look(0.05)
         assert watched.asked == 1 and not watched.broken
@@ -341,7 +341,7 @@
 
         async def report(member, timeout_s):
             watched.clock.advance(0.01)
-            watched.loads.progressed("t0", watched.clock.now_s())
+            watched.loads.record_progress("t0", watched.clock.now_s())
             await asyncio.sleep(0)
             return Unavailable("no answer")
 
@@ -359,8 +359,8 @@
 
         async def report(member, timeout_s):
             watched.clock.advance(0.01)
-            watched.loads.ended("t0")
-            watched.loads.began("t0", watched.clock.now_s())
+            watched.loads.request_ended("t0")
+            watched.loads.request_started("t0", watched.clock.now_s())
             return Unavailable("no answer")
 
         watched.report = report
