--- a/ferrydock/forwarding/__init__.py
+++ b/ferrydock/forwarding/__init__.py
@@ -1,14 +1,14 @@
-"""Forwarding of requests along routes: from a caller's connection to a target's and back.
+"""Forwarding of requests on routes, from a caller's connection to a target and back.
 
-The way of a request through this package: `_listener` (connection) -> `_gateway` (checks) ->
+A request passes through these modules: `_listener` (connection) -> `_gateway` (checks) ->
 `_forwarder` (attempts until there is a final answer) -> `_hall_endpoint_selector` or
-`_endpoint_selector` (which target, or wait) -> `_attempts` (send to one target) -> `_answer_relay`
-(pass the answer on). The rules stand apart: `_retry_rule` (may it be sent again), `_refusal` (when
-is it refused, with which answer), `_target_loads` (which targets are ejected), `_stalls` (which
-replicas are broken), `_crash_guard` (which requests crash their targets).
+`_endpoint_selector` (choose a target, or wait for one) -> `_attempts` (send to one target) ->
+`_answer_relay` (forward the answer). Separate modules decide: `_admission` (how long to wait for a
+slot), `_retry_rule` (whether to retry), `_refusal` (how to refuse), `_target_loads` (which targets
+are ejected), `_stalls` (which replicas are broken), `_crash_guard` (which requests crash targets).
 
-What does not belong here: the rule that chooses a target (`ferrydock.scheduling`), forming
-replicas (`ferrydock.replicas`), names of headers (a `RequestDialect` of the deployment).
+Not part of this package: the choice among targets (`ferrydock.scheduling`), forming replicas
+(`ferrydock.replicas`), and header names (the deployment's `RequestDialect`).
 """
 
 from ._attempts import AttemptRunner
--- a/ferrydock/forwarding/_answer_notices.py
+++ b/ferrydock/forwarding/_answer_notices.py
@@ -1,7 +1,8 @@
-"""What the head of each target's answer says of the target itself, noted where it is acted on.
+"""Applies what the heads of targets' answers state about the targets themselves.
 
-The one place that reads such statements of answers to requests, whatever becomes of the answer.
-Owns what was last unreadable of each target and header, so that it is logged once.
+A target can state that it is shutting down, that it limits its request rate, or that it wants a
+back-off. Each answer to a request is examined here, whether or not it is forwarded to a caller.
+Owns the last invalid value of each target and header, so that it is logged only once.
 """
 
 import logging
@@ -20,12 +21,12 @@
 
 
 class AnswerNotices:
-    """Notes what targets say of themselves.
+    """Applies the statements of targets about themselves.
 
     Parameters
     ----------
     catalog : EndpointCatalog
-        Holds the limits and rests of targets; its directory, which of them leave.
+        Holds the rate limits and back-offs of targets. Its directory records which shut down.
     """
 
     __slots__ = ("_unreadable", "catalog", "clock")
@@ -35,8 +36,8 @@
         self.clock = clock
         self._unreadable: dict[str, dict[str, Fault]] = {}
 
-    def take(self, target: Target, head: AnswerHeaders, sent_s: float) -> bool:
-        """Note what an answer says of its target.
+    def apply(self, target: Target, head: AnswerHeaders, sent_s: float) -> bool:
+        """Apply what the head of an answer states about its target.
 
         Parameters
         ----------
@@ -46,46 +47,48 @@
         Returns
         -------
         bool
-            Whether other daemons should hear of it at once.
+            Whether the target's rate limit changed, so that other daemons should be notified.
         """
         if not head.is_targets_own:
             return False
-        self._take_leaving(target, head.is_leaving)
-        self._take_rest(target, head.rest_s)
-        return self._take_limit(target.target_id, head.rate_limit_per_s, sent_s)
+        self._apply_leaving(target, head.is_leaving)
+        self._apply_backoff(target, head.rest_s)
+        return self._apply_limit(target.target_id, head.rate_limit_per_s, sent_s)
 
-    def _take_leaving(self, target: Target, is_leaving: bool | Fault) -> None:
+    def _apply_leaving(self, target: Target, is_leaving: bool | Fault) -> None:
         if isinstance(is_leaving, Fault):
             self._log_unreadable(target.target_id, is_leaving)
         elif is_leaving:
             self.catalog.directory.note_leaving(target.target_id, target.life)
 
-    def _take_rest(self, target: Target, rest_s: float | None | Fault) -> None:
-        if isinstance(rest_s, Fault):
-            self._log_unreadable(target.target_id, rest_s)
-        elif rest_s is not None:
-            self.catalog.rests.note(target, rest_s, self.clock.now_s())
-
-    def _take_limit(self, target_id: str, per_s: float | None | Fault, sent_s: float) -> bool:
-        if isinstance(per_s, Fault):
-            self._log_unreadable(target_id, per_s)
+    def _apply_backoff(self, target: Target, backoff_s: float | None | Fault) -> None:
+        if isinstance(backoff_s, Fault):
+            self._log_unreadable(target.target_id, backoff_s)
+        elif backoff_s is not None:
+            self.catalog.rests.note(target, backoff_s, self.clock.now_s())
+
+    def _apply_limit(
+        self, target_id: str, limit_per_s: float | None | Fault, sent_s: float
+    ) -> bool:
+        if isinstance(limit_per_s, Fault):
+            self._log_unreadable(target_id, limit_per_s)
             return False
-        return self.catalog.limits.note(target_id, per_s, sent_s, self.clock.now_s())
+        return self.catalog.limits.note(target_id, limit_per_s, sent_s, self.clock.now_s())
 
-    def excuse_refusals(self, target: Target) -> bool:
-        """Return whether a target has said that it takes few requests or none now."""
+    def expects_refusals(self, target: Target) -> bool:
+        """Return whether a target has stated a rate limit or requested a back-off."""
         is_limited = self.catalog.limits.rate_per_s(target.target_id) is not None
         return is_limited or self.catalog.rests.left_s(target, self.clock.now_s()) > 0
 
     def forget_others(self, target_ids: Container[str]) -> None:
-        """Drop targets that are not listed."""
+        """Remove targets that are not in `target_ids`."""
         for target_id in [i for i in self._unreadable if i not in target_ids]:
             del self._unreadable[target_id]
 
     def _log_unreadable(self, target_id: str, fault: Fault) -> None:
-        known = self._unreadable.setdefault(target_id, {})
-        if known.get(fault.place) != fault:
-            known[fault.place] = fault
+        logged = self._unreadable.setdefault(target_id, {})
+        if logged.get(fault.place) != fault:
+            logged[fault.place] = fault
             log_event(
                 _LOG, logging.WARNING, "answer_header_unreadable", target=target_id, why=fault
             )
--- a/ferrydock/forwarding/_answer_relay.py
+++ b/ferrydock/forwarding/_answer_relay.py
@@ -1,6 +1,6 @@
-"""Passing a target's answer on to the caller: small ones whole, others as they come.
+"""Forwards a target's answer to the caller: small answers once complete, others streamed.
 
-Stateless; what the caller has received is kept in the `Exchange`.
+Stateless; the `Exchange` records what the caller has received.
 """
 
 import aiohttp
@@ -15,19 +15,19 @@
 
 __all__ = ["AnswerRelay"]
 
-# An answer up to this size is held until it is whole, so that one that breaks off can be fetched
-# from another target. Larger ones are passed on as they come. Chosen, not measured.
-HELD_BYTES = 65536
+# An answer up to this size is buffered until it is complete, so that the request can be retried if
+# the connection to the target fails. Larger answers are streamed.
+MAX_BUFFERED_BYTES = 65536
 STATUSES_WITHOUT_BODY = (204, 304)
 
 
 class AnswerRelay:
-    """Passes answers on.
+    """Forwards answers to callers.
 
     Parameters
     ----------
     loads : TargetLoads
-        Told of every sign of progress, by which stalls are detected.
+        Records progress, by which stalls are detected.
     """
 
     __slots__ = ("clock", "loads")
@@ -36,17 +36,17 @@
         self.loads = loads
         self.clock = clock
 
-    async def plain(self, exchange: Exchange, answer: aiohttp.ClientResponse) -> AttemptEnd:
-        """Pass on an answer that is no stream; a small one only once it is whole."""
+    async def relay_plain(self, exchange: Exchange, answer: aiohttp.ClientResponse) -> AttemptEnd:
+        """Forward an answer that is not an event stream; a small one only once it is complete."""
         pieces, size = [], 0
         pending = answer.content.iter_any()
         async for piece in pending:
             pieces.append(piece)
             size += len(piece)
-            if size > HELD_BYTES:
-                return await self._large(exchange, answer, b"".join(pieces), pending)
-        _check_ended(answer)
-        exchange.first_s = self.clock.now_s() - exchange.started_s
+            if size > MAX_BUFFERED_BYTES:
+                return await self._relay_large(exchange, answer, b"".join(pieces), pending)
+        _raise_if_reset(answer)
+        exchange.first_bytes_s = self.clock.now_s() - exchange.received_s
         exchange.response = web.Response(
             status=answer.status,
             reason=answer.reason,
@@ -55,58 +55,58 @@
         )
         return AttemptEnd(True, True, AttemptReason.ANSWERED, status=answer.status)
 
-    async def _large(
-        self, exchange: Exchange, answer: aiohttp.ClientResponse, first: bytes, pending
+    async def _relay_large(
+        self, exchange: Exchange, answer: aiohttp.ClientResponse, buffered: bytes, pending
     ) -> AttemptEnd:
-        """Pass on an answer that is too large to hold, as it comes."""
-        response = await self._begin(exchange, answer)
-        await _write(response, first)
+        """Stream an answer that is too large to buffer."""
+        response = await self._start_answer(exchange, answer)
+        await _write(response, buffered)
         async for piece in pending:
             await _write(response, piece)
-        _check_ended(answer)
+        _raise_if_reset(answer)
         await _write_end(response)
         return AttemptEnd(True, True, AttemptReason.ANSWERED, status=answer.status)
 
-    async def stream(
+    async def relay_stream(
         self, exchange: Exchange, target_id: str, answer: aiohttp.ClientResponse
     ) -> AttemptEnd:
-        """Pass on the whole events of a stream as they come.
+        """Forward the events of a stream, each as soon as it is complete.
 
-        A torn event is held back: if the stream breaks off there, it goes on elsewhere after the
-        last whole event, and the caller sees none twice.
+        An incomplete event is held back. If the connection to the target fails within it, the
+        stream can be resumed at another target after the last complete event, without repeats.
         """
         events = existing(exchange.events, "the event counter of a stream")
         events.start_run()
-        before_s = self.clock.now_s() if events.count else None
+        last_piece_s = self.clock.now_s() if events.count else None
         async for piece in answer.content.iter_any():
             now_s = self.clock.now_s()
             self.loads.record_progress(target_id, now_s)
-            if before_s is not None:
-                exchange.longest_gap_s = max(exchange.longest_gap_s, now_s - before_s)
-            before_s = now_s
-            whole = events.feed(piece)
-            if whole:
+            if last_piece_s is not None:
+                exchange.longest_gap_s = max(exchange.longest_gap_s, now_s - last_piece_s)
+            last_piece_s = now_s
+            complete = events.feed(piece)
+            if complete:
                 if exchange.response is None:
-                    await self._begin(exchange, answer)
-                await _write(existing(exchange.response, "the begun answer"), whole)
-        _check_ended(answer)
+                    await self._start_answer(exchange, answer)
+                await _write(existing(exchange.response, "the begun answer"), complete)
+        _raise_if_reset(answer)
         if events.has_partial_event:
             return AttemptEnd(False, True, AttemptReason.TORN)
         if exchange.response is None:
-            await self._begin(exchange, answer)
+            await self._start_answer(exchange, answer)
         await _write_end(existing(exchange.response, "the begun answer"))
         return AttemptEnd(True, True, AttemptReason.STREAMED, status=answer.status)
 
-    async def _begin(
+    async def _start_answer(
         self, exchange: Exchange, answer: aiohttp.ClientResponse
     ) -> web.StreamResponse:
-        """Send the head of the caller's answer; from here on its status is final."""
+        """Send the head of the answer to the caller; its status cannot change after that."""
         headers = _answer_headers(answer)
         response = web.StreamResponse(status=answer.status, reason=answer.reason, headers=headers)
         if "Content-Length" not in headers and answer.status not in STATUSES_WITHOUT_BODY:
             response.enable_chunked_encoding()
-        exchange.first_s = self.clock.now_s() - exchange.started_s
-        if exchange.last_on_connection():
+        exchange.first_bytes_s = self.clock.now_s() - exchange.received_s
+        if exchange.is_last_on_connection():
             response.force_close()
         exchange.response = response
         try:
@@ -116,11 +116,11 @@
         return response
 
 
-def _check_ended(answer: aiohttp.ClientResponse) -> None:
-    """Raise if an answer without a length ended by a reset of its connection.
+def _raise_if_reset(answer: aiohttp.ClientResponse) -> None:
+    """Raise if an answer without a length was cut short by a connection reset.
 
-    aiohttp takes the end of the connection for the end of such an answer; it keeps what ended the
-    connection in its protocol object, and nowhere public.
+    aiohttp treats the end of the connection as the end of such an answer. The error that ended the
+    connection is only found in its protocol object, a private attribute.
     """
     error = answer._protocol.exception() if answer._protocol is not None else None
     if isinstance(error, OSError) and not isinstance(error, aiohttp.ServerDisconnectedError):
--- a/ferrydock/forwarding/_attempts.py
+++ b/ferrydock/forwarding/_attempts.py
@@ -1,7 +1,7 @@
-"""One attempt: send a request to one target, pass its answer on, judge the target by it.
+"""One attempt: sends a request to a target, forwards the answer, and records the result.
 
-Owns the attempts that are running, by target, so that they can be interrupted when their replica
-turns out to be broken. Relies on `Upstream` for connections and on the dialect for headers.
+Owns the attempts in flight, by target, so that they can be interrupted when their replica is found
+to be broken. Relies on `Upstream` for connections and on the dialect for headers.
 """
 
 import asyncio
@@ -24,8 +24,8 @@
 
 __all__ = ["AttemptRunner"]
 
-# Answers below this status are successes (RFC 9110, section 15.3); streams come only with these.
-FIRST_ERROR_STATUS = 300
+# Answers below this status are successes (RFC 9110, section 15.3); only these can be streams.
+FIRST_NON_SUCCESS_STATUS = 300
 _FAILURES_OF_TARGET = (
     AttemptReason.NOT_SENT,
     AttemptReason.BROKEN,
@@ -33,21 +33,21 @@
     AttemptReason.REFUSED,
     AttemptReason.ERROR,
 )
-_NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-_BROKEN = (aiohttp.ClientError, ConnectionError, OSError)
+_NOT_SENT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+_CONNECTION_ERRORS = (aiohttp.ClientError, ConnectionError, OSError)
 
 
 class AttemptRunner:
-    """Sends requests to targets and their answers back.
+    """Sends requests to targets and forwards their answers.
 
     Parameters
     ----------
     selector : EndpointSelector
-        Gets slots back; knows whether there is another target.
+        Assigns the slots, which are released to it; knows whether another target exists.
     upstream : Upstream
         Connections to targets.
     loads : TargetLoads
-        Told of progress, success and failure of each target.
+        Records progress, success and failure of each target.
     dialect : RequestDialect
         Names and formats of headers.
     metrics : RouteMetrics
@@ -86,89 +86,91 @@
         self._running: dict[str, set[Attempt]] = {}
 
     async def run(self, exchange: Exchange, endpoint: Endpoint) -> AttemptEnd:
-        """Send the request to one target; the slot is given back in any case."""
+        """Send a request to one target; its slot is released in any case."""
         target_id = endpoint.target.target_id
-        exchange.attempts += 1
-        exchange.tried.add(target_id)
+        exchange.attempt_count += 1
+        exchange.tried_target_ids.add(target_id)
         loop = asyncio.get_running_loop()
-        limit = asyncio.timeout_at(loop.time() + self._left_s(exchange))
-        attempt = Attempt(exchange, endpoint.replica, limit)
+        timeout = asyncio.timeout_at(loop.time() + self._remaining_s(exchange))
+        attempt = Attempt(exchange, endpoint.replica, timeout)
         running = self._running.setdefault(target_id, set())
         running.add(attempt)
         try:
-            async with limit:
+            async with timeout:
                 end = await self._send(exchange, endpoint)
         except TimeoutError:
-            end = AttemptEnd(False, True, attempt.interrupted or AttemptReason.TIME_OVER)
+            end = AttemptEnd(False, True, attempt.interrupt_reason or AttemptReason.TIME_OVER)
         finally:
             running.discard(attempt)
             self.selector.release(endpoint)
-        self._judge(endpoint.target, end)
+        self._record_result(endpoint.target, end)
         return end
 
     def attempt_count_at(self, target_id: str) -> int:
-        """Return how many attempts run at a target."""
+        """Return the number of attempts in flight at a target."""
         return len(self._running.get(target_id, ()))
 
     def responding_at(self, target_id: str) -> list[Exchange]:
-        """Return the requests at a target whose answers have begun."""
+        """Return the requests in flight at a target whose answers have begun."""
         running = self._running.get(target_id, ())
         return [a.exchange for a in running if a.exchange.response is not None]
 
     def busy_replicas(self) -> Iterator[tuple[ReplicaView, int]]:
-        """Yield each replica in use and the number of attempts at its head."""
+        """Yield each replica in use, and the number of attempts in flight at its head."""
         for attempts in self._running.values():
             replica = next((a.replica for a in attempts if a.replica is not None), None)
             if replica is not None:
                 yield replica, len(attempts)
 
     def interrupt(self, key: tuple[str, int], reason: str) -> None:
-        """End the attempts that run at a replica; their requests go on elsewhere if they may.
+        """Interrupt the attempts in flight at a replica, so that their requests can be retried.
 
-        Each of them is paid for from the retry budget only as it goes on, so those beyond the
-        budget are left where they are.
+        Attempts whose answers have begun are interrupted only as far as the retry budget allows;
+        the others of them continue. The retries themselves are taken from the budget later.
         """
-        self._interrupt(self._at(key), reason)
+        self._interrupt(self._attempts_at(key), reason)
 
     def move_streams(self, key: tuple[str, int], reason: str) -> None:
-        """Let the begun streams at a replica go on elsewhere that certainly can; leave all others.
+        """Interrupt those begun streams at a replica that another target can continue.
 
-        For a replica that may be broken: nobody is refused or cut for that.
+        Used while a replica is only suspected: no request is refused or cut by it.
         """
-        begun = [attempt for attempt in self._at(key) if attempt.exchange.response is not None]
-        self._interrupt(begun, reason)
+        started = [
+            attempt for attempt in self._attempts_at(key) if attempt.exchange.response is not None
+        ]
+        self._interrupt(started, reason)
 
-    def _at(self, key: tuple[str, int]) -> list[Attempt]:
-        """Return the attempts at a replica."""
+    def _attempts_at(self, key: tuple[str, int]) -> list[Attempt]:
+        """Return the attempts in flight at a replica."""
         running = (attempt for attempts in self._running.values() for attempt in attempts)
         return [a for a in running if a.replica is not None and a.replica.key == key]
 
     def _interrupt(self, attempts: Iterable[Attempt], reason: str) -> None:
-        """Interrupt those of the attempts that may be, within the retry budget."""
-        payable = 0
+        """Interrupt those of the attempts that `may_interrupt` allows, within the retry budget."""
+        reserved_retries = 0
         for attempt in attempts:
             exchange = attempt.exchange
-            left_s = self._left_s(exchange)
+            left_s = self._remaining_s(exchange)
             may_go_elsewhere = self.selector.may_go_elsewhere(exchange)
-            if may_interrupt(exchange, payable, left_s, may_go_elsewhere):
-                payable += exchange.response is not None
+            if may_interrupt(exchange, reserved_retries, left_s, may_go_elsewhere):
+                reserved_retries += exchange.response is not None
                 attempt.interrupt(reason)
 
-    def _left_s(self, exchange: Exchange) -> float:
-        return exchange.until_s - self.clock.now_s()
+    def _remaining_s(self, exchange: Exchange) -> float:
+        return exchange.deadline_s - self.clock.now_s()
 
-    def _judge(self, target: Target, end: AttemptEnd) -> None:
-        """Count the end of an attempt as a success or a failure of its target.
+    def _record_result(self, target: Target, end: AttemptEnd) -> None:
+        """Record the end of an attempt as a success or a failure of its target.
 
-        A target that could not be connected to is ejected at once. Neither a time that was over
-        nor an interruption says anything about the target itself, nor does a refusal by one that
-        has named a limit or asked for rest.
+        A target that could not be connected to is ejected immediately. Not counted as failures are
+        a passed deadline, an interruption, and a refusal by a target that has stated a rate limit
+        or requested a back-off.
         """
-        self.metrics.attempts.labels("whole" if end.whole else str(end.reason)).inc()
+        self.metrics.attempts.labels("whole" if end.is_complete else str(end.reason)).inc()
         now_s = self.clock.now_s()
-        if end.whole and end.status < FIRST_SERVER_ERROR_STATUS:
+        if end.is_complete and end.status < FIRST_SERVER_ERROR_STATUS:
             self.loads.record_success(target.target_id)
-        elif end.reason == AttemptReason.REFUSED and self.notices.excuse_refusals(target):
+        elif end.reason == AttemptReason.REFUSED and self.notices.expects_refusals(target):
             return
         elif end.reason in _FAILURES_OF_TARGET:
             eject_immediately = end.reason == AttemptReason.NOT_SENT
@@ -178,84 +180,86 @@
         request = exchange.request
         outbound = Outbound(
             target_id=endpoint.target.target_id,
-            left_s=self._left_s(exchange),
+            left_s=self._remaining_s(exchange),
             team=exchange.team,
             last_event_id=exchange.events.last_id if exchange.events else None,
         )
         headers = self.dialect.outgoing(request.headers.items(), exchange.inbound, outbound)
-        body = exchange.body if exchange.body is not None else _body_as_it_comes(exchange)
-        once = not exchange.route.kind.is_repeatable
+        body = exchange.body if exchange.body is not None else _streamed_body(exchange)
+        runs_once = not exchange.route.kind.is_repeatable
         sent_s = self.clock.now_s()
         try:
             answer = await self.upstream.send(
-                endpoint.target, request.method, request.raw_path, headers, body, once
+                endpoint.target, request.method, request.raw_path, headers, body, runs_once
             )
-        except _NOT_SENT:
-            return AttemptEnd(False, False, AttemptReason.NOT_SENT, offered=False)
-        except _BROKEN as error:
+        except _NOT_SENT_ERRORS:
+            return AttemptEnd(False, False, AttemptReason.NOT_SENT, may_have_received=False)
+        except _CONNECTION_ERRORS as error:
             return AttemptEnd(False, True, "broken_" + type(error).__name__)
         try:
-            return await self._take_answer(exchange, endpoint, answer, sent_s)
+            return await self._handle_answer(exchange, endpoint, answer, sent_s)
         except CallerGone:
             raise
-        except _BROKEN:
+        except _CONNECTION_ERRORS:
             return AttemptEnd(False, True, AttemptReason.BROKEN)
         finally:
-            _release(answer)
+            _release_connection(answer)
 
-    async def _take_answer(
+    async def _handle_answer(
         self,
         exchange: Exchange,
         endpoint: Endpoint,
         answer: aiohttp.ClientResponse,
         sent_s: float,
     ) -> AttemptEnd:
-        """Look at the head of an answer, and pass the answer on if it is the final one."""
+        """Check the head of an answer, and forward the answer if it is the final one."""
         target_id = endpoint.target.target_id
         head = self.dialect.answer(answer.status, answer.headers)
         if head.request_id and head.request_id != exchange.inbound.request_id:
-            answer.close()  # an answer to an earlier request was left in the connection
+            answer.close()  # left over in the connection from an earlier request
             return AttemptEnd(False, True, AttemptReason.WRONG_ANSWER)
-        if self.notices.take(endpoint.target, head, sent_s):
+        if self.notices.apply(endpoint.target, head, sent_s):
             self.selector.report()
         if head.not_executed:
             return AttemptEnd(False, False, AttemptReason.REFUSED, status=answer.status)
         self.loads.record_progress(target_id, self.clock.now_s())
-        if self._is_bad(exchange, answer, head.signed):
+        if self._is_unacceptable(exchange, answer, head.signed):
             return AttemptEnd(False, True, AttemptReason.ERROR, status=answer.status)
-        if exchange.route.kind.is_stream and answer.status < FIRST_ERROR_STATUS:
-            return await self._relay.stream(exchange, target_id, answer)
+        if exchange.route.kind.is_stream and answer.status < FIRST_NON_SUCCESS_STATUS:
+            return await self._relay.relay_stream(exchange, target_id, answer)
         if exchange.response is not None:
             return AttemptEnd(False, True, AttemptReason.ERROR, status=answer.status)
-        return await self._relay.plain(exchange, answer)
+        return await self._relay.relay_plain(exchange, answer)
 
-    def _is_bad(self, exchange: Exchange, answer: aiohttp.ClientResponse, signed: bool) -> bool:
-        """Return whether an answer is to be retried elsewhere rather than passed on.
+    def _is_unacceptable(
+        self, exchange: Exchange, answer: aiohttp.ClientResponse, is_signed: bool
+    ) -> bool:
+        """Return whether to treat an answer as a failed attempt instead of forwarding it.
 
-        A success without a target's signature, or with an encoding that nobody asked for, is no
-        answer of the target.
+        A success without a target's signature, or with a content encoding that was not requested,
+        does not come from the target.
         """
-        is_success = answer.status < FIRST_ERROR_STATUS
-        if is_success and (not signed or "Content-Encoding" in answer.headers):
+        is_success = answer.status < FIRST_NON_SUCCESS_STATUS
+        if is_success and (not is_signed or "Content-Encoding" in answer.headers):
             return True
         if answer.status < FIRST_SERVER_ERROR_STATUS:
             return False
         may_go_elsewhere = self.selector.may_go_elsewhere(exchange)
-        return may_retry_server_error(exchange, self._left_s(exchange), may_go_elsewhere)
+        return may_retry_server_error(exchange, self._remaining_s(exchange), may_go_elsewhere)
 
 
-async def _body_as_it_comes(exchange: Exchange) -> AsyncIterator[bytes]:
-    """Yield a body that is not kept: what was read of it, then the rest."""
-    yield exchange.body_start
+async def _streamed_body(exchange: Exchange) -> AsyncIterator[bytes]:
+    """Yield a body that is not buffered: the part already read, then the rest as it arrives."""
+    yield exchange.body_prefix
     async for piece in exchange.request.content.iter_any():
         yield piece
 
 
-def _release(answer: aiohttp.ClientResponse) -> None:
-    """Keep the connection for the next request, or close it if anything is still on its way.
+def _release_connection(answer: aiohttp.ClientResponse) -> None:
+    """Return a connection to its pool, or close it if bytes of this exchange are outstanding.
 
-    A target may answer before it has read the whole body; the rest would then be taken for the
-    next request.
+    A target may answer before it has read the complete request body; it would then read the rest
+    as the next request.
     """
     writer = answer._writer
     is_uploading = writer is not None and not writer.done()
--- a/ferrydock/forwarding/_crash_guard.py
+++ b/ferrydock/forwarding/_crash_guard.py
@@ -1,7 +1,8 @@
-"""Refusing requests that crash their targets, and finding out which ones do.
+"""Detects requests that crash their targets, and refuses them.
 
-Owns the findings under way. What counts as a crash is decided here, what follows from crashes in
-`ferrydock.crashes`. Relies on the target directory for planned ends.
+Owns the checks of targets that are in progress. This module decides what counts as a crash;
+`ferrydock.crashes` decides what follows from crashes. Relies on the target directory to recognise
+planned shutdowns.
 """
 
 import asyncio
@@ -18,14 +19,14 @@
 
 _LOG = logging.getLogger("ferrydock.forwarding")
 
-# How long a request that may have crashed its third target waits until that is known, in seconds:
-# a little longer than one look takes (`crashes._probe.ANSWER_WITHIN_S`). One with fewer crashes
-# goes on at once. Chosen, not measured.
-WAIT_FOR_LOOK_S = 0.15
+# How long a request that may have crashed its third target waits for the check of that target: a
+# little longer than one probe takes (`crashes._probe.ANSWER_WITHIN_S`). A request with fewer
+# crashes is retried without waiting.
+MAX_CHECK_WAIT_S = 0.15
 
-# Ends of an attempt that say nothing about the target's process: it answered, refused, or had never
-# seen the request; or the caller's time was over.
-_NO_SIGN_OF_A_CRASH = (
+# Reasons for the end of an attempt that are no sign of a crash: the target answered, refused or
+# never received the request, or the caller's deadline passed.
+_REASONS_WITHOUT_CRASH = (
     AttemptReason.ERROR,
     AttemptReason.WRONG_ANSWER,
     AttemptReason.REFUSED,
@@ -40,14 +41,14 @@
     Parameters
     ----------
     history : CrashHistory
-        What is known of requests, here and at peers.
+        Crashes by request identity, from this daemon and its peers.
     directory : TargetDirectory
-        Tells which targets end as planned.
+        Shows which targets shut down as planned.
     metrics : RouteMetrics
         Counts crashes and refusals.
     """
 
-    __slots__ = ("_findings", "clock", "directory", "history", "metrics", "probe")
+    __slots__ = ("_checks", "clock", "directory", "history", "metrics", "probe")
 
     def __init__(
         self,
@@ -61,60 +62,61 @@
         self.metrics = metrics
         self.clock = clock
         self.probe = TargetProbe()
-        self._findings: set[asyncio.Task] = set()
+        self._checks: set[asyncio.Task] = set()
 
     # One request ----------------------------------------------------------------------------------
 
     def admit(self, exchange: Exchange) -> float:
-        """Return 0 if a request may be sent, else in how many seconds it may come again."""
+        """Return 0 if a request may be sent, else the seconds until its caller may retry."""
         exchange.admitted_s = self.clock.now_s()
         return self.history.admit(exchange.identity)
 
-    def is_refused(self, exchange: Exchange) -> bool:
-        """Return whether a request became known as crashing after it had been admitted."""
+    def is_known_since_admission(self, exchange: Exchange) -> bool:
+        """Return whether a request was found to crash its targets after it had been admitted."""
         return self.history.is_known_since(exchange.identity, exchange.admitted_s)
 
     def refused_for_s(self, exchange: Exchange) -> float:
-        """Return in how many seconds a request may come again."""
+        """Return the seconds until a refused request may be retried."""
         return self.history.refused_for_s(exchange.identity)
 
-    def answered(self, exchange: Exchange) -> None:
-        """Note that a target answered a request whole."""
+    def record_answer(self, exchange: Exchange) -> None:
+        """Record that a target answered a request completely."""
         self.history.note_answer(exchange.identity)
 
-    async def attempt_failed(
-        self, exchange: Exchange, target: Target, end: AttemptEnd, began_s: float
+    async def check_failed_attempt(
+        self, exchange: Exchange, target: Target, end: AttemptEnd, sent_s: float
     ) -> None:
-        """Find out whether an attempt ended with its target's process.
+        """Start checking whether an attempt failed because its target's process ended.
 
-        Returns at once, so that the request can go on elsewhere, unless this would be the crash
-        that makes it known: then after the first look at the target.
+        Returns without waiting for the result, so that the request can be retried elsewhere.
+        However, if this crash would be the one after which the request is refused, waits up to
+        `MAX_CHECK_WAIT_S` for the result.
 
         Parameters
         ----------
         target : Target
-            As it was listed when the request was sent.
+            The target's entry in the directory when the request was sent.
         began_s : float
-            When the request was sent to it.
+            Local time at which the request was sent.
         """
-        if not end.ran or end.reason in _NO_SIGN_OF_A_CRASH or self._is_leaving(target):
+        if not end.may_have_run or end.reason in _REASONS_WITHOUT_CRASH or self._is_leaving(target):
             return
         ended_s = self.clock.now_s()
-        finding = asyncio.get_running_loop().create_task(
-            self._find(exchange, target, began_s, ended_s)
+        check = asyncio.get_running_loop().create_task(
+            self._check_for_crash(exchange, target, sent_s, ended_s)
         )
-        self._findings.add(finding)
-        finding.add_done_callback(self._findings.discard)
+        self._checks.add(check)
+        check.add_done_callback(self._checks.discard)
         if self.history.crashes_of(exchange.identity) + 1 >= CRASHES_TO_KNOW:
-            await asyncio.wait({finding}, timeout=WAIT_FOR_LOOK_S)
+            await asyncio.wait({check}, timeout=MAX_CHECK_WAIT_S)
 
     def _is_leaving(self, target: Target) -> bool:
-        """Return whether a target ends as planned: it has said so, or left the list before."""
+        """Return whether a target shuts down as planned: it is draining or not listed."""
         listed = self.directory.targets.get(target.target_id)
         return listed is None or listed.draining
 
-    async def _find(
-        self, exchange: Exchange, target: Target, began_s: float, ended_s: float
+    async def _check_for_crash(
+        self, exchange: Exchange, target: Target, sent_s: float, ended_s: float
     ) -> None:
         presence = await self.probe.look(target.target_id, target.address)
         if presence is not TargetPresence.GONE:
@@ -127,15 +129,15 @@
             request=exchange.inbound.request_id,
             identity=exchange.identity,
             target=target.target_id,
-            ran_ms=(ended_s - began_s) * 1000,
+            ran_ms=(ended_s - sent_s) * 1000,
             crashes=self.history.crashes_of(exchange.identity) + 1,
         )
-        self.history.note_crash(exchange.identity, target.target_id, began_s, ended_s)
+        self.history.note_crash(exchange.identity, target.target_id, sent_s, ended_s)
 
     async def close(self) -> None:
-        """End what is under way."""
-        findings = list(self._findings)
-        for finding in findings:
-            finding.cancel()
-        await asyncio.gather(*findings, return_exceptions=True)
+        """Cancel the checks in progress."""
+        checks = list(self._checks)
+        for check in checks:
+            check.cancel()
+        await asyncio.gather(*checks, return_exceptions=True)
         await self.probe.close()
--- a/ferrydock/forwarding/_dialect.py
+++ b/ferrydock/forwarding/_dialect.py
@@ -1,6 +1,7 @@
-"""The port that reads a caller's headers and writes those for a target.
+"""Interface for reading callers' request headers and writing those sent to targets.
 
-A deployment names the headers; the rest of ferrydock knows only the fields below.
+Each deployment implements `RequestDialect` with its own header names. The rest of ferrydock uses
+only the fields defined here.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,20 +17,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Inbound:
-    """What a caller's headers say.
+    """Contents of a caller's request headers.
 
     Attributes
     ----------
     request_id : str
-        Empty if the caller gave none.
+        Id that the caller gave the request; empty if it gave none.
     left_s : float or None
-        How many seconds the caller will wait; None if it does not say.
+        Seconds until the caller's deadline; None if the caller gave none.
     key : str
-        Key of the caller's team; empty if none was given.
+        API key of the caller's team; empty if none was given.
     model : str
-        Model wanted; empty for a plain service.
+        Requested model; empty for a service without models.
     last_event_id : int or None
-        The event after which a stream goes on.
+        Id of the event after which a stream is to resume; None for its beginning.
     """
 
     request_id: str
@@ -41,18 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Outbound:
-    """What a target is sent in addition to the caller's own headers.
+    """What the headers to a target say in addition to the caller's own headers.
 
     Attributes
     ----------
     target_id : str
-        The incarnation that is meant: addresses are reused, and another one must refuse.
+        Incarnation that the request is for. Addresses are reused, so a different incarnation at
+        the same address must refuse the request.
     left_s : float
         Seconds until the caller's deadline.
     team : str
-        Empty on public routes.
+        Name of the caller's team; empty on public routes.
     last_event_id : int or None
-        The last event that the caller has, if a stream is resumed.
+        Id of the last event that the caller has received, if a stream is resumed.
     """
 
     target_id: str
@@ -63,26 +65,26 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHeaders:
-    """What the head of a target's answer says.
+    """Contents of the head of a target's answer.
 
     Attributes
     ----------
     not_executed : bool
-        The target promises that the request did not run and will not.
+        Whether the target guarantees that the request did not run and will not.
     request_id : str
-        The request that the answer belongs to; empty if it does not say.
+        Id of the request that the answer belongs to; empty if the head has none.
     signed : bool
-        Whether the answer was made by a target, and not by something on the way.
+        Whether a target made the answer, and not an intermediary such as a proxy.
     is_targets_own : bool
-        Whether it was made by the target that was asked, refusals included.
+        Whether the answer, possibly a refusal, was made by the target that the request was for.
     is_leaving : bool or Fault
-        Whether the target says that it leaves; a fault if what it says cannot be read.
+        Whether the target announces that it is shutting down; a fault if the header is invalid.
     rate_limit_per_s : float, None or Fault
-        Requests a second that the target takes from all daemons together; None if it names none,
-        a fault if what it names cannot be read.
+        Requests per second that the target accepts from all daemons together; None if it states no
+        limit, a fault if the header is invalid.
     rest_s : float, None or Fault
-        Seconds for which the target, which refuses the request, wants none of this daemon; None if
-        it asks for no rest, a fault if what it asks for cannot be read.
+        Back-off that a target requests when it refuses a request: for so many seconds this daemon
+        is to send it none. None if it requests none, a fault if the header is invalid.
     """
 
     not_executed: bool
@@ -95,15 +97,15 @@
 
 
 class RequestDialect(Protocol):
-    """Names and formats of headers on both sides."""
+    """Names and formats of the headers from callers and to and from targets."""
 
     def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
-        """Return what a request says, or the header that cannot be read."""
+        """Parse a caller's headers; return `Invalid` with the fault if one cannot be parsed."""
 
     def outgoing(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
     ) -> CIMultiDict[str]:
-        """Return the headers for a target: the caller's, less those of one connection."""
+        """Return the headers for a target: the caller's end-to-end headers and `outbound`."""
 
     def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
-        """Read the head of a target's answer."""
+        """Parse the head of a target's answer."""
--- a/ferrydock/forwarding/_endpoint_selector.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -1,7 +1,7 @@
-"""Choice of a target by what this daemon alone knows, and this daemon's queue.
+"""Chooses targets from this daemon's own state, and queues requests for free slots.
 
-Used where there is no hall scheduler: by the table's daemon always, by the route daemon while the
-scheduler does not answer. Owns the queue; relies on the catalog for which targets there are and on
+Used without a hall scheduler: always by the table's daemon, and by the route daemon while the
+scheduler does not answer. Owns the queue; relies on the catalog for the targets and on
 `TargetLoads` for this daemon's own requests and ejections.
 """
 
@@ -25,32 +25,32 @@
 
 __all__ = ["EndpointSelector"]
 
-# When a request may come again that this daemon, alone, may send to none of its targets, since all
-# are under limits: in about this time a new leader schedules the hall's requests.
-LONE_RETRY_S = 1.0
+# Retry-After of a request that a daemon without a hall scheduler may send to no target, since all
+# are at their rate limits. In about this time a new leader schedules the hall's requests.
+LEADERLESS_RETRY_S = 1.0
 
-# Pause between two looks at targets of which all rest.
-REST_LOOK_S = 0.1
+# Time between two checks of targets that are all backed off.
+BACKOFF_POLL_S = 0.1
 
 
 class EndpointSelector:
-    """Assigns slots of targets to this daemon's requests.
+    """Assigns slots of targets to this daemon's requests, without a hall scheduler.
 
     Parameters
     ----------
     catalog : EndpointCatalog
-        Which targets can serve a request.
+        Lists the targets that can serve a request.
     loads : TargetLoads
-        This daemon's requests at each target; a slot counts as taken there at once.
+        This daemon's requests at each target; counts a slot as taken once it is assigned.
     hall : str
         Hall of this daemon; its targets are preferred.
     daemons : callable
-        Returns how many daemons share the connections that a target takes, and its limit.
+        Returns the number of daemons that share a target's connections and its rate limit.
 
     Attributes
     ----------
     pacer : LonePacer
-        Bounds the requests to targets under a limit.
+        Bounds the request rate to targets that have stated a limit.
     """
 
     __slots__ = ("_queue", "catalog", "clock", "daemons", "hall", "loads", "pacer", "rng")
@@ -75,30 +75,30 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait in this daemon's queue."""
+        """Number of requests in this daemon's queue."""
         return len(self._queue)
 
     async def acquire(self, exchange: Exchange, max_queue_s: float) -> Endpoint | None:
-        """Return an endpoint whose slot is taken, or None if none came free in time.
+        """Acquire a slot; return its endpoint, or None if none became free in time.
 
         Parameters
         ----------
         max_queue_s : float
-            How long the request may wait; 0 and less for not at all.
+            How long the request may wait, in seconds; not at all if 0 or less.
         """
         needs = (exchange.service.name, exchange.inbound.model)
         exchange.no_endpoint = NoEndpoint()
         until_s = self.clock.now_s() + max_queue_s
-        if not await self._wait_for_rests(exchange, until_s):
+        if not await self._wait_for_backoffs(exchange, until_s):
             return None
         max_queue_s = until_s - self.clock.now_s()
         endpoint = None
         if not self._queue.must_wait(exchange.rank, needs):
-            endpoint = self._take(exchange)
+            endpoint = self._acquire_free(exchange)
         if endpoint is not None:
             return endpoint
-        if self._is_kept_by_limits(exchange):
-            exchange.no_endpoint = NoEndpoint(NoEndpointReason.TARGETS_LIMITED, LONE_RETRY_S)
+        if self._is_blocked_by_limits(exchange):
+            exchange.no_endpoint = NoEndpoint(NoEndpointReason.TARGETS_LIMITED, LEADERLESS_RETRY_S)
             return None
         if max_queue_s <= 0:
             return None
@@ -107,45 +107,46 @@
             needs,
             exchange,
             max_queue_s,
-            leaves_out=tuple(sorted(exchange.tried)),
+            leaves_out=tuple(sorted(exchange.tried_target_ids)),
             give_back=self.release,
         )
 
     def release(self, endpoint: Endpoint) -> None:
-        """Give a slot back, and assign it to a request that waits for it."""
+        """Release a slot, and assign free slots to queued requests."""
         self.loads.request_ended(endpoint.target.target_id)
         self.assign_free_slots()
 
     def report(self) -> None:
-        """Report soon what has changed here; a daemon without a scheduler tells nobody."""
+        """Do nothing: there is no scheduler to report to. `HallEndpointSelector` overrides this."""
 
     def assign_free_slots(self) -> None:
         """Assign free slots to queued requests, highest priority first."""
-        self._queue.assign_free_slots(self._take)
+        self._queue.assign_free_slots(self._acquire_free)
 
     def endpoint_count(self, exchange: Exchange) -> int:
-        """Return how many endpoints could serve a request, full and ejected ones included."""
+        """Return the number of endpoints for a request, including full and ejected ones."""
         return len(self._endpoints(exchange))
 
     def may_go_elsewhere(self, exchange: Exchange) -> bool:
-        """Return whether a request can have another target than those it has tried.
+        """Return whether a request has, or may soon have, a target that it has not tried.
 
-        Replicas are formed all the time, so one may appear before the caller's deadline. Plain
-        targets are not: a request waited for a second one in vain (docs/MEASUREMENTS.md, second
-        sitting, "no wait for a second target").
+        Replicas are formed continually, so one may appear before the caller's deadline. Targets of
+        services without an engine are not, and requests that waited for a second one got none.
         """
         if exchange.service.engine is not None:
             return True
-        return any(e.target.target_id not in exchange.tried for e in self._endpoints(exchange))
+        return any(
+            e.target.target_id not in exchange.tried_target_ids for e in self._endpoints(exchange)
+        )
 
-    def _take(self, exchange: Exchange) -> Endpoint | None:
-        """Choose an endpoint and count its slot as taken; None if all are full.
+    def _acquire_free(self, exchange: Exchange) -> Endpoint | None:
+        """Choose an endpoint and count its slot as taken; return None if all are full.
 
-        Targets that were tried or that rest are left out. Ejected ones are used only if all others
-        are ejected too: then the list of failures says more about this daemon than about them.
+        Excludes targets that were tried or are backed off. Ejected targets are used only if all
+        are ejected: the cause is then more likely this daemon than the targets.
         """
         now_s = self.clock.now_s()
-        untried = self._awake(exchange, now_s)
+        untried = self._accepting(exchange, now_s)
         healthy = [e for e in untried if not self.loads.is_ejected(e.target.target_id, now_s)]
         candidates = self._candidates(exchange, healthy or untried)
         endpoint = least_loaded(candidates, self.hall, DAEMON_SELECTION, self.rng)
@@ -156,45 +157,45 @@
 
     def _untried(self, exchange: Exchange) -> list[Endpoint]:
         endpoints = self._endpoints(exchange)
-        return [e for e in endpoints if e.target.target_id not in exchange.tried]
+        return [e for e in endpoints if e.target.target_id not in exchange.tried_target_ids]
 
-    def _awake(self, exchange: Exchange, now_s: float) -> list[Endpoint]:
-        """Return the endpoints that a request may go to and that do not rest."""
-        rests = self.catalog.rests
-        return [e for e in self._untried(exchange) if rests.left_s(e.target, now_s) <= 0]
+    def _accepting(self, exchange: Exchange, now_s: float) -> list[Endpoint]:
+        """Return the endpoints that a request has not tried and that are not backed off."""
+        backoffs = self.catalog.rests
+        return [e for e in self._untried(exchange) if backoffs.left_s(e.target, now_s) <= 0]
 
-    async def _wait_for_rests(self, exchange: Exchange, until_s: float) -> bool:
-        """Wait while all targets rest; return False at once if they do so for too long.
+    async def _wait_for_backoffs(self, exchange: Exchange, until_s: float) -> bool:
+        """Wait while all targets are backed off; return False if that would last past `until_s`.
 
-        A target may join meanwhile, so the time is not slept through.
+        Sleeps in short intervals, since a target may join in the meantime.
         """
-        while (left_s := self._resting_for_s(exchange)) > 0:
+        while (left_s := self._backoff_remaining_s(exchange)) > 0:
             if self.clock.now_s() + left_s > until_s:
                 exchange.no_endpoint = NoEndpoint(NoEndpointReason.TARGETS_REST, left_s)
                 return False
-            await asyncio.sleep(min(left_s, REST_LOOK_S))
+            await asyncio.sleep(min(left_s, BACKOFF_POLL_S))
         return True
 
-    def _resting_for_s(self, exchange: Exchange) -> float:
-        """Return in how many seconds a target wants requests again; 0 if one does now."""
-        rests = self.catalog.rests
-        if not rests:
+    def _backoff_remaining_s(self, exchange: Exchange) -> float:
+        """Return the seconds until the first back-off ends; 0 if a target is not backed off."""
+        backoffs = self.catalog.rests
+        if not backoffs:
             return 0.0
         now_s = self.clock.now_s()
-        return min((rests.left_s(e.target, now_s) for e in self._untried(exchange)), default=0.0)
+        return min((backoffs.left_s(e.target, now_s) for e in self._untried(exchange)), default=0.0)
 
-    def _is_kept_by_limits(self, exchange: Exchange) -> bool:
-        """Return whether limits alone keep a request from all targets that it could go to."""
+    def _is_blocked_by_limits(self, exchange: Exchange) -> bool:
+        """Return whether rate limits are what keeps a request from every target it could use."""
         now_s = self.clock.now_s()
-        awake = self._awake(exchange, now_s)
-        return bool(awake) and not any(
-            self.pacer.may_send(e.target.target_id, now_s) for e in awake
+        accepting = self._accepting(exchange, now_s)
+        return bool(accepting) and not any(
+            self.pacer.may_send(e.target.target_id, now_s) for e in accepting
         )
 
     def _candidates(self, exchange: Exchange, endpoints: list[Endpoint]) -> list[Candidate]:
-        """Return the endpoints that have a connection, and room in their limit, for this daemon.
+        """Return the endpoints with a free connection and rate limit left for this daemon.
 
-        The connections that a target takes are divided evenly among all daemons.
+        The connections that a target accepts are divided evenly among all daemons.
         """
         connections = max(1, exchange.service.max_connections // self.daemons())
         now_s = self.clock.now_s()
--- a/ferrydock/forwarding/_exchange.py
+++ b/ferrydock/forwarding/_exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller while it is under way; state of that request only."""
+"""State of one caller's request while it is in flight, and of its attempts at targets."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,11 +26,11 @@
 
 
 class CallerGone(ConnectionError):
-    """The caller's connection ended before its answer did."""
+    """The caller disconnected before its answer was complete."""
 
 
 class NoEndpointReason(StrEnum):
-    """Why a request got no target, as in log lines and in what its caller is told."""
+    """Why a request got no target, as written to log lines and sent to the caller."""
 
     NO_ROOM = "no_room"
     TARGETS_LIMITED = "targets_limited"
@@ -39,20 +39,20 @@
 
 @dataclass(frozen=True, slots=True)
 class NoEndpoint:
-    """Why a request got no target, and when it may get one.
+    """Why a request got no target, and when the caller may retry.
 
     Attributes
     ----------
     again_s : float
-        Seconds until one of its targets may be sent requests again; 0 where nothing but room lacks.
+        Seconds until one of its targets accepts requests again; 0 if all slots are merely taken.
     """
 
     reason: NoEndpointReason = NoEndpointReason.NO_ROOM
-    again_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 class AttemptReason(StrEnum):
-    """Why an attempt ended, as in log lines and metrics."""
+    """Why an attempt ended, as written to log lines and metrics."""
 
     ANSWERED = "answered"
     STREAMED = "streamed"
@@ -71,84 +71,88 @@
 
     Attributes
     ----------
-    whole : bool
-        Whether the caller has its final answer.
-    ran : bool
-        False only where the request certainly did not run at the target.
+    is_complete : bool
+        Whether the caller has received its final answer completely.
+    may_have_run : bool
+        False only if the request certainly did not run at the target.
     reason : str
-        An `AttemptReason`; ``broken_`` and the error's name for a connection that broke before
-        the answer's head; or the reason of an interruption.
-    offered : bool
-        Whether the target may have seen a byte of the request.
+        An `AttemptReason`; ``broken_`` and the name of the error, if the connection failed before
+        the head of the answer arrived; or the reason for which the attempt was interrupted.
+    may_have_received : bool
+        Whether the target may have received any byte of the request.
     status : int
         Status of the target's answer; 0 if there was none.
     """
 
-    whole: bool
-    ran: bool
+    is_complete: bool
+    may_have_run: bool
     reason: str
-    offered: bool = True
+    may_have_received: bool = True
     status: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt that can be interrupted once its replica is known to be broken."""
+    """An attempt in flight, which can be interrupted when its replica is found to be broken."""
 
     exchange: "Exchange"
     replica: ReplicaView | None
-    limit: asyncio.Timeout
-    interrupted: str = ""
+    timeout: asyncio.Timeout
+    interrupt_reason: str = ""
 
     def interrupt(self, reason: str) -> None:
-        """End the attempt now."""
-        if not self.interrupted:
-            self.interrupted = reason
-            self.limit.reschedule(asyncio.get_running_loop().time())
+        """End the attempt immediately; only the first reason counts."""
+        if not self.interrupt_reason:
+            self.interrupt_reason = reason
+            self.timeout.reschedule(asyncio.get_running_loop().time())
 
 
 @dataclass(slots=True)
 class Exchange:
-    """A request, what was decided about it, and what its caller has received.
+    """A request, the decisions made about it, and the part of its answer sent to the caller.
 
     Attributes
     ----------
     team_priority : int
-        0 is the most urgent; so is it for routes.
-    started_s : float
+        Priority of the caller's team; 0 is the highest, as it is for routes.
+    received_s : float
         Local time at which the request's head was read.
-    until_s : float
-        Local time at which the caller's patience or the route's time limit ends.
+    deadline_s : float
+        Local time of the caller's deadline or of the route's time limit, whichever is earlier.
     body : bytes or None
-        The whole body; None where it is passed on as it comes and can be sent only once.
-    body_start : bytes
-        What was read of a body that is passed on as it comes.
+        The complete body; None if it is streamed to the target and can be sent only once.
+    body_prefix : bytes
+        The part of a streamed body that was read before the first attempt.
     identity : str
-        Under which all tries of this request are known (`crashes.request_identity`).
-    tried : set of str
-        Ids of targets that were sent this request.
+        Equal for all repetitions of the request by its caller (`crashes.request_identity`).
+    tried_target_ids : set of str
+        Ids of the targets to which this request was sent.
+    attempt_count : int
+        Attempts started so far.
     response : web.StreamResponse or None
-        The answer that has begun.
+        The answer to the caller, once it has begun.
     events : NumberedEvents or None
-        What of a stream was passed on; None for an answer that is no stream.
-    first_s : float or None
-        Seconds from the request to the first bytes of its answer.
+        Position in a stream; None if the answer is not a stream.
+    first_bytes_s : float or None
+        Seconds from receiving the request to the first bytes of its answer.
     longest_gap_s, queued_s : float
-        Longest pause between two events; time spent waiting for a slot.
-    last_on_connection : callable
-        Whether the connection is to end with this answer.
-    age_s : float
-        Time since the caller's first try, when this request came; 0 if it is the first.
+        Longest pause between two events, and time spent waiting for slots, in seconds.
+    last_reason : str
+        Reason for which the last failed attempt ended; empty if none has failed.
+    is_last_on_connection : callable
+        Returns whether the caller's connection is to be closed after this answer.
+    since_first_sent_s : float
+        Estimated seconds since the caller first sent this request; 0 if it is not repeated.
     is_late : bool
-        Whether its answer cannot be in time any more.
+        Whether the answer cannot meet the route's objective for the first bytes.
     may_have_run : bool
-        Whether a target may have run it; while an attempt is under way, True.
+        Whether a target may have run the request; True while an attempt is in flight.
     budget : RetryBudget or None
-        What a further attempt is paid from; None until the forwarder has taken the request.
+        Budget that retries are taken from; None until the forwarder has admitted the request.
     admitted_s : float
-        When it was found not to be refused as one that crashes its targets.
+        Local time at which the request passed the check for requests that crash their targets.
     no_endpoint : NoEndpoint
-        Why it got no target, where it got none.
+        Why the last wait for a slot ended without a target.
     """
 
     request: web.BaseRequest
@@ -157,21 +161,21 @@
     service: ServiceSpec
     team: str
     team_priority: int
-    started_s: float
-    until_s: float
+    received_s: float
+    deadline_s: float
     body: bytes | None
-    body_start: bytes = b""
+    body_prefix: bytes = b""
     identity: str = ""
-    last_on_connection: Callable[[], bool] = lambda: False
-    tried: set[str] = field(default_factory=set)
-    attempts: int = 0
+    is_last_on_connection: Callable[[], bool] = lambda: False
+    tried_target_ids: set[str] = field(default_factory=set)
+    attempt_count: int = 0
     response: web.StreamResponse | None = None
     events: NumberedEvents | None = None
-    first_s: float | None = None
+    first_bytes_s: float | None = None
     longest_gap_s: float = 0.0
     queued_s: float = 0.0
     last_reason: str = ""
-    age_s: float = 0.0
+    since_first_sent_s: float = 0.0
     is_late: bool = False
     may_have_run: bool = False
     budget: RetryBudget | None = None
@@ -180,7 +184,9 @@
 
     @property
     def rank(self) -> tuple[int, int, int, float]:
-        """Order among waiting requests, the smallest first: team, route, lateness, time."""
-        is_late = self.is_late and self.response is None  # an answer that has begun is urgent
-        by_s = queue_order_s(self.started_s, self.age_s, self.route.first_answer_s, is_late)
+        """Sort key among waiting requests, smallest first: team, route, lateness, time."""
+        is_late = self.is_late and self.response is None  # a begun answer is never ordered as late
+        by_s = queue_order_s(
+            self.received_s, self.since_first_sent_s, self.route.first_answer_s, is_late
+        )
         return (self.team_priority, self.route.priority, int(is_late), by_s)
--- a/ferrydock/forwarding/_forwarder.py
+++ b/ferrydock/forwarding/_forwarder.py
@@ -1,8 +1,9 @@
-"""The life of one forwarded request: attempts until there is a final answer.
+"""Serves one request: makes attempts until there is a final answer.
 
-Owns no state between requests. The rules it applies: `_refusal` (how long to wait, what to answer),
-`_retry_rule` (whether to try again), `retry_budget.RetryBudget` (how many retries there may be),
-`_crash_guard` (whether it crashes its targets).
+Owns the observed times of requests, and no state of a request after it has ended. Applies the rules
+of `_admission` (how long a first attempt waits for a slot), `_refusal` (how long a retry waits, how
+to refuse), `_retry_rule` (whether to retry), `retry_budget.RetryBudget` (how many retries are
+allowed) and `_crash_guard` (whether the request crashes its targets).
 """
 
 import asyncio
@@ -35,21 +36,21 @@
 
 
 class Forwarder:
-    """Serves a request whole, or says what became of it.
+    """Serves requests until each has a complete answer or is refused.
 
     Parameters
     ----------
     attempts : AttemptRunner
         Sends a request to one target.
     budgets : callable
-        Returns the retry budget of a service by its name.
+        Returns the retry budget of the service with a given name.
     crashes : CrashGuard
         Refuses requests that crash their targets.
 
     Attributes
     ----------
     stop_limit : StopLimit
-        Ends the requests that are left once the daemon's time to stop is over.
+        Ends the remaining requests when the time for a planned stop is over.
     """
 
     __slots__ = (
@@ -80,97 +81,101 @@
         self._log = RequestLog(attempts.metrics, clock)
 
     async def forward(self, exchange: Exchange) -> web.StreamResponse:
-        """Serve one request; its answer may have been sent when this returns."""
+        """Serve one request; the returned answer may already have been sent."""
         try:
             return await self._serve(exchange)
-        except (ConnectionError, asyncio.CancelledError) as left:
-            self._log.caller_left(exchange, left, self._held_s(exchange))
+        except (ConnectionError, asyncio.CancelledError) as error:
+            self._log.caller_left(exchange, error, self._since_arrival_s(exchange))
             raise
 
     async def _serve(self, exchange: Exchange) -> web.StreamResponse:
-        """Serve one request unless this daemon's time to stop ends first."""
+        """Serve one request; end it if the time for a planned stop is over first."""
         try:
             async with self.stop_limit.hold():
                 return await self._attempt_until_final(exchange)
         except DaemonStopping:
-            return self._give_up(exchange, STOPPING)
+            return self._end_without_answer(exchange, STOPPING)
 
     async def _attempt_until_final(self, exchange: Exchange) -> web.StreamResponse:
         """Make attempts until there is a final answer."""
-        again_s = self.crashes.admit(exchange)
-        if again_s > 0:
-            self._log.crashing_request_refused(exchange, again_s, self._held_s(exchange))
-            return refusal(SERVICE_UNAVAILABLE, CRASHES_TARGETS, again_s)
+        retry_after_s = self.crashes.admit(exchange)
+        if retry_after_s > 0:
+            self._log.crashing_request_refused(
+                exchange, retry_after_s, self._since_arrival_s(exchange)
+            )
+            return refusal(SERVICE_UNAVAILABLE, CRASHES_TARGETS, retry_after_s)
         budget = self.budgets(exchange.service.name)
         budget.first_attempt()
         exchange.budget = budget
         while True:
-            asked_s = self.clock.now_s()
-            endpoint = await self._acquire(exchange, asked_s)
-            exchange.queued_s += self.clock.now_s() - asked_s
+            wait_started_s = self.clock.now_s()
+            endpoint = await self._acquire(exchange, wait_started_s)
+            exchange.queued_s += self.clock.now_s() - wait_started_s
             if endpoint is None:
-                return self._give_up(exchange, exchange.no_endpoint.reason)
-            if self.crashes.is_refused(exchange):  # it became known while this one waited
+                return self._end_without_answer(exchange, exchange.no_endpoint.reason)
+            if self.crashes.is_known_since_admission(exchange):  # found while the request waited
                 self.selector.release(endpoint)
-                return self._give_up(exchange, CRASHES_TARGETS)
-            ran_before = exchange.may_have_run
-            exchange.may_have_run = True  # unless the attempt's end says otherwise
+                return self._end_without_answer(exchange, CRASHES_TARGETS)
+            may_have_run_before = exchange.may_have_run
+            exchange.may_have_run = True  # updated when the attempt ends
             sent_s = self.clock.now_s()
             end = await self.attempts.run(exchange, endpoint)
-            exchange.may_have_run = ran_before or end.ran
-            if end.whole:
-                self.crashes.answered(exchange)
-                self._note_first_answer(exchange)
-                self._log.request_done(exchange, end, endpoint, self._held_s(exchange))
+            exchange.may_have_run = may_have_run_before or end.may_have_run
+            if end.is_complete:
+                self.crashes.record_answer(exchange)
+                self._record_times(exchange)
+                self._log.request_done(exchange, end, endpoint, self._since_arrival_s(exchange))
                 return existing(exchange.response, "the whole answer")
             exchange.last_reason = end.reason
             self._log.attempt_failed(exchange, end, endpoint)
-            await self.crashes.attempt_failed(exchange, endpoint.target, end, sent_s)
-            if self.crashes.is_refused(exchange):
-                return self._give_up(exchange, CRASHES_TARGETS)
+            await self.crashes.check_failed_attempt(exchange, endpoint.target, end, sent_s)
+            if self.crashes.is_known_since_admission(exchange):
+                return self._end_without_answer(exchange, CRASHES_TARGETS)
             may_go_elsewhere = self.selector.may_go_elsewhere(exchange)
-            if not may_retry(exchange, end, self._left_s(exchange), may_go_elsewhere):
-                return self._give_up(exchange, end.reason)
+            if not may_retry(exchange, end, self._remaining_s(exchange), may_go_elsewhere):
+                return self._end_without_answer(exchange, end.reason)
             if not budget.spend():
-                return self._give_up(exchange, "retry_budget")
+                return self._end_without_answer(exchange, "retry_budget")
 
     async def _acquire(self, exchange: Exchange, now_s: float) -> Endpoint | None:
-        """Wait for a slot; return None if none came free."""
-        if exchange.attempts:
+        """Acquire a slot for the next attempt; return None if none became free in time."""
+        if exchange.attempt_count:
             return await self.selector.acquire(exchange, max_retry_queue_s(exchange, now_s))
-        left_s = self._left_s(exchange)
-        exchange.age_s = self.times.request_age_s(exchange.route.name, left_s)
+        left_s = self._remaining_s(exchange)
+        exchange.since_first_sent_s = self.times.request_age_s(exchange.route.name, left_s)
         usual_first_s = self.times.usual_first_s(exchange.service.name, exchange.inbound.model)
-        waiting = queue_times(exchange.route.first_answer_s, exchange.age_s, usual_first_s, left_s)
-        exchange.is_late = not waiting.in_time_s
-        return await self.selector.acquire(exchange, waiting.in_time_s or waiting.late_s)
-
-    def _note_first_answer(self, exchange: Exchange) -> None:
-        """Observe the times of a request that its first target answered."""
-        if exchange.attempts == 1 and exchange.first_s is not None:
-            first_s = exchange.first_s - exchange.queued_s
+        queue_wait = queue_times(
+            exchange.route.first_answer_s, exchange.since_first_sent_s, usual_first_s, left_s
+        )
+        exchange.is_late = not queue_wait.in_time_s
+        return await self.selector.acquire(exchange, queue_wait.in_time_s or queue_wait.late_s)
+
+    def _record_times(self, exchange: Exchange) -> None:
+        """Record the observed times of a request that was answered at the first attempt."""
+        if exchange.attempt_count == 1 and exchange.first_bytes_s is not None:
+            first_s = exchange.first_bytes_s - exchange.queued_s
             kind = exchange.service.name, exchange.inbound.model
             self.times.record_first_bytes(*kind, first_s)
             if exchange.longest_gap_s:
                 self.times.record_longest_pause(*kind, exchange.longest_gap_s)
 
-    def _left_s(self, exchange: Exchange) -> float:
-        return exchange.until_s - self.clock.now_s()
+    def _remaining_s(self, exchange: Exchange) -> float:
+        return exchange.deadline_s - self.clock.now_s()
 
-    def _held_s(self, exchange: Exchange) -> float:
-        return self.clock.now_s() - exchange.started_s
+    def _since_arrival_s(self, exchange: Exchange) -> float:
+        return self.clock.now_s() - exchange.received_s
 
-    def _give_up(self, exchange: Exchange, reason: str) -> web.StreamResponse:
-        """Return the final answer of a request that gets none of a target's.
+    def _end_without_answer(self, exchange: Exchange, reason: str) -> web.StreamResponse:
+        """Log a request that ends without a complete answer from a target, and return its response.
 
-        An answer that has begun cannot be taken back: its connection is reset, so that the caller
-        does not take what it has for the whole.
+        If the answer has begun, its status cannot change: the connection is reset, so that the
+        caller does not mistake the part it received for the complete answer.
         """
         self._log.request_failed(
             exchange,
             reason,
             exchange.may_have_run,
-            since_arrival_s=self._held_s(exchange),
+            since_arrival_s=self._since_arrival_s(exchange),
             endpoint_count=self.selector.endpoint_count(exchange),
             queued=self.selector.waiting,
         )
@@ -178,10 +183,10 @@
             if exchange.request.transport is not None:
                 exchange.request.transport.abort()
             return exchange.response
-        status = final_status(exchange.may_have_run, self._left_s(exchange))
+        status = final_status(exchange.may_have_run, self._remaining_s(exchange))
         if status != SERVICE_UNAVAILABLE:
             return refusal(status, reason, None)
         if reason == CRASHES_TARGETS:
             return refusal(status, reason, self.crashes.refused_for_s(exchange))
-        again_s = retry_after_s(reason, exchange, self.selector.rng)
-        return refusal(status, reason, again_s)
+        delay_s = retry_after_s(reason, exchange, self.selector.rng)
+        return refusal(status, reason, delay_s)
--- a/ferrydock/forwarding/_gateway.py
+++ b/ferrydock/forwarding/_gateway.py
@@ -1,7 +1,7 @@
-"""The HTTP gateway for routes: checks a request, then hands it to the forwarder.
+"""The HTTP gateway for routes: checks each request, then passes it to the forwarder.
 
-Owns the listening socket and the count of requests in flight. Relies on the current configuration
-for routes, keys and limits; without one, every request is refused.
+Owns the listening socket and the number of requests in flight. Relies on the current configuration
+for routes, keys and limits; without a configuration, it refuses every request.
 """
 
 import asyncio
@@ -37,75 +37,74 @@
 
 _LOG = logging.getLogger("ferrydock.forwarding")
 
-# Longest line and longest field that the HTTP parser accepts; the configuration's own limit on the
-# whole head is checked afterwards. Chosen, not measured.
+# Maximum length of a line and of a header field for the HTTP parser. The configuration's limit on
+# the complete head is checked afterwards.
 MAX_PARSED_HEAD_BYTES = 65536
 
-# A body up to this size is read whole before the first attempt, so that it can be sent again. It
-# bounds the memory of a daemon at full load. Of a longer one this much is read before it is passed
-# on, since it tells which request it is. Chosen, not measured.
-MAX_KEPT_BODY_BYTES = IDENTIFIED_BODY_BYTES
+# A body up to this size is read completely before the first attempt, so that the request can be
+# retried; the limit bounds a daemon's memory at full load. Of a larger body this much is read
+# before it is streamed to a target, since the request's identity is computed from it.
+MAX_BUFFERED_BODY_BYTES = IDENTIFIED_BODY_BYTES
 
-# When a caller may come back who met a daemon without a current configuration, in seconds. A store
-# that returns is noticed within about that time. Chosen, not measured.
+# Retry-After for requests refused because the daemon has no current configuration. A store that is
+# reachable again is detected within about that time.
 NOT_CONFIGURED_RETRY_S = 0.5
 
-# Patience of a caller who does not say how long it waits, in seconds. Chosen, not measured.
+# Deadline of a request whose caller states none.
 DEFAULT_DEADLINE_S = 30.0
 
-# Pause between the end of listening and closing the socket and connections without a request, in
-# seconds: lets requests that lie unread, also on connections that wait to be accepted, be read and
-# refused as not run. Chosen, not measured.
-CLOSE_RESTING_DELAY_S = 0.05
+# Time between the end of listening and closing the socket and idle connections. During it, requests
+# that are still unread, also on connections that are not yet accepted, are read and refused as not
+# run.
+CLOSE_IDLE_DELAY_S = 0.05
 
-# What stands in a request line beside method and path: two spaces, "HTTP/1.1" and the line's end.
-REQUEST_LINE_REST_BYTES = 12
-FIELD_REST_BYTES = 4
+# Bytes of a request line beside method and path: two spaces, "HTTP/1.1" and CRLF.
+REQUEST_LINE_OVERHEAD_BYTES = 12
+FIELD_OVERHEAD_BYTES = 4
 
-# aiohttp's own limit on idle connections, switched off: `enforce_timeouts` applies the limit of the
-# configuration, which may change while connections are open.
-IDLE_ENFORCED_HERE_S = 86400.0
+# Effectively disables aiohttp's own limit on idle connections: `enforce_timeouts` applies that of
+# the configuration, which may change while connections are open.
+DISABLED_KEEPALIVE_TIMEOUT_S = 86400.0
 
-# Connections that may wait to be accepted; how long the rest of a body that nobody reads is drained
-# before its connection closes, in seconds; how long `close` waits for open connections, in seconds.
-# Chosen, not measured.
+# Maximum number of connections waiting to be accepted; how long the unread rest of a request body
+# is drained before its connection is closed; how long `close` waits for open connections.
 LISTEN_BACKLOG = 1024
 LINGERING_S = 1.0
-SHUTDOWN_S = 0.2
+SHUTDOWN_TIMEOUT_S = 0.2
 
-# HTTP statuses (RFC 9110). The first is for a caller that left before its answer: it is never sent.
+# HTTP statuses (RFC 9110). The first is used for a disconnected caller and never sent.
 CALLER_LEFT_STATUS = 499
 BAD_REQUEST = 400
 UNAUTHORIZED = 401
 NOT_FOUND = 404
-BODY_TOO_LARGE = 413
+BODY_TOO_LARGE_STATUS = 413
 
 
 class RouteGateway:
-    """Listens to callers of routes.
+    """Accepts requests from callers on routes.
 
     Parameters
     ----------
     current : CurrentConfiguration
         Routes, keys and limits in force.
     forwarder : Forwarder
-        Serves what passes the checks.
+        Serves the requests that pass the checks.
     dialect : RequestDialect
-        Reads callers' headers.
+        Parses callers' headers.
     max_age_s : callable
-        Returns how old the configuration's confirmation may be for a request with a key
-        (`configuration.max_keyed_age_s`).
+        Returns the maximum age, in seconds, of the configuration's last confirmation for serving
+        requests with a key (`configuration.max_keyed_age_s`).
 
     Attributes
     ----------
     stopping : bool
-        Whether each answer ends its connection, since the daemon is about to stop.
+        Whether connections are closed after their next answer, since the daemon will stop.
     has_stopped_listening : bool
-        Whether requests that are read from now on are refused.
+        Whether newly read requests are refused.
     in_flight : int
-        Requests that have no whole answer yet.
+        Number of requests whose answers are not complete.
     address : str
-        ``IP:PORT`` it listens on.
+        ``IP:PORT`` that the gateway listens on.
     """
 
     __slots__ = (
@@ -146,13 +145,13 @@
         self._sockets: asyncio.Server | None = None
 
     async def start(self, listen: str) -> None:
-        """Begin to listen on ``IP:PORT``."""
+        """Start listening on ``IP:PORT``."""
         host, port = listen.rsplit(":", 1)
         self._server = Listener(
             self._handle,
             handler_cancellation=True,
             access_log=None,
-            keepalive_timeout=IDLE_ENFORCED_HERE_S,
+            keepalive_timeout=DISABLED_KEEPALIVE_TIMEOUT_S,
             max_line_size=MAX_PARSED_HEAD_BYTES,
             max_field_size=MAX_PARSED_HEAD_BYTES,
             lingering_time=LINGERING_S,
@@ -164,51 +163,51 @@
         self.address = f"{bound[0]}:{bound[1]}"
 
     def announce_stop(self) -> None:
-        """End each connection with its next answer from now on."""
+        """Make each connection close after its next answer."""
         self.stopping = True
 
     def stop_listening(self) -> None:
-        """Serve what has been read, refuse what is read from now on; then take nothing more.
+        """Serve requests read so far, refuse those read later, and soon close the socket.
 
-        The socket closes a moment later: connections that wait to be accepted would be reset, and
-        cost their callers a try without an answer.
+        The socket is closed after `CLOSE_IDLE_DELAY_S`. Closing it immediately would reset the
+        connections that are not yet accepted, and their callers would get no answer.
         """
         self.has_stopped_listening = True
         if self._server is not None:
-            self._server.end_listening()
-            asyncio.get_running_loop().call_later(CLOSE_RESTING_DELAY_S, self.close_resting)
+            self._server.refuse_new_requests()
+            asyncio.get_running_loop().call_later(CLOSE_IDLE_DELAY_S, self.close_resting)
 
     def close_resting(self) -> None:
-        """Close the listening socket, and the connections without a request."""
+        """Close the listening socket and the idle connections."""
         if self._sockets is not None:
             self._sockets.close()
         if self._server is not None:
             for connection in self._server.caller_connections():
-                connection.close_resting()
+                connection.close_if_idle()
 
     def enforce_timeouts(self) -> None:
-        """End callers' connections that send or rest longer than the configuration allows."""
+        """Close connections that exceed the configuration's header timeout or idle timeout."""
         if self.current.lookup is not None:
             limits = self.current.lookup.configuration.limits
-            existing(self._server, "the listener").enforce(
+            existing(self._server, "the listener").close_timed_out(
                 limits.header_timeout_s, limits.idle_timeout_s
             )
 
     async def close(self) -> None:
-        """End what is left: each request with its true answer, then the connections.
+        """End the remaining requests, each with an answer, and then close the connections.
 
-        Cut by the listener's own end, a request that has not run would end without an answer, and
-        its caller could not tell that it may be repeated.
+        The answer says whether the request may have run. If the listener's shutdown cut a request
+        that has not run, its caller could not tell that repeating it is safe.
         """
         self.stop_listening()
         log_listeners(_LOG, "listener_closing", [self])
         self.forwarder.stop_limit.end()
         if self._server is not None:
-            await self._server.shutdown(SHUTDOWN_S)
+            await self._server.shutdown(SHUTDOWN_TIMEOUT_S)
 
     @property
     def connection_count(self) -> int:
-        """How many callers' connections are open."""
+        """Number of open connections from callers."""
         return len(self._server.connections) if self._server is not None else 0
 
     # One request ----------------------------------------------------------------------------
@@ -216,9 +215,9 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         self.in_flight += 1
         connection = caller_connection(request)
-        is_taken = connection.begin_request()
+        was_read_before_stop = connection.begin_request()
         try:
-            response = await self._serve(request, is_taken)
+            response = await self._serve(request, was_read_before_stop)
         except (CallerGone, ConnectionError):
             return web.Response(status=CALLER_LEFT_STATUS)
         finally:
@@ -229,21 +228,23 @@
         return response
 
     def _ends_connection(self, connection: CallerConnection, response: web.StreamResponse) -> bool:
-        """Return whether a connection ends with an answer.
+        """Return whether to close a connection after a response.
 
-        One that has read a further request does not: that request is answered first.
+        Not if a further request was read on it: that request is answered first.
         """
-        if connection.has_unbegun:
+        if connection.has_unhandled_request:
             return False
         return self.has_stopped_listening or (self.stopping and not response.prepared)
 
-    async def _serve(self, request: web.BaseRequest, is_taken: bool) -> web.StreamResponse:
-        """Check head, route and key of a request, in this order, and forward it.
+    async def _serve(
+        self, request: web.BaseRequest, was_read_before_stop: bool
+    ) -> web.StreamResponse:
+        """Check head, route and key of a request, in this order, then forward or refuse it.
 
         Parameters
         ----------
-        is_taken : bool
-            Whether it was read before this daemon stopped listening.
+        was_read_before_stop : bool
+            Whether the request was read before this daemon stopped listening.
         """
         now_s = self.clock.now_s()
         lookup = self.current.lookup
@@ -260,24 +261,24 @@
         route = lookup.route(request.headers.get("Host", ""), request.raw_path)
         if route is None:
             return refusal(NOT_FOUND, "no_route", None)
-        if not is_taken:
+        if not was_read_before_stop:
             return self._refuse_stopping(inbound, route)
         team: Team | None = None
         if lookup.has_teams and not route.public:
-            found = self._team_of(inbound, lookup, route, now_s)
+            found = self._authenticate(inbound, lookup, route, now_s)
             if isinstance(found, web.Response):
                 return found
             team = found
         return await self._forward(request, inbound, lookup, route, team, now_s)
 
-    def _team_of(
+    def _authenticate(
         self, inbound: Inbound, lookup: ConfigurationLookup, route: Route, now_s: float
     ) -> Team | web.Response:
-        """Return the team that a request's key belongs to, or the refusal.
+        """Return the team that a request's key belongs to, or the response that refuses it.
 
-        A key counts only while the configuration is known to be current: it may have been revoked
-        since. An old configuration is answered with 503, not 401, so that a caller with a good key
-        comes back.
+        A key is accepted only while the configuration is known to be current, since it may have
+        been revoked. With an outdated configuration the response is 503 and not 401, so that a
+        caller with a valid key retries.
         """
         if self.current.age_s(now_s) > self.max_age_s():
             self._log_refused(inbound, route, "configuration_unconfirmed")
@@ -289,7 +290,7 @@
         return team
 
     def _refuse_stopping(self, inbound: Inbound, route: Route) -> web.Response:
-        """Refuse a request that was not sent to any target, since this daemon stops."""
+        """Refuse a request, which no target has received, because this daemon is stopping."""
         self._log_refused(inbound, route, STOPPING)
         return refusal(SERVICE_UNAVAILABLE, STOPPING, STOPPING_RETRY_S, close=True)
 
@@ -306,8 +307,8 @@
         limits = lookup.configuration.limits
         length = request.content_length
         if length is not None and length > limits.body_bytes:
-            return refusal(BODY_TOO_LARGE, "body_too_large", None, close=True)
-        service = lookup.configuration.services.get(self._pick(route.services))
+            return refusal(BODY_TOO_LARGE_STATUS, "body_too_large", None, close=True)
+        service = lookup.configuration.services.get(self._pick_service(route.services))
         if service is None:
             return refusal(SERVICE_UNAVAILABLE, "no_service", NOT_CONFIGURED_RETRY_S)
         left_s = min(route.time_limit_s, inbound.left_s or DEFAULT_DEADLINE_S)
@@ -317,7 +318,7 @@
         except DaemonStopping:
             return self._refuse_stopping(inbound, route)
         if read is None:
-            return refusal(BODY_TOO_LARGE, "body_too_large", None, close=True)
+            return refusal(BODY_TOO_LARGE_STATUS, "body_too_large", None, close=True)
         team_name = team.name if team else ""
         exchange = Exchange(
             request=request,
@@ -326,12 +327,12 @@
             service=service,
             team=team_name,
             team_priority=team.priority if team else 0,
-            started_s=now_s,
-            until_s=now_s + left_s,
-            body=read.data if read.is_whole else None,
-            body_start=b"" if read.is_whole else read.data,
+            received_s=now_s,
+            deadline_s=now_s + left_s,
+            body=read.data if read.is_complete else None,
+            body_prefix=b"" if read.is_complete else read.data,
             identity=_identity(request, team_name, read, length),
-            last_on_connection=self._is_stopping,
+            is_last_on_connection=self._is_stopping,
             events=NumberedEvents(inbound.last_event_id) if route.kind.is_stream else None,
         )
         return await self.forwarder.forward(exchange)
@@ -339,8 +340,8 @@
     def _is_stopping(self) -> bool:
         return self.stopping
 
-    def _pick(self, services: tuple[WeightedService, ...]) -> str:
-        """Return the name of one of a route's services, drawn by their weights."""
+    def _pick_service(self, services: tuple[WeightedService, ...]) -> str:
+        """Return the name of a service, chosen at random by weight."""
         if len(services) == 1:
             return services[0].service
         weights = [weighted.weight for weighted in services]
@@ -360,48 +361,49 @@
 
 
 def _head_bytes(request: web.BaseRequest) -> int:
-    """Return the size of a request's head, as it was sent."""
-    line = len(request.method) + len(request.raw_path) + REQUEST_LINE_REST_BYTES
-    fields = (len(name) + len(value) + FIELD_REST_BYTES for name, value in request.raw_headers)
+    """Return the size of a request's head as the caller sent it."""
+    line = len(request.method) + len(request.raw_path) + REQUEST_LINE_OVERHEAD_BYTES
+    fields = (len(name) + len(value) + FIELD_OVERHEAD_BYTES for name, value in request.raw_headers)
     return line + sum(fields)
 
 
 @dataclass(frozen=True, slots=True)
 class _ReadBody:
-    """What was read of a body before the request is sent on.
+    """The part of a body that is read before the request is forwarded.
 
     Attributes
     ----------
-    is_whole : bool
-        Whether it is all of it; else the rest is passed on as it comes.
+    is_complete : bool
+        Whether this is the complete body; if not, the rest is streamed to the target.
     """
 
     data: bytes
-    is_whole: bool
+    is_complete: bool
 
 
 async def _read_body(
     request: web.BaseRequest, length: int | None, limits: IngressLimits
 ) -> _ReadBody | None:
-    """Read a body that is small enough to keep, else its beginning; None if it is too large.
+    """Read a body completely, or only its beginning if it is too large to buffer.
 
-    One that does not tell its length is read whole.
+    A body without a declared length is read completely. Returns None if the body exceeds the
+    configured limit.
     """
     if not request.can_read_body:
         return _ReadBody(b"", True)
-    is_kept = length is None or length <= MAX_KEPT_BODY_BYTES
+    is_buffered = length is None or length <= MAX_BUFFERED_BODY_BYTES
     pieces, size = [], 0
     async for piece in request.content.iter_any():
         size += len(piece)
         if size > limits.body_bytes:
             return None
         pieces.append(piece)
-        if not is_kept and size >= MAX_KEPT_BODY_BYTES:
+        if not is_buffered and size >= MAX_BUFFERED_BODY_BYTES:
             break
-    return _ReadBody(b"".join(pieces), is_kept)
+    return _ReadBody(b"".join(pieces), is_buffered)
 
 
 def _identity(request: web.BaseRequest, team: str, read: _ReadBody, length: int | None) -> str:
     host = request.headers.get("Host", "")
-    whole_bytes = None if read.is_whole else length
-    return request_identity(request.method, host, request.raw_path, team, read.data, whole_bytes)
+    total_bytes = None if read.is_complete else length
+    return request_identity(request.method, host, request.raw_path, team, read.data, total_bytes)
--- a/ferrydock/forwarding/_hall_endpoint_selector.py
+++ b/ferrydock/forwarding/_hall_endpoint_selector.py
@@ -1,6 +1,6 @@
-"""Choice of a target by the hall scheduler, and by this daemon alone where that is unreachable.
+"""Chooses targets through the hall scheduler, or locally if the scheduler is unreachable.
 
-Owns nothing beyond the `EndpointSelector` it extends; relies on `scheduling.SchedulerClient`.
+Owns no state beyond the `EndpointSelector` it extends; relies on `scheduling.SchedulerClient`.
 """
 
 from typing import TypeGuard
@@ -13,12 +13,12 @@
 
 
 class HallEndpointSelector(EndpointSelector):
-    """Asks the hall scheduler for each slot.
+    """Requests each slot from the hall scheduler.
 
     Attributes
     ----------
     scheduler : SchedulerClient or None
-        Reaches the scheduler; None to decide alone.
+        Sends requests to the scheduler; None to choose targets locally.
     """
 
     __slots__ = ("scheduler",)
@@ -28,79 +28,79 @@
         self.scheduler = scheduler
 
     async def acquire(self, exchange: Exchange, max_queue_s: float) -> Endpoint | None:
-        """Return an endpoint whose slot is taken, or None if none came free in time.
+        """Acquire a slot; return its endpoint, or None if none became free in time.
 
-        The scheduler is asked twice: first without waiting, so that a scheduler which is gone
-        costs 0.15 s and not the time in its queue; then for a place in its queue.
+        Up to two requests go to the scheduler. The first does not wait in its queue, so that a
+        scheduler that is down costs 0.15 s and not the queue time; the second does.
         """
         until_s = self.clock.now_s() + max_queue_s
         exchange.no_endpoint = NoEndpoint()
-        if not await self._wait_for_rests(exchange, until_s):
+        if not await self._wait_for_backoffs(exchange, until_s):
             return None
-        reply = await self._ask(exchange, 0.0)
+        reply = await self._request_slot(exchange, 0.0)
         if _is_full(reply):
             left_s = until_s - self.clock.now_s()
             if left_s > reply.limited_for_s:
-                reply = await self._ask(exchange, left_s)
+                reply = await self._request_slot(exchange, left_s)
             if _is_full(reply):
                 if reply.limited_for_s > 0:
                     limited = NoEndpointReason.TARGETS_LIMITED
                     exchange.no_endpoint = NoEndpoint(limited, reply.limited_for_s)
                 return None
         if reply is not None and reply.target_id:
-            endpoint = self._usable(exchange, reply.target_id)
+            endpoint = self._find_usable(exchange, reply.target_id)
             if endpoint is not None:
                 self.loads.request_started(endpoint.target.target_id, self.clock.now_s())
                 return endpoint
-        # No reply, no target known to the scheduler, or one that is not in the list here (which
-        # may be older or newer than the scheduler's) or has asked for rest meanwhile: decide alone.
+        # Choose locally: there is no reply, the scheduler knows no target, or its target is backed
+        # off or not listed here (this daemon's list may be older or newer than the scheduler's).
         return await super().acquire(exchange, until_s - self.clock.now_s())
 
     def release(self, endpoint: Endpoint) -> None:
-        """Give a slot back, and report that to the scheduler."""
+        """Release a slot, and report that to the scheduler."""
         super().release(endpoint)
         self.report()
 
     def report(self) -> None:
-        """Report soon what has changed here to the scheduler."""
+        """Schedule a report of this daemon's state to the scheduler."""
         if self.scheduler is not None:
             self.scheduler.report_soon()
 
-    async def _ask(self, exchange: Exchange, hold_s: float) -> SlotReply | None:
+    async def _request_slot(self, exchange: Exchange, hold_s: float) -> SlotReply | None:
         if self.scheduler is None:
             return None
-        return await self.scheduler.ask(self._request(exchange, hold_s))
+        return await self.scheduler.ask(self._slot_request(exchange, hold_s))
 
-    def _usable(self, exchange: Exchange, target_id: str) -> Endpoint | None:
-        """Return the endpoint of a target id; None if it is not listed here, or rests."""
+    def _find_usable(self, exchange: Exchange, target_id: str) -> Endpoint | None:
+        """Return the endpoint of a target id; None if it is not listed here or is backed off."""
         now_s = self.clock.now_s()
         found = (e for e in self._endpoints(exchange) if e.target.target_id == target_id)
         return next((e for e in found if self.catalog.rests.left_s(e.target, now_s) <= 0), None)
 
-    def _request(self, exchange: Exchange, hold_s: float) -> SlotRequest:
+    def _slot_request(self, exchange: Exchange, hold_s: float) -> SlotRequest:
         now_s = self.clock.now_s()
         return SlotRequest(
             sender="",
             service=exchange.service.name,
             model=exchange.inbound.model if exchange.service.engine else "",
-            avoid=self._to_avoid(exchange, now_s),
+            avoid=self._target_ids_to_avoid(exchange, now_s),
             rank=exchange.rank[:3],
             left_s=exchange.rank[3] - now_s,
             hold_s=hold_s,
-            resting=self._resting(exchange, now_s),
+            resting=self._backed_off_ids(exchange, now_s),
         )
 
-    def _resting(self, exchange: Exchange, now_s: float) -> tuple[str, ...]:
-        """Return the ids of targets that want no request of this daemon now."""
+    def _backed_off_ids(self, exchange: Exchange, now_s: float) -> tuple[str, ...]:
+        """Return the ids of targets that have requested a back-off from this daemon."""
         if not self.catalog.rests:
             return ()
         targets = (e.target for e in self._endpoints(exchange))
         resting = (t.target_id for t in targets if self.catalog.rests.left_s(t, now_s) > 0)
         return tuple(sorted(resting))
 
-    def _to_avoid(self, exchange: Exchange, now_s: float) -> tuple[str, ...]:
-        """Return the ids of targets that were tried, are ejected here or are broken here."""
-        avoid = set(exchange.tried)
+    def _target_ids_to_avoid(self, exchange: Exchange, now_s: float) -> tuple[str, ...]:
+        """Return the ids of targets that were tried, or that are ejected or broken here."""
+        avoid = set(exchange.tried_target_ids)
         directory = self.catalog.directory
         for target in directory.of_service(exchange.service.name):
             if self.loads.is_ejected(target.target_id, now_s):
@@ -112,5 +112,5 @@
 
 
 def _is_full(reply: SlotReply | None) -> TypeGuard[SlotReply]:
-    """Return whether the scheduler knows targets for the request, all of them full."""
+    """Return whether the scheduler replied that all targets for the request are full."""
     return reply is not None and reply.candidates > 0 and not reply.target_id
--- a/ferrydock/forwarding/_headers.py
+++ b/ferrydock/forwarding/_headers.py
@@ -1,13 +1,13 @@
-"""Headers that concern one connection only, and are not passed on (RFC 9110, section 7.6.1).
+"""Removal of hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 
-Stateless; used for requests on their way to a target and for answers on their way back.
+Stateless; used for requests to targets and for answers to callers.
 """
 
 from collections.abc import Iterable
 
 __all__ = ["end_to_end"]
 
-_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "expect",
@@ -24,7 +24,7 @@
 
 
 def end_to_end(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers that go on to the other side, in order, repeated ones kept.
+    """Return the headers to forward, in order and with repetitions.
 
     Examples
     --------
@@ -32,8 +32,8 @@
     [('A', '1'), ('a', '2')]
     """
     pairs = list(headers)
-    named = set(_ONE_CONNECTION)
+    hop_by_hop = set(_HOP_BY_HOP)
     for name, value in pairs:
         if name.lower() == "connection":
-            named.update(part.strip().lower() for part in value.split(","))
-    return [(name, value) for name, value in pairs if name.lower() not in named]
+            hop_by_hop.update(part.strip().lower() for part in value.split(","))
+    return [(name, value) for name, value in pairs if name.lower() not in hop_by_hop]
--- a/ferrydock/forwarding/_listener.py
+++ b/ferrydock/forwarding/_listener.py
@@ -1,8 +1,8 @@
-"""Connections of callers: time limits, and answers to what is no readable request.
+"""Connections of callers: their timeouts, and the responses to requests that cannot be parsed.
 
-Owns for each connection what is under way on it and since when. Relies on aiohttp's own count of
-the requests that its parser has read on a connection, which is kept nowhere public: a request is
-under way from then on, not only once its handler begins.
+Owns, for each connection, the number of requests in flight and the time since which it is idle.
+Relies on aiohttp's count of the requests its parser has read on a connection, a private attribute:
+a request counts as received once it is parsed, even if its handler has not started.
 """
 
 import logging
@@ -25,75 +25,83 @@
 HEADERS_TOO_LARGE = 431
 REQUEST_TIMEOUT = 408
 
-# Written to the connection as it is: while a head is incomplete there is no request to answer.
-_REQUEST_TIMEOUT_ANSWER = (
+# Written to the transport directly: while a head is incomplete, aiohttp has no request to answer.
+_REQUEST_TIMEOUT_RESPONSE = (
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
 
 class CallerConnection(RequestHandler):
-    """One connection; what cannot be read as a request ends it with a plain answer.
+    """One caller's connection; closed with an error response if a request cannot be parsed.
 
     Attributes
     ----------
-    requests : int
-        Requests under way.
+    in_flight : int
+        Requests whose handlers run.
     rests_since_s : float
-        Loop time since which nothing is under way.
+        Loop time of the end of the last request, or of the connection's start.
     head_since_s : float or None
-        Loop time at which the first bytes of a head came that is not complete yet.
+        Loop time at which the first bytes of an incomplete head arrived; None if there is none.
     begun : int
-        Requests whose handlers have begun.
+        Number of requests whose handlers have started.
     """
 
-    __slots__ = ("_taken", "begun", "head_since_s", "requests", "rests_since_s")
+    __slots__ = (
+        "_read_before_stop",
+        "handlers_started",
+        "head_started_s",
+        "in_flight",
+        "idle_since_s",
+    )
 
     def __init__(self, *arguments, **options):
         super().__init__(*arguments, **options)
-        self.requests = 0
-        self.rests_since_s = self._loop.time()
-        self.head_since_s: float | None = None
-        self.begun = 0
-        self._taken: int | None = None
+        self.in_flight = 0
+        self.idle_since_s = self._loop.time()
+        self.head_started_s: float | None = None
+        self.handlers_started = 0
+        self._read_before_stop: int | None = None
 
     def data_received(self, data: bytes) -> None:
-        if not self.requests and self.head_since_s is None:
-            self.head_since_s = self._loop.time()
+        if not self.in_flight and self.head_started_s is None:
+            self.head_started_s = self._loop.time()
         super().data_received(data)
 
     def begin_request(self) -> bool:
-        """Note that a request is under way; return whether it was read before listening ended."""
-        self.requests += 1
-        self.begun += 1
-        self.head_since_s = None
-        return self._taken is None or self.begun <= self._taken
+        """Count a request as in flight; return whether it was read before listening ended."""
+        self.in_flight += 1
+        self.handlers_started += 1
+        self.head_started_s = None
+        return self._read_before_stop is None or self.handlers_started <= self._read_before_stop
 
     @property
-    def has_unbegun(self) -> bool:
-        """Whether a request has been read whose handler has not begun."""
-        return self._request_count > self.begun
+    def has_unhandled_request(self) -> bool:
+        """Whether a request has been read whose handler has not started."""
+        return self._request_count > self.handlers_started
 
     def end_request(self) -> None:
-        """Note that a request's answer is whole."""
-        self.requests -= 1
-        self.rests_since_s = self._loop.time()
+        """Count a request as finished."""
+        self.in_flight -= 1
+        self.idle_since_s = self._loop.time()
 
-    def end_listening(self) -> None:
-        """Note that what is read from now on is not to be served."""
-        if self._taken is None:
-            self._taken = self._request_count
+    def refuse_new_requests(self) -> None:
+        """Mark the requests that are read after this call as not to be served."""
+        if self._read_before_stop is None:
+            self._read_before_stop = self._request_count
 
-    def close_resting(self) -> None:
-        """Close the connection if no request has been read that is not answered yet."""
+    def close_if_idle(self) -> None:
+        """Close the connection unless a request was read that is not answered yet."""
         if is_resting(self):
             self.force_close()
 
-    def enforce(self, now_s: float, header_timeout_s: float, idle_timeout_s: float) -> None:
-        """End the connection if its head takes, or it rests, too long."""
-        if self.requests or self.transport is None:
+    def close_if_timed_out(
+        self, now_s: float, header_timeout_s: float, idle_timeout_s: float
+    ) -> None:
+        """Close the connection if it exceeds the header timeout or the idle timeout."""
+        if self.in_flight or self.transport is None:
             return
-        if self.head_since_s is not None:
-            if now_s - self.head_since_s > header_timeout_s:
+        if self.head_started_s is not None:
+            if now_s - self.head_started_s > header_timeout_s:
                 log_event(
                     _LOG,
                     logging.INFO,
@@ -101,15 +109,15 @@
                     status=REQUEST_TIMEOUT,
                     why="head too slow",
                 )
-                self.transport.write(_REQUEST_TIMEOUT_ANSWER)
+                self.transport.write(_REQUEST_TIMEOUT_RESPONSE)
                 self.force_close()
-        elif now_s - self.rests_since_s > idle_timeout_s:
+        elif now_s - self.idle_since_s > idle_timeout_s:
             self.force_close()
 
     def handle_error(
         self, request, status: int = FIRST_SERVER_ERROR_STATUS, exc=None, message: str | None = None
     ) -> web.StreamResponse:
-        """Answer what aiohttp could not read, or a fault of a handler, in ferrydock's own form."""
+        """Respond to a request that aiohttp cannot parse, or to a handler's exception."""
         if request.writer.output_size > 0:
             raise ConnectionError("the answer has begun")
         if isinstance(exc, LineTooLong):
@@ -125,35 +133,35 @@
 
 
 def caller_connection(request: web.BaseRequest) -> CallerConnection:
-    """Return the connection that a request came on; only `Listener` makes them."""
+    """Return the connection that a request arrived on; all are created by `Listener`."""
     if not isinstance(request.protocol, CallerConnection):
         raise BrokenInvariant(f"a request came on a {type(request.protocol).__name__}")
     return request.protocol
 
 
 class Listener(web.Server):
-    """Makes the protocol of each new connection."""
+    """Creates a `CallerConnection` for each new connection."""
 
-    _has_ended = False
+    _is_refusing = False
 
     def __call__(self) -> CallerConnection:
         connection = CallerConnection(self, loop=self._loop, **self._kwargs)
-        if self._has_ended:
-            connection.end_listening()
+        if self._is_refusing:
+            connection.refuse_new_requests()
         return connection
 
-    def end_listening(self) -> None:
-        """Serve what has been read, and nothing that is read from now on."""
-        self._has_ended = True
+    def refuse_new_requests(self) -> None:
+        """Make all connections refuse the requests that are read after this call."""
+        self._is_refusing = True
         for connection in self.caller_connections():
-            connection.end_listening()
+            connection.refuse_new_requests()
 
     def caller_connections(self) -> list[CallerConnection]:
-        """Return the connections that are open."""
+        """Return the open connections."""
         return [each for each in self.connections if isinstance(each, CallerConnection)]
 
-    def enforce(self, header_timeout_s: float, idle_timeout_s: float) -> None:
-        """End the connections whose head takes, or that rest, too long."""
+    def close_timed_out(self, header_timeout_s: float, idle_timeout_s: float) -> None:
+        """Close the connections that exceed the header timeout or the idle timeout."""
         now_s = self._loop.time()
         for connection in self.caller_connections():
-            connection.enforce(now_s, header_timeout_s, idle_timeout_s)
+            connection.close_if_timed_out(now_s, header_timeout_s, idle_timeout_s)
--- a/ferrydock/forwarding/_observed_times.py
+++ b/ferrydock/forwarding/_observed_times.py
@@ -17,20 +17,20 @@
 
 # Share of the requests that targets answer within the usual time to the first bytes. With the
 # median, half of the requests that waited for a slot as long as allowed would be late.
-FIRST_QUANTILE = 0.9
+FIRST_BYTES_QUANTILE = 0.9
 
 # Share of the streams whose longest pause is within the usual one. Below 1, because a few streams
 # pause on account of this daemon or of a slow reader.
 PAUSE_QUANTILE = 0.95
 
-# Quantile of the remaining times of a route's requests that is taken as the remaining time of a
-# first attempt. Callers who retry have less time left, and up to three in four requests may be such
-# retries; a few callers have a longer deadline than the rest.
-PATIENCE_QUANTILE = 0.75
+# Quantile of the remaining times of a route's requests that is taken as the time a caller gives a
+# request it sends for the first time. Repeated requests have less time left, and up to three in
+# four requests may be repeated; a few callers give more time than the rest.
+DEADLINE_QUANTILE = 0.75
 
 # Smaller differences in remaining time count as none: callers round it, and sending takes time. The
 # shortest Retry-After of a refusal is several times as long.
-MIN_AGE_S = 0.15
+MIN_REQUEST_AGE_S = 0.15
 
 
 class ObservedTimes:
@@ -48,11 +48,11 @@
     [0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.7999999999999998, 0.0]
     """
 
-    __slots__ = ("_first_s", "_patience_s", "_pauses_s")
+    __slots__ = ("_first_bytes_s", "_remaining_s", "_pauses_s")
 
     def __init__(self):
-        self._first_s: dict[tuple[str, str], deque[float]] = {}
-        self._patience_s: dict[str, deque[float]] = {}
+        self._first_bytes_s: dict[tuple[str, str], deque[float]] = {}
+        self._remaining_s: dict[str, deque[float]] = {}
         self._pauses_s: dict[tuple[str, str], deque[float]] = {}
 
     def record_longest_pause(self, service: str, model: str, pause_s: float) -> None:
@@ -65,28 +65,30 @@
 
     def record_first_bytes(self, service: str, model: str, first_s: float) -> None:
         """Record the time from sending a request to the first bytes of its answer."""
-        self._first_s.setdefault((service, model), deque(maxlen=MAX_OBSERVATIONS)).append(first_s)
+        self._first_bytes_s.setdefault((service, model), deque(maxlen=MAX_OBSERVATIONS)).append(
+            first_s
+        )
 
     def usual_first_s(self, service: str, model: str) -> float | None:
         """Return the time to first bytes that nine of ten requests keep to; None if unknown."""
-        return _quantile(self._first_s.get((service, model), ()), FIRST_QUANTILE)
+        return _quantile(self._first_bytes_s.get((service, model), ()), FIRST_BYTES_QUANTILE)
 
     def request_age_s(self, route: str, left_s: float) -> float:
-        """Estimate how many seconds ago a caller made its first attempt; 0 if this is the first.
+        """Estimate how many seconds ago a caller first sent its request; 0 if it is not repeated.
 
-        All callers of a route are assumed to have the same deadline, so one with less time left
-        has made an attempt before.
+        All callers of a route are assumed to give their requests the same time, so one with less
+        of it left has sent its request before.
 
         Parameters
         ----------
         left_s : float
             Time until the caller's deadline.
         """
-        observed_s = self._patience_s.setdefault(route, deque(maxlen=MAX_OBSERVATIONS))
+        observed_s = self._remaining_s.setdefault(route, deque(maxlen=MAX_OBSERVATIONS))
         observed_s.append(left_s)
-        usual_s = _quantile(observed_s, PATIENCE_QUANTILE)
+        usual_s = _quantile(observed_s, DEADLINE_QUANTILE)
         age_s = usual_s - left_s if usual_s is not None else 0.0
-        return age_s if age_s >= MIN_AGE_S else 0.0
+        return age_s if age_s >= MIN_REQUEST_AGE_S else 0.0
 
 
 def _quantile(observed, quantile: float) -> float | None:
--- a/ferrydock/forwarding/_refusal.py
+++ b/ferrydock/forwarding/_refusal.py
@@ -1,7 +1,6 @@
-"""Rule: when a request is refused, with which status, and when its caller may come back.
+"""When a request is refused, with which status, and when its caller may retry.
 
-Pure but for the random part of the time to come back. A request that is given up gets its answer
-at once.
+Functions without state; only the random part of Retry-After is not determined by the arguments.
 """
 
 import random
@@ -13,23 +12,22 @@
 from ._exchange import Exchange
 
 __all__ = [
-    "TOO_LATE_S",
+    "MIN_ATTEMPT_S",
     "final_status",
     "max_retry_queue_s",
     "refusal",
     "retry_after_s",
 ]
 
-# Seconds in the queue before a further attempt. The request may have run already, so an answer is
-# worth more patience.
-MAX_QUEUE_RETRY_S = 1.0
+# Maximum wait for the slot of a retry. Longer than that of a first attempt: the request may have
+# run already, so its caller could not safely repeat it after a refusal.
+MAX_RETRY_QUEUE_S = 1.0
 
-# Range of the time to come back, in seconds; random, so that callers who were refused together do
-# not return together.
+# Retry-After is drawn from this range, so that callers refused together do not retry together.
 RETRY_AFTER_RANGE_S = (0.4, 1.4)
 
-# A request with less time left gets no further attempt: no target answers in it.
-TOO_LATE_S = 0.02
+# A request with less time until its deadline is not retried: no target answers within this time.
+MIN_ATTEMPT_S = 0.02
 
 # HTTP statuses (RFC 9110).
 BAD_GATEWAY = 502
@@ -38,51 +36,51 @@
 
 
 def max_retry_queue_s(exchange: Exchange, now_s: float) -> float:
-    """Return how many seconds a request may wait for the slot of a further attempt.
+    """Return how many seconds a request may wait for the slot of a retry.
 
-    Never more than its caller's time allows. An answer that has begun waits as long as its caller
-    does: given up, it would be cut in the middle, and a caller who cannot wait leaves by itself.
+    Never beyond the caller's deadline. A request whose answer has begun may wait until then: ending
+    it would cut the answer in the middle, and a caller that cannot wait disconnects by itself.
     """
-    left_s = exchange.until_s - now_s
-    return left_s if exchange.response is not None else min(left_s, MAX_QUEUE_RETRY_S)
+    left_s = exchange.deadline_s - now_s
+    return left_s if exchange.response is not None else min(left_s, MAX_RETRY_QUEUE_S)
 
 
 def final_status(may_have_run: bool, left_s: float) -> int:
-    """Return the status of a request that is given up before its answer began.
+    """Return the status of a request that is ended before its answer began.
 
-    503 promises that the request did not run and will not. One that may have run ends as 504 if
-    its time is over, else as 502, and gets no time to come back: only its caller can tell whether
-    it is safe to repeat.
+    503 guarantees that the request did not run and will not. A request that may have run ends with
+    504 if its deadline has passed, else with 502, both without Retry-After: only the caller can
+    decide whether repeating it is safe.
     """
     if not may_have_run:
         return SERVICE_UNAVAILABLE
-    return GATEWAY_TIMEOUT if left_s <= TOO_LATE_S else BAD_GATEWAY
+    return GATEWAY_TIMEOUT if left_s <= MIN_ATTEMPT_S else BAD_GATEWAY
 
 
 def retry_after_s(reason: str, exchange: Exchange, rng: random.Random) -> float:
-    """Return after how many seconds a caller who was refused for a reason should come back."""
+    """Return the Retry-After, in seconds, for a caller refused for `reason`."""
     if reason == STOPPING:
         return STOPPING_RETRY_S
-    none = exchange.no_endpoint
-    kept_for_s = none.again_s if reason == none.reason else 0.0
-    return kept_for_s + rng.uniform(*RETRY_AFTER_RANGE_S)
+    no_endpoint = exchange.no_endpoint
+    unavailable_s = no_endpoint.retry_after_s if reason == no_endpoint.reason else 0.0
+    return unavailable_s + rng.uniform(*RETRY_AFTER_RANGE_S)
 
 
 def refusal(
     status: int, reason: str, retry_after_s: float | None, close: bool = False
 ) -> web.Response:
-    """Return an answer of ferrydock's own.
+    """Return an error response made by ferrydock itself.
 
     Parameters
     ----------
     status : int
         HTTP status.
     reason : str
-        Snake-case word for programs.
+        Machine-readable error code in snake case.
     retry_after_s : float or None
-        Value of ``Retry-After``; None to send none.
+        Value of the header ``Retry-After``, in seconds; None to omit it.
     close : bool
-        Whether the connection ends with this answer.
+        Whether to close the connection after this response.
     """
     headers = {"Retry-After": f"{retry_after_s:.3g}"} if retry_after_s is not None else {}
     body = orjson.dumps({"error": {"code": reason}})
--- a/ferrydock/forwarding/_request_log.py
+++ b/ferrydock/forwarding/_request_log.py
@@ -84,10 +84,10 @@
             replica=endpoint.replica.name if endpoint.replica else None,
             why=end.reason,
             status=end.status or None,
-            ran=end.ran,
-            attempt=exchange.attempts,
+            ran=end.may_have_run,
+            attempt=exchange.attempt_count,
             after_event=exchange.events.last_id if exchange.events else None,
-            identity=exchange.identity if end.ran else None,
+            identity=exchange.identity if end.may_have_run else None,
         )
 
     def request_done(
@@ -95,7 +95,7 @@
     ) -> None:
         """Log and count a request whose answer is complete."""
         self._count(exchange, "done" if end.status < FIRST_SERVER_ERROR_STATUS else "target_error")
-        first_s = exchange.first_s
+        first_s = exchange.first_bytes_s
         log_event(
             _LOG,
             logging.INFO,
@@ -104,7 +104,7 @@
             route=exchange.route.name,
             target=endpoint.target.target_id,
             status=end.status,
-            attempts=exchange.attempts,
+            attempts=exchange.attempt_count,
             replica=endpoint.replica.name if endpoint.replica else None,
             queued_ms=exchange.queued_s * MS_PER_S,
             first_ms=first_s * MS_PER_S if first_s is not None else None,
@@ -150,7 +150,7 @@
             queued_ms=exchange.queued_s * MS_PER_S,
             open_replicas=endpoint_count,
             waiting=queued,
-            attempts=exchange.attempts,
+            attempts=exchange.attempt_count,
             held_ms=since_arrival_s * MS_PER_S,
         )
 
@@ -164,13 +164,13 @@
             route=exchange.route.name,
             why="caller_left",
             how=type(error).__name__,
-            attempts=exchange.attempts,
+            attempts=exchange.attempt_count,
             held_ms=since_arrival_s * MS_PER_S,
         )
 
     def _count(self, exchange: Exchange, outcome: str) -> None:
         kind = exchange.route.kind
-        self.metrics.ended(exchange.route.name, kind.value, outcome, exchange.first_s)
+        self.metrics.ended(exchange.route.name, kind.value, outcome, exchange.first_bytes_s)
         self.metrics.queue_wait.observe(exchange.queued_s)
-        if kind.is_stream and exchange.first_s is not None:
+        if kind.is_stream and exchange.first_bytes_s is not None:
             self.metrics.longest_gap.observe(exchange.longest_gap_s)
--- a/ferrydock/forwarding/_retry_rule.py
+++ b/ferrydock/forwarding/_retry_rule.py
@@ -5,7 +5,7 @@
 """
 
 from ._exchange import AttemptEnd, AttemptReason, Exchange
-from ._refusal import TOO_LATE_S
+from ._refusal import MIN_ATTEMPT_S
 
 __all__ = ["may_interrupt", "may_retry", "may_retry_server_error"]
 
@@ -33,15 +33,15 @@
     may_go_elsewhere : bool
         Whether a target that was not tried exists, or may appear before the deadline.
     """
-    if end.ran and not exchange.route.kind.is_repeatable:
+    if end.may_have_run and not exchange.route.kind.is_repeatable:
         return False
-    if exchange.body is None and end.offered:
+    if exchange.body is None and end.may_have_received:
         return False
     if exchange.response is not None and exchange.events is None:
         return False
-    if exchange.attempts >= max(exchange.route.attempts, 1):
+    if exchange.attempt_count >= max(exchange.route.attempts, 1):
         return False
-    return may_go_elsewhere and left_s > TOO_LATE_S
+    return may_go_elsewhere and left_s > MIN_ATTEMPT_S
 
 
 def may_interrupt(
@@ -74,6 +74,6 @@
     """
     if not exchange.route.kind.is_repeatable:
         return False
-    if exchange.attempts >= exchange.route.attempts or not may_go_elsewhere:
+    if exchange.attempt_count >= exchange.route.attempts or not may_go_elsewhere:
         return False
     return left_s > exchange.route.first_answer_s * ERROR_RETRY_OBJECTIVE_FRACTION
--- a/ferrydock/forwarding/_upstream.py
+++ b/ferrydock/forwarding/_upstream.py
@@ -1,7 +1,7 @@
-"""Connections to targets: one pool for each incarnation of a target.
+"""Connections to targets, in one pool for each incarnation of a target.
 
-Owns the pools. A target's address may be taken over by another one, so pools are kept by target id
-and closed once the target is gone.
+Owns the pools. An address may be reused by another target, so pools are kept by target id, and are
+closed when the target is removed.
 """
 
 import asyncio
@@ -16,23 +16,21 @@
 
 __all__ = ["Upstream"]
 
-# How long sent bytes may stay unacknowledged before the kernel gives the connection up: behind a
-# cut it would otherwise hang for minutes. A target that is slow still acknowledges. Chosen, not
-# measured.
+# How long sent bytes may stay unacknowledged before the kernel closes the connection. Without the
+# limit, a connection hangs for minutes after a network partition. A slow target still acknowledges.
 TCP_USER_TIMEOUT_MS = 3000
 
-# How long a connection to a target is kept without a request. Chosen, not measured.
-KEEP_IDLE_S = 4.0
+# How long an idle connection to a target is kept open.
+IDLE_TIMEOUT_S = 4.0
 
-# How long connecting may take; after it another target is tried. Lowered in commit 9f0c939; not
-# measured by itself.
+# How long connecting to a target may take before the request is sent to another one.
 CONNECT_TIMEOUT_S = 0.15
 
-# Longest line and longest field of an answer's head that is accepted. Chosen, not measured.
+# Maximum length of a line and of a header field in the head of an answer.
 MAX_HEAD_BYTES = 65536
 
-# aiohttp adds these headers unless it is told not to; a target gets the caller's headers only.
-_NO_AUTOMATIC = frozenset({"User-Agent", "Content-Type", "Accept", "Accept-Encoding"})
+# Headers that aiohttp adds by default; a target is to get those of the caller only.
+_SKIPPED_AUTO_HEADERS = frozenset({"User-Agent", "Content-Type", "Accept", "Accept-Encoding"})
 
 
 def _open_socket(address_info) -> socket.socket:
@@ -44,20 +42,19 @@
 
 
 class Upstream:
-    """Sends requests to targets.
+    """Sends requests to targets over pooled connections.
 
     Notes
     -----
-    A request that may run only once takes a new connection: an answer left over from an earlier
-    request can then not be taken for its own, and a connection that the target has just closed
-    cannot swallow it.
+    A request that may run only once uses a new connection. It can then neither receive an answer
+    left over from an earlier request, nor be lost on a connection that the target has just closed.
     """
 
-    __slots__ = ("_kept", "_single_use")
+    __slots__ = ("_pools", "_single_use_pool")
 
     def __init__(self):
-        self._kept: dict[str, aiohttp.ClientSession] = {}
-        self._single_use: aiohttp.ClientSession | None = None
+        self._pools: dict[str, aiohttp.ClientSession] = {}
+        self._single_use_pool: aiohttp.ClientSession | None = None
 
     async def send(
         self,
@@ -66,62 +63,65 @@
         path: str,
         headers: Mapping[str, str],
         body: bytes | AsyncIterator[bytes],
-        once: bool,
+        runs_once: bool,
     ) -> aiohttp.ClientResponse:
         """Send a request and return the head of its answer.
 
         Parameters
         ----------
         path : str
-            As the caller sent it, with its query; it is not quoted anew.
+            Path and query as the caller sent them; they are not quoted again.
         once : bool
-            Whether the request may run only once.
+            Whether the request may run only once, and so needs a new connection.
 
         Raises
         ------
         aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError
-            Nothing was sent.
+            Nothing was sent to the target.
         aiohttp.ClientError, OSError
-            The request may have been received.
+            The target may have received the request.
         """
-        session = self._session_for(target, once)
+        session = self._session_for(target, runs_once)
         url = URL(f"http://{target.address}{path}", encoded=True)
         return await session.request(method, url, headers=headers, data=body, allow_redirects=False)
 
-    def _session_for(self, target: Target, once: bool) -> aiohttp.ClientSession:
-        if once:
-            if self._single_use is None:
-                self._single_use = _open_session(keep=False)
-            return self._single_use
-        session = self._kept.get(target.target_id)
+    def _session_for(self, target: Target, runs_once: bool) -> aiohttp.ClientSession:
+        if runs_once:
+            if self._single_use_pool is None:
+                self._single_use_pool = _open_session(keep_alive=False)
+            return self._single_use_pool
+        session = self._pools.get(target.target_id)
         if session is None:
-            session = self._kept[target.target_id] = _open_session(keep=True)
+            session = self._pools[target.target_id] = _open_session(keep_alive=True)
         return session
 
     def forget_others(self, target_ids: Container[str], busy_ids: Container[str]) -> None:
         """Close the connections to targets that are neither listed nor busy."""
-        for target_id in [i for i in self._kept if i not in target_ids and i not in busy_ids]:
-            session = self._kept.pop(target_id)
+        for target_id in [i for i in self._pools if i not in target_ids and i not in busy_ids]:
+            session = self._pools.pop(target_id)
             asyncio.get_running_loop().create_task(session.close())
 
     async def close(self) -> None:
         """Close all connections."""
-        sessions = [*self._kept.values(), *([self._single_use] if self._single_use else [])]
-        self._kept.clear()
-        self._single_use = None
+        sessions = [
+            *self._pools.values(),
+            *([self._single_use_pool] if self._single_use_pool else []),
+        ]
+        self._pools.clear()
+        self._single_use_pool = None
         for session in sessions:
             await session.close()
 
 
-def _open_session(keep: bool) -> aiohttp.ClientSession:
-    """Open a pool of connections that are kept for further requests, or used once."""
+def _open_session(keep_alive: bool) -> aiohttp.ClientSession:
+    """Open a pool whose connections are reused, or else closed after one request."""
     return open_session(
         connect_timeout_s=CONNECT_TIMEOUT_S,
-        keep_idle_s=KEEP_IDLE_S if keep else None,
+        keep_idle_s=IDLE_TIMEOUT_S if keep_alive else None,
         socket_factory=_open_socket,
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
-        skip_auto_headers=_NO_AUTOMATIC,
+        skip_auto_headers=_SKIPPED_AUTO_HEADERS,
         max_line_size=MAX_HEAD_BYTES,
         max_field_size=MAX_HEAD_BYTES,
     )
--- a/ferrydock/forwarding/tests/test_crashes.py
+++ b/ferrydock/forwarding/tests/test_crashes.py
@@ -7,7 +7,7 @@
 from ...configuration import RouteKind
 from ...crashes import TargetPresence, TargetProbe, _probe
 from ...targets import Target
-from .._crash_guard import WAIT_FOR_LOOK_S
+from .._crash_guard import MAX_CHECK_WAIT_S
 from .rig import Rig, ScriptedTarget, answers, play, resets, route, whole
 
 
@@ -153,7 +153,7 @@
             rig.directory.put(Target("t9", "plain", other.address, "hall-a", 6))
             began_s = rig.clock.now_s()
             await rig.ask("POST", body=b"hi")
-            assert rig.clock.now_s() - began_s < WAIT_FOR_LOOK_S / 2
+            assert rig.clock.now_s() - began_s < MAX_CHECK_WAIT_S / 2
             other.close()
 
     play(scenario)
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -454,11 +454,11 @@
         async with Rig([route()], [ScriptedTarget(answers(whole()))]) as rig:
             reader, writer, connection = await connected(rig, b"GET /a/x HTTP/1.1\r\nHost: h.ex")
             async with asyncio.timeout(PATIENT_S):
-                while connection.head_since_s is None:
+                while connection.head_started_s is None:
                     await asyncio.sleep(0.01)
-                connection.enforce(connection.head_since_s + 9.9, 10.0, 60.0)
+                connection.close_if_timed_out(connection.head_started_s + 9.9, 10.0, 60.0)
                 assert not connection.transport.is_closing()
-                connection.enforce(connection.head_since_s + 10.1, 10.0, 60.0)
+                connection.close_if_timed_out(connection.head_started_s + 10.1, 10.0, 60.0)
                 assert (await reader.read(-1)).startswith(b"HTTP/1.1 408 ")
             writer.close()
             assert rig.targets[0].requests == []
@@ -473,12 +473,12 @@
             reader, writer, connection = await connected(rig, request)
             async with asyncio.timeout(PATIENT_S):
                 await reader.readuntil(b"ok")
-                while connection.requests:
+                while connection.in_flight:
                     await asyncio.sleep(0.01)
-                rests_s = connection.rests_since_s
-                connection.enforce(rests_s + 59.9, 10.0, 60.0)
+                rests_s = connection.idle_since_s
+                connection.close_if_timed_out(rests_s + 59.9, 10.0, 60.0)
                 assert not connection.transport.is_closing()
-                connection.enforce(rests_s + 60.1, 10.0, 60.0)
+                connection.close_if_timed_out(rests_s + 60.1, 10.0, 60.0)
                 assert await reader.read(-1) == b""
             writer.close()
 
@@ -498,9 +498,9 @@
             request = b"GET /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n\r\n"
             reader, writer, connection = await connected(rig, request)
             async with asyncio.timeout(PATIENT_S):
-                while not connection.requests:
+                while not connection.in_flight:
                     await asyncio.sleep(0.01)
-                connection.enforce(connection.rests_since_s + 1000.0, 10.0, 60.0)
+                connection.close_if_timed_out(connection.idle_since_s + 1000.0, 10.0, 60.0)
                 release.set()
                 assert b"200 OK" in await reader.readuntil(b"ok")
             writer.close()
@@ -536,7 +536,7 @@
 
 
 def test_a_failure_passes_at_once_where_no_other_target_is_left(monkeypatch):
-    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_QUEUE_RETRY_S", 10 * PATIENT_S)
+    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_RETRY_QUEUE_S", 10 * PATIENT_S)
 
     async def scenario():
         patient = route(time_limit_s=10 * PATIENT_S)
@@ -548,7 +548,7 @@
 
 
 def test_a_lost_answer_is_not_waited_for_where_no_other_target_is_left(monkeypatch):
-    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_QUEUE_RETRY_S", 10 * PATIENT_S)
+    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_RETRY_QUEUE_S", 10 * PATIENT_S)
 
     async def scenario():
         patient = route(time_limit_s=10 * PATIENT_S)
@@ -604,6 +604,6 @@
 
 
 def test_a_request_that_may_have_run_is_worth_more_patience():
-    exchange = SimpleNamespace(attempts=1, response=None, until_s=56.0)
+    exchange = SimpleNamespace(attempt_count=1, response=None, deadline_s=56.0)
     assert max_retry_queue_s(exchange, 50.0) == 1.0
     assert max_retry_queue_s(exchange, 55.5) == 0.5
--- a/ferrydock/forwarding/tests/test_identity.py
+++ b/ferrydock/forwarding/tests/test_identity.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from .._gateway import MAX_KEPT_BODY_BYTES
+from .._gateway import MAX_BUFFERED_BODY_BYTES
 from .rig import Rig, ScriptedTarget, answers, play, resets, route, whole
 
 
@@ -26,7 +26,7 @@
     return IdentityLog(caplog)
 
 
-@pytest.mark.parametrize("size", [2, MAX_KEPT_BODY_BYTES, MAX_KEPT_BODY_BYTES + 1, 700_000])
+@pytest.mark.parametrize("size", [2, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, 700_000])
 def test_two_tries_have_one_identity_also_where_the_body_is_passed_on_as_it_comes(told, size):
     async def scenario():
         target = ScriptedTarget(resets(), resets(), resets(), answers(whole(), keep=False))
@@ -48,7 +48,7 @@
         async with Rig([route()], [target]) as rig:
             host, port = rig.gateway.address.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
-            size = MAX_KEPT_BODY_BYTES + 100_000
+            size = MAX_BUFFERED_BODY_BYTES + 100_000
             head = f"POST /a/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: {size}\r\n\r\n"
             writer.write(head.encode())
             body = bytes(n % 251 for n in range(size))
--- a/ferrydock/forwarding/tests/test_planned_stop.py
+++ b/ferrydock/forwarding/tests/test_planned_stop.py
@@ -137,7 +137,7 @@
             await until(lambda: rig.gateway.has_stopped_listening)
             caller.send(REQUEST)
             connection = rig.gateway._server.caller_connections()[0]
-            await until(lambda: connection.has_unbegun)
+            await until(lambda: connection.has_unhandled_request)
             release.set()
             got = await caller.rest()
             assert got.count(b"HTTP/1.1 200") == 1 and got.count(b"HTTP/1.1 503") == 1
