--- a/ferrydock/forwarding/tests/overload.py
+++ b/ferrydock/forwarding/tests/overload.py
@@ -1,8 +1,8 @@
-"""Callers, replicas and rules of admission on virtual time; used by `benchmarks.admission` too.
+"""Simulation of callers and replicas in virtual time; used by `benchmarks.admission` too.
 
-The hall scheduler and the rules are the product's own. Replicas are slots that a request holds for
-a drawn time, and whose first bytes come after a drawn time. Callers come by a Poisson process, give
-up at their deadline, and come back once after the time they were told.
+Runs the real hall scheduler and admission rule. A replica is a number of slots; how long a request
+holds a slot, and how long its first bytes take, are random. Callers arrive in a Poisson process,
+have a deadline, and repeat a refused request once after its Retry-After.
 """
 
 import asyncio
@@ -22,9 +22,9 @@
 SLOTS = 17
 REPLICAS = 5
 LATE_WORTH = 0.25
-# Time to the first bytes: lognormal, median 0.18 s and nine of ten within 0.25 s; time in a slot
-# after that: exponential, 1 s in the mean. The first is near what emulated engines showed at full
-# load (median 0.2 s, nine of ten within 0.23 s); the second is chosen.
+# Time to the first bytes: lognormal, median 0.18 s and nine of ten within 0.25 s. That is near the
+# times of emulated engines at full load (median 0.2 s, nine of ten within 0.23 s). Time in a slot
+# after that: exponential with a mean of 1 s.
 FIRST_MEDIAN_S, FIRST_SPREAD = 0.18, 0.25
 STREAM_MEAN_S = 1.0
 CAPACITY_PER_S = REPLICAS * SLOTS / (FIRST_MEDIAN_S + STREAM_MEAN_S)
@@ -32,54 +32,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of request: its objective, its callers' patience, and its part of the load."""
+    """A kind of request: its objective, its callers' deadline, and its share of the load."""
 
     name: str
     objective_s: float
     patience_s: float
-    part: float = 1.0
+    load_share: float = 1.0
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What the callers of one kind got."""
+    """Results of the requests of one kind."""
 
     in_time: int = 0
     late: int = 0
     refused: int = 0
-    held_in_vain_s: float = 0.0
-    asked: int = 0
+    held_until_refusal_s: float = 0.0
+    caller_count: int = 0
 
     @property
     def worth(self) -> float:
-        """Worth of the answers as a part of what all answers in time would be worth."""
-        return (self.in_time + LATE_WORTH * self.late) / max(1, self.asked)
+        """Worth of the answers, relative to that of answering all requests in time."""
+        return (self.in_time + LATE_WORTH * self.late) / max(1, self.caller_count)
 
 
 class Rule:
-    """The product's rule: in time first, late ones with what is left."""
+    """The rule of `_admission`: requests that can be in time first, then late ones."""
 
     def __init__(self):
         self.times = ObservedTimes()
 
     def queue_times(self, kind: Kind, left_s: float) -> tuple[QueueTimes, float]:
-        """Return the times to wait, and the caller's age."""
+        """Return how long a request may wait, and the seconds since its caller first sent it."""
         age_s = self.times.request_age_s(kind.name, left_s)
         usual_s = self.times.usual_first_s("engines", "large")
         return queue_times(kind.objective_s, age_s, usual_s, left_s), age_s
 
     def rank(self, kind: Kind, arrived_s: float, age_s: float, left_s: float, is_late: bool):
-        """Return the rank of a request and the time that orders it."""
+        """Return the rank of a request and the time by which requests of one rank are ordered."""
         return (0, 1, int(is_late)), queue_order_s(arrived_s, age_s, kind.objective_s, is_late)
 
 
 class RuleBefore(Rule):
-    """The rule before: a part of the objective, then refused; by the callers' deadlines."""
+    """Rule for comparison: waits a share of the objective, ordered by callers' deadlines."""
 
     WAIT_FRACTION = 0.23
 
     def queue_times(self, kind, left_s):
-        """Return the times to wait, and no age."""
+        """Return how long a request may wait, and 0: it does not count as repeated."""
         return QueueTimes(min(left_s, kind.objective_s * self.WAIT_FRACTION), 0.0), 0.0
 
     def rank(self, kind, arrived_s, age_s, left_s, is_late):
@@ -88,55 +88,55 @@
 
 
 @dataclass(slots=True)
-class _World:
+class _Simulation:
     rule: Rule
     rng: random.Random
     clock: LoopClock
     scheduler: HallScheduler
-    running: dict = field(default_factory=dict)
-    seen: list = field(default_factory=list)
+    in_flight: dict = field(default_factory=dict)
+    seen_grants: list = field(default_factory=list)
     outcomes: dict[str, Outcome] = field(default_factory=dict)
 
-    async def call(self, kind: Kind) -> None:
-        """Play one caller, from the first try to the end."""
+    async def run_caller(self, kind: Kind) -> None:
+        """Simulate one caller, from its first request to the end."""
         outcome = self.outcomes.setdefault(kind.name, Outcome())
-        outcome.asked += 1
+        outcome.caller_count += 1
         first_try_s = self.clock.now_s()
         for is_last in (False, True):
             arrived_s = self.clock.now_s()
             left_s = first_try_s + kind.patience_s - arrived_s
-            target_id = await self._slot(kind, arrived_s, left_s)
+            target_id = await self._acquire_slot(kind, arrived_s, left_s)
             if target_id:
                 await self._serve(kind, outcome, first_try_s, target_id)
                 return
-            outcome.held_in_vain_s += self.clock.now_s() - arrived_s
+            outcome.held_until_refusal_s += self.clock.now_s() - arrived_s
             if is_last:
                 outcome.refused += 1
                 return
             await asyncio.sleep(self.rng.uniform(*RETRY_AFTER_RANGE_S))
 
-    async def _slot(self, kind: Kind, arrived_s: float, left_s: float) -> str:
-        waiting, age_s = self.rule.queue_times(kind, left_s)
-        phases = [(waiting.in_time_s, False), (waiting.late_s, True)]
+    async def _acquire_slot(self, kind: Kind, arrived_s: float, left_s: float) -> str:
+        queue_wait, age_s = self.rule.queue_times(kind, left_s)
+        phases = [(queue_wait.in_time_s, False), (queue_wait.late_s, True)]
         for wait_s, is_late in phases:
             if wait_s <= 0:
                 continue
-            rank, by_s = self.rule.rank(kind, arrived_s, age_s, left_s, is_late)
+            rank, order_s = self.rule.rank(kind, arrived_s, age_s, left_s, is_late)
             reply = await self.scheduler.acquire(
                 SlotRequest(
                     "d1",
-                    dict(self.running),
-                    tuple(self.seen[-200:]),
+                    dict(self.in_flight),
+                    tuple(self.seen_grants[-200:]),
                     "engines",
                     "large",
                     rank=rank,
-                    left_s=by_s - self.clock.now_s(),
+                    left_s=order_s - self.clock.now_s(),
                     hold_s=wait_s,
                 )
             )
             if reply.target_id:
-                self.running[reply.target_id] = self.running.get(reply.target_id, 0) + 1
-                self.seen.append(reply.grant)
+                self.in_flight[reply.target_id] = self.in_flight.get(reply.target_id, 0) + 1
+                self.seen_grants.append(reply.grant)
                 return reply.target_id
         return ""
 
@@ -151,8 +151,8 @@
         else:
             outcome.late += 1
         await asyncio.sleep(self.rng.expovariate(1 / STREAM_MEAN_S))
-        self.running[target_id] -= 1
-        report = SlotRequest("d1", dict(self.running), tuple(self.seen[-200:]))
+        self.in_flight[target_id] -= 1
+        report = SlotRequest("d1", dict(self.in_flight), tuple(self.seen_grants[-200:]))
         self.scheduler.receive_counts(report)
 
 
@@ -186,34 +186,36 @@
     seconds: float = 20.0,
     seed: int = 1,
 ) -> dict[str, Outcome]:
-    """Play a load for some seconds and return what each kind's callers got.
+    """Simulate a load, and return the outcome of each kind of request.
 
     Parameters
     ----------
     load : float
-        Requests a second as a part of what the replicas can serve.
+        Requests per second, relative to the capacity of the replicas.
+    seconds : float
+        Virtual time during which callers arrive.
     """
 
     async def scenario() -> dict[str, Outcome]:
         rng = random.Random(seed)
         clock = LoopClock()
-        world = _World(rule, rng, clock, _scheduler(clock, rng))
+        simulation = _Simulation(rule, rng, clock, _scheduler(clock, rng))
         callers = []
         until_s = clock.now_s() + seconds
         while clock.now_s() < until_s:
-            kind = rng.choices(kinds, [each.part for each in kinds])[0]
-            callers.append(asyncio.ensure_future(world.call(kind)))
+            kind = rng.choices(kinds, [each.load_share for each in kinds])[0]
+            callers.append(asyncio.ensure_future(simulation.run_caller(kind)))
             await asyncio.sleep(rng.expovariate(load * CAPACITY_PER_S))
         await asyncio.gather(*callers)
-        return world.outcomes
+        return simulation.outcomes
 
     return run_virtually(scenario())
 
 
 def best_worth(load: float, seconds: float = 20.0, seed: int = 1) -> float:
-    """Return a bound on the worth that any rule reaches, knowing how long each request will take.
+    """Return an upper bound on the worth under any rule, given how long each request takes.
 
-    As many requests as fit into all slots at all times, the shortest first, each in time.
+    Fills all slots all the time, shortest requests first, and counts each as answered in time.
     """
     rng = random.Random(seed)
     count = int(load * CAPACITY_PER_S * seconds)
--- a/ferrydock/forwarding/tests/rig.py
+++ b/ferrydock/forwarding/tests/rig.py
@@ -1,4 +1,4 @@
-"""A gateway before scripted targets that speak raw bytes on loopback sockets."""
+"""Test rig: a gateway with scripted targets that send raw bytes on loopback sockets."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
     Upstream,
 )
 
-_AT_ONCE = struct.pack("ii", 1, 0)
+_NO_LINGER = struct.pack("ii", 1, 0)
 HEAD = b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\n"
 
 
@@ -53,14 +53,15 @@
 
 
 def whole(body=b"ok", extra=b""):
-    """Return a whole answer with a length."""
+    """Return a complete answer with a Content-Length."""
     return HEAD + extra + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
 class ScriptedTarget:
-    """Plays one script for each connection, in order; the last one again and again.
+    """A target that runs one script for each request, in order, and repeats the last one.
 
-    A script takes (rig, request bytes, writer). What it returns is written; None ends it.
+    A script is called with the target, the request's bytes and the writer. If it returns None, the
+    connection is closed; otherwise the next request is read from it.
     """
 
     def __init__(self, *scripts):
@@ -93,7 +94,7 @@
 
 
 async def read_request(reader):
-    """Return one request: its head, and the body if it tells its length."""
+    """Read one request: its head, and its body if the head has a Content-Length."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n"):
@@ -103,7 +104,7 @@
 
 
 def attempt_id(request):
-    """Return the id that a request carries."""
+    """Return the value of a request's X-Attempt-Id."""
     for line in request.split(b"\r\n"):
         if line.lower().startswith(b"x-attempt-id:"):
             return line.split(b":")[1].strip()
@@ -111,7 +112,7 @@
 
 
 def answers(data, keep=True):
-    """Return a script that writes bytes; it keeps the connection if told to."""
+    """Return a script that writes bytes, and keeps the connection open if `keep`."""
 
     async def script(target, request, writer):
         writer.write(data)
@@ -122,30 +123,30 @@
 
 
 def resets(data=b""):
-    """Return a script that writes bytes and resets the connection."""
+    """Return a script that writes bytes and then resets the connection."""
 
     async def script(target, request, writer):
         if data:
             writer.write(data)
             await writer.drain()
             await asyncio.sleep(0.05)
-        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _AT_ONCE)
+        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
         writer.transport.abort()
 
     return script
 
 
 class Rig:
-    """A gateway, its parts, and a caller."""
+    """A gateway with its parts and targets, and methods that act as a caller."""
 
-    def __init__(self, routes, targets, tenants=(), confirmed=True, daemons=1):
+    def __init__(self, routes, targets, tenants=(), is_confirmed=True, daemons=1):
         self.targets = targets
         self.clock = SystemClock()
         self.current = CurrentConfiguration()
         self.configuration = Configuration(
             1, tuple(routes), {"plain": ServiceSpec("plain", 10, None)}, tuple(tenants)
         )
-        self.confirmed = confirmed
+        self.is_confirmed = is_confirmed
         self.directory = TargetDirectory()
         self.loads = TargetLoads()
         self.budget = RetryBudget(1.0)
@@ -170,7 +171,7 @@
         )
 
     async def __aenter__(self):
-        self.current.offer(self.configuration, self.clock.now_s() if self.confirmed else None)
+        self.current.offer(self.configuration, self.clock.now_s() if self.is_confirmed else None)
         for number, target in enumerate(self.targets):
             await target.start()
             entry = Target(f"t{number}", "plain", target.address, "hall-a", 6)
@@ -186,17 +187,17 @@
             target.close()
 
     async def raw(self, data, until_closed=True, timeout_s=5.0):
-        """Send bytes as a caller and return all that comes back."""
+        """Send bytes as a caller, and return the bytes received."""
         host, port = self.gateway.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(data)
         async with asyncio.timeout(timeout_s):
-            got = await reader.read(-1 if until_closed else 65536)
+            received = await reader.read(-1 if until_closed else 65536)
         writer.close()
-        return got
+        return received
 
     async def ask(self, method="GET", path="/a/x", headers=(), body=b"", **options):
-        """Send one request on a connection of its own, and return the answer's bytes."""
+        """Send one request on a new connection, and return the bytes of the answer."""
         lines = [f"{method} {path} HTTP/1.1", "Host: h.example", "X-Attempt-Id: a1"]
         lines += ["Connection: close", *headers]
         if body:
@@ -205,7 +206,7 @@
 
 
 def play(scenario):
-    """Run a scenario to its end."""
+    """Run a scenario, a coroutine function, to its end."""
     return asyncio.run(scenario())
 
 
--- a/ferrydock/forwarding/tests/test_answer_notices.py
+++ b/ferrydock/forwarding/tests/test_answer_notices.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves in the heads of their answers, before scripted targets."""
+"""Rate limits and back-offs that targets state in the heads of their answers."""
 
 import logging
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("answer", [whole(extra=b"Server-Limit: 2\r\n"), REFUSAL])
-def test_a_limit_is_noted_from_any_answer_until_one_comes_without(answer):
+def test_rate_limit_applies_until_an_answer_without_one(answer):
     async def scenario():
         async with Rig([route()], [ScriptedTarget(answers(answer), answers(whole()))]) as rig:
             limits = rig.selector.catalog.limits
@@ -22,7 +22,7 @@
     play(scenario)
 
 
-def test_a_limit_that_cannot_be_read_is_logged_once_and_changes_nothing(caplog):
+def test_invalid_rate_limit_is_logged_once_and_ignored(caplog):
     caplog.set_level(logging.WARNING)
 
     async def scenario():
@@ -39,22 +39,22 @@
     assert len(lines) == 1 and "Server-Limit" in lines[0] and "target=t0" in lines[0]
 
 
-def test_a_daemon_alone_refuses_at_once_what_limits_keep_from_all_targets():
+def test_leaderless_daemon_refuses_immediately_if_all_targets_are_at_their_rate_limits():
     async def scenario():
         limited = whole(extra=b"Server-Limit: 1\r\n")
         async with Rig([route()], [ScriptedTarget(answers(limited))], daemons=9) as rig:
             assert b" 200 " in await rig.ask()
-            began_s = rig.clock.now_s()
+            started_s = rig.clock.now_s()
             refused = await rig.ask()
             assert b" 503 " in refused and b"targets_limited" in refused
             after_s = float(refused.split(b"Retry-After: ")[1].split(b"\r\n")[0])
-            assert after_s >= 1.0 and rig.clock.now_s() - began_s < 0.2
+            assert after_s >= 1.0 and rig.clock.now_s() - started_s < 0.2
             assert len(rig.targets[0].requests) == 1
 
     play(scenario)
 
 
-def test_refusals_by_a_target_that_has_named_a_limit_do_not_eject_it():
+def test_refusals_do_not_eject_a_target_with_a_rate_limit():
     async def scenario():
         async with Rig([route()], [ScriptedTarget(answers(REFUSAL))]) as rig:
             rig.selector.daemons = rig.selector.pacer.daemons = lambda: 0.1
@@ -66,15 +66,15 @@
     play(scenario)
 
 
-def shed(rest_s):
-    """Return an answer that refuses a request and asks for rest."""
+def sheds(backoff_s):
+    """Return a script that refuses a request and requests a back-off."""
     text = b"HTTP/1.1 503 S\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\nRetry-After: %s\r\n\r\n"
-    return answers(text % rest_s)
+    return answers(text % backoff_s)
 
 
-def test_a_target_at_rest_is_left_out_even_if_all_others_are_ejected():
+def test_backed_off_target_is_not_used_even_if_all_others_are_ejected():
     async def scenario():
-        targets = [ScriptedTarget(shed(b"9")), ScriptedTarget(answers(whole()))]
+        targets = [ScriptedTarget(sheds(b"9")), ScriptedTarget(answers(whole()))]
         async with Rig([route()], targets) as rig:
             while not rig.targets[0].requests:
                 assert b" 200 " in await rig.ask()
@@ -90,26 +90,26 @@
     play(scenario)
 
 
-def test_a_request_whose_targets_all_rest_is_refused_at_once_until_the_first_rest_ends():
+def test_request_is_refused_immediately_if_all_targets_are_backed_off_for_too_long():
     async def scenario():
-        async with Rig([route()], [ScriptedTarget(shed(b"3"), answers(whole()))]) as rig:
+        async with Rig([route()], [ScriptedTarget(sheds(b"3"), answers(whole()))]) as rig:
             assert b" 503 " in await rig.ask()
-            began_s = rig.clock.now_s()
+            started_s = rig.clock.now_s()
             refused = await rig.ask()
             assert b" 503 " in refused and b"targets_rest" in refused
             after_s = float(refused.split(b"Retry-After: ")[1].split(b"\r\n")[0])
-            assert after_s >= 2.5 and rig.clock.now_s() - began_s < 0.2
+            assert after_s >= 2.5 and rig.clock.now_s() - started_s < 0.2
             assert len(rig.targets[0].requests) == 1
 
     play(scenario)
 
 
-def test_a_rest_that_ends_in_time_is_waited_for():
+def test_request_waits_for_a_back_off_that_ends_in_time():
     async def scenario():
-        async with Rig([route()], [ScriptedTarget(shed(b"0.2"), answers(whole()))]) as rig:
+        async with Rig([route()], [ScriptedTarget(sheds(b"0.2"), answers(whole()))]) as rig:
             assert b" 503 " in await rig.ask()
-            asked_s = rig.clock.now_s()
+            started_s = rig.clock.now_s()
             assert b" 200 " in await rig.ask()
-            assert rig.clock.now_s() - asked_s >= 0.1
+            assert rig.clock.now_s() - started_s >= 0.1
 
     play(scenario)
--- a/ferrydock/forwarding/tests/test_crashes.py
+++ b/ferrydock/forwarding/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""What counts as a crash of a target, and what the caller of such a request is told."""
+"""What counts as a crash of a target, and how requests that crash targets are refused."""
 
 import asyncio
 
@@ -11,8 +11,8 @@
 from .rig import Rig, ScriptedTarget, answers, play, resets, route, whole
 
 
-def dies(data=b""):
-    """Return a script that ends the target's process: its port closes, its connections reset."""
+def crashes(data=b""):
+    """Return a script that acts like a crash: closes the port and resets the connection."""
 
     async def script(target, request, writer):
         target.server.close()
@@ -21,36 +21,36 @@
     return script
 
 
-def dying(count):
-    return [ScriptedTarget(dies()) for _ in range(count)]
+def crashing_targets(count):
+    return [ScriptedTarget(crashes()) for _ in range(count)]
 
 
-def code_of(got):
-    return got.split(b'"code":"')[1].split(b'"')[0] if b'"code"' in got else b""
+def code_of(received):
+    return received.split(b'"code":"')[1].split(b'"')[0] if b'"code"' in received else b""
 
 
-def retry_after_of(got):
-    line = next(line for line in got.split(b"\r\n") if line.startswith(b"Retry-After:"))
+def retry_after_of(received):
+    line = next(line for line in received.split(b"\r\n") if line.startswith(b"Retry-After:"))
     return float(line.split(b":")[1])
 
 
 async def ask_until_known(rig, **request):
-    """Ask until the request is known as one that crashes its targets; return all answers."""
-    got = []
+    """Send a request until it is known to crash its targets; return all answers."""
+    received = []
     while not rig.history.known_count:
-        got.append(await rig.ask("POST", **request))
+        received.append(await rig.ask("POST", **request))
         await asyncio.sleep(0.02)
-    return got
+    return received
 
 
 @pytest.mark.parametrize("body", [b"hi", b"x" * 700_000])
-def test_after_three_targets_a_request_is_refused_and_others_are_served(body):
+def test_request_that_crashed_three_targets_is_refused_and_others_are_served(body):
     async def scenario():
         last = ScriptedTarget(answers(whole()))
-        async with Rig([route(attempts=4)], dying(3)) as rig:
-            got = await ask_until_known(rig, body=body)
-            assert all(answer.startswith(b"HTTP/1.1 502") for answer in got)
-            assert code_of(got[-1]) == b"crashes_targets"
+        async with Rig([route(attempts=4)], crashing_targets(3)) as rig:
+            received = await ask_until_known(rig, body=body)
+            assert all(answer.startswith(b"HTTP/1.1 502") for answer in received)
+            assert code_of(received[-1]) == b"crashes_targets"
             await last.start()
             rig.directory.put(Target("t9", "plain", last.address, "hall-a", 6))
             refused = await rig.ask("POST", body=body)
@@ -66,12 +66,12 @@
 @pytest.mark.parametrize(
     "kind", [RouteKind.REPEATABLE, RouteKind.AT_MOST_ONCE, RouteKind.RESUMABLE_STREAM]
 )
-def test_the_third_crash_is_the_last_also_within_one_try(kind):
+def test_request_is_not_retried_after_its_third_crash(kind):
     async def scenario():
-        targets = dying(6)
+        targets = crashing_targets(6)
         async with Rig([route(kind=kind, attempts=6)], targets) as rig:
-            got = await ask_until_known(rig, body=b"hi")
-            assert all(answer.startswith(b"HTTP/1.1 502") for answer in got)
+            received = await ask_until_known(rig, body=b"hi")
+            assert all(answer.startswith(b"HTTP/1.1 502") for answer in received)
             assert sum(len(target.requests) for target in targets) == 3
             assert (await rig.ask("POST", body=b"hi")).startswith(b"HTTP/1.1 503")
             assert sum(len(target.requests) for target in targets) == 3
@@ -79,7 +79,7 @@
     play(scenario)
 
 
-def test_a_connection_that_is_reset_by_a_target_that_goes_on_is_no_crash():
+def test_connection_reset_by_a_running_target_is_not_a_crash():
     async def scenario():
         async with Rig([route(attempts=1)], [ScriptedTarget(resets())]) as rig:
             for _ in range(6):
@@ -91,8 +91,8 @@
 
 
 @pytest.mark.parametrize("is_listed", [True, False])
-def test_a_target_that_ends_as_planned_is_no_crash(is_listed):
-    """It says that it leaves, or only its entry goes; then it ends, and what it had breaks off."""
+def test_planned_shutdown_of_a_target_is_not_a_crash(is_listed):
+    """The target is draining, or only its entry is removed, when its connections are reset."""
 
     async def scenario():
         async def leaves(target, request, writer):
@@ -102,7 +102,7 @@
                 rig.directory.put(
                     Target("t0", "plain", listed.address, listed.hall, listed.slots, draining=True)
                 )
-            return await dies()(target, request, writer)
+            return await crashes()(target, request, writer)
 
         async with Rig([route(attempts=1)], [ScriptedTarget(leaves)]) as rig:
             assert (await rig.ask("POST", body=b"hi")).startswith(b"HTTP/1.1 502")
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "verdict"),
+    ("presences", "expected"),
     [
         (["silent", "present"], "present"),
         (["silent", "silent", "gone"], "gone"),
@@ -121,26 +121,26 @@
         (["gone"], "gone"),
     ],
 )
-def test_a_target_that_says_nothing_is_looked_at_again(monkeypatch, seen, verdict):
-    """Cut off, frozen or crashed with its host: at first they look alike."""
-    left = [TargetPresence(presence) for presence in seen]
+def test_silent_target_is_probed_again(monkeypatch, presences, expected):
+    """A partitioned, a frozen and a crashed host look alike at the first probe."""
+    remaining = [TargetPresence(presence) for presence in presences]
 
     async def look_once(address):
-        return left.pop(0)
+        return remaining.pop(0)
 
     async def scenario():
         probe = TargetProbe()
         monkeypatch.setattr(_probe, "_look_once", look_once)
         monkeypatch.setattr(_probe, "LOOK_AGAIN_S", (0.01, 0.01))
         looks = [probe.look("t", "127.0.0.1:1") for _ in range(3)]
-        assert {await look for look in looks} == {TargetPresence(verdict)}
-        assert left == []
+        assert {await look for look in looks} == {TargetPresence(expected)}
+        assert remaining == []
         await probe.close()
 
     play(scenario)
 
 
-def test_a_request_goes_on_elsewhere_at_once_while_a_silent_target_is_looked_at(monkeypatch):
+def test_request_is_retried_without_waiting_for_the_probe_of_a_silent_target(monkeypatch):
     async def silent(address):
         await asyncio.sleep(_probe.ANSWER_WITHIN_S)
         return TargetPresence.SILENT
@@ -151,15 +151,15 @@
             other = ScriptedTarget(resets(), answers(whole()))
             await other.start()
             rig.directory.put(Target("t9", "plain", other.address, "hall-a", 6))
-            began_s = rig.clock.now_s()
+            started_s = rig.clock.now_s()
             await rig.ask("POST", body=b"hi")
-            assert rig.clock.now_s() - began_s < MAX_CHECK_WAIT_S / 2
+            assert rig.clock.now_s() - started_s < MAX_CHECK_WAIT_S / 2
             other.close()
 
     play(scenario)
 
 
-def test_a_request_that_becomes_known_while_it_waits_is_not_sent(monkeypatch):
+def test_queued_request_is_not_sent_once_it_is_known_to_crash_targets(monkeypatch):
     async def scenario():
         target = ScriptedTarget(answers(whole()))
         async with Rig([route()], [target]) as rig:
@@ -173,23 +173,23 @@
                 return endpoint
 
             monkeypatch.setattr(type(rig.selector), "acquire", lambda _, *a: acquire_late(*a))
-            got = await rig.ask("POST", body=b"hi")
-            assert got.startswith(b"HTTP/1.1 503") and code_of(got) == b"crashes_targets"
-            assert retry_after_of(got) > 50
+            received = await rig.ask("POST", body=b"hi")
+            assert received.startswith(b"HTTP/1.1 503") and code_of(received) == b"crashes_targets"
+            assert retry_after_of(received) > 50
             assert target.requests == [] and rig.loads.running() == {}
 
     play(scenario)
 
 
-def test_refusals_are_logged_at_a_bounded_rate(caplog):
+def test_log_lines_about_refusals_are_rate_limited(caplog):
     caplog.set_level("INFO", logger="ferrydock.forwarding")
 
     def lines(event):
-        told = [record.getMessage() for record in caplog.records]
-        return [line for line in told if f"event={event} " in line]
+        messages = [record.getMessage() for record in caplog.records]
+        return [line for line in messages if f"event={event} " in line]
 
     async def scenario():
-        async with Rig([route(attempts=3)], dying(3)) as rig:
+        async with Rig([route(attempts=3)], crashing_targets(3)) as rig:
             await ask_until_known(rig, body=b"hi")
             assert len(lines("target_crashed")) == 3
             assert len(lines("crashing_request_known")) == 1
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What the gateway does with answers of every kind, whole and broken."""
+"""How the gateway handles requests and answers, complete, broken and invalid."""
 
 import asyncio
 import logging
@@ -13,7 +13,7 @@
 from .rig import HEAD, TENANTS, Rig, ScriptedTarget, answers, attempt_id, play, resets, route, whole
 
 NOT_EXECUTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-ONCE = RouteKind.AT_MOST_ONCE
+AT_MOST_ONCE = RouteKind.AT_MOST_ONCE
 STREAM = HEAD + b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -30,7 +30,7 @@
 
 
 def body_of(answer):
-    """Return the body of a chunked answer, and whether it ended whole."""
+    """Return the body of a chunked answer, and whether it ended with the last chunk."""
     head, _, rest = answer.partition(b"\r\n\r\n")
     body = b""
     while rest:
@@ -43,25 +43,25 @@
     return body, False
 
 
-def test_method_path_query_body_and_answer_pass_unchanged():
+def test_method_path_query_body_and_answer_are_forwarded_unchanged():
     async def scenario():
         target = ScriptedTarget(answers(whole(b"\x00\xffbytes")))
         async with Rig([route()], [target]) as rig:
             path = "/a/x%2Fy/%C3%A9?q=%20a+b&&c"
-            got = await rig.ask("POST", path, ("X-Own: 1", "X-Own: 2"), b"a\r\nb")
+            received = await rig.ask("POST", path, ("X-Own: 1", "X-Own: 2"), b"a\r\nb")
         request = target.requests[0]
         assert request.startswith(f"POST {path} HTTP/1.1\r\n".encode())
         assert request.endswith(b"\r\n\r\na\r\nb")
         assert request.count(b"X-Own: ") == 2
         assert b"Accept-Encoding" not in request and b"User-Agent" not in request
         assert b"Content-Type" not in request
-        assert got.startswith(b"HTTP/1.1 200 OK") and got.endswith(b"\x00\xffbytes")
-        assert b"X-Server-Stamp: s" in got
+        assert received.startswith(b"HTTP/1.1 200 OK") and received.endswith(b"\x00\xffbytes")
+        assert b"X-Server-Stamp: s" in received
 
     play(scenario)
 
 
-def test_headers_of_one_connection_and_the_key_stay_here():
+def test_hop_by_hop_headers_and_keys_are_not_forwarded():
     async def scenario():
         target = ScriptedTarget(answers(whole()))
         headers = (
@@ -81,12 +81,12 @@
     play(scenario)
 
 
-def test_a_key_needs_a_configuration_known_to_be_current():
+def test_key_is_refused_while_the_configuration_is_unconfirmed():
     async def scenario():
         target = ScriptedTarget(answers(whole()))
         private = [route(public=False), route("open", prefix="/open/")]
         key = ("Authorization: Bearer k1",)
-        async with Rig(private, [target], TENANTS, confirmed=False) as rig:
+        async with Rig(private, [target], TENANTS, is_confirmed=False) as rig:
             assert (await rig.ask(headers=key)).startswith(b"HTTP/1.1 503")
             assert (await rig.ask(path="/open/x")).startswith(b"HTTP/1.1 200")
             rig.current.confirm(1, rig.clock.now_s())
@@ -100,7 +100,7 @@
     play(scenario)
 
 
-def test_without_a_configuration_everything_is_503_and_without_a_route_404():
+def test_status_without_a_configuration_and_without_a_route():
     async def scenario():
         async with Rig([route()], []) as rig:
             assert (await rig.ask(path="/none/x")).startswith(b"HTTP/1.1 404")
@@ -110,8 +110,8 @@
     play(scenario)
 
 
-@pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, ONCE])
-def test_what_a_target_says_it_did_not_run_goes_elsewhere(kind):
+@pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, AT_MOST_ONCE])
+def test_request_that_a_target_did_not_run_is_retried_elsewhere(kind):
     async def scenario():
         shed = ScriptedTarget(answers(NOT_EXECUTED))
         good = ScriptedTarget(answers(whole()))
@@ -123,8 +123,8 @@
     play(scenario)
 
 
-@pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, ONCE])
-def test_an_address_that_another_target_has_now_runs_nothing(kind):
+@pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, AT_MOST_ONCE])
+def test_request_to_a_reused_address_is_not_run_by_the_wrong_target(kind):
     async def scenario():
         async def other(target, request, writer):
             expected = b"x-expect-instance: t0" in request.lower()
@@ -140,21 +140,21 @@
         reused, good = ScriptedTarget(other), ScriptedTarget(answers(whole(b"own")))
         async with Rig([route(kind=kind)], [reused, good]) as rig:
             for _ in range(4):
-                got = await rig.ask("POST", body=b"x")
-                assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"own")
+                received = await rig.ask("POST", body=b"x")
+                assert received.startswith(b"HTTP/1.1 200") and received.endswith(b"own")
         assert len(good.requests) == 4
 
     play(scenario)
 
 
-def test_a_connection_belongs_to_one_incarnation():
+def test_connection_is_not_reused_for_another_incarnation():
     async def scenario():
         target = ScriptedTarget(answers(whole()))
         async with Rig([route()], [target]) as rig:
             await rig.ask()
             rig.directory.remove("t0")
             entry = Target("t9", "plain", target.address, "hall-a", 6)
-            rig.directory.put(entry)  # the same address, another life
+            rig.directory.put(entry)  # same address, another incarnation
             await rig.ask()
         assert target.connections == 2
         assert b"X-Expect-Instance: t9" in target.requests[1]
@@ -162,8 +162,8 @@
     play(scenario)
 
 
-@pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, ONCE])
-def test_a_dead_port_costs_nothing_that_ran(kind):
+@pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, AT_MOST_ONCE])
+def test_request_to_a_closed_port_is_retried_elsewhere(kind):
     async def scenario():
         dead, good = ScriptedTarget(answers(whole())), ScriptedTarget(answers(whole()))
         async with Rig([route(kind=kind)], [dead, good]) as rig:
@@ -201,13 +201,13 @@
         "unframed",
     ],
 )
-def test_a_broken_answer_is_asked_for_again_only_where_that_is_allowed(broken):
+def test_broken_answer_is_retried_only_on_repeatable_routes(broken):
     async def scenario():
         bad = ScriptedTarget(broken)
-        async with Rig([route(kind=ONCE)], [bad]) as rig:
-            got = await rig.ask("POST", body=b"x")
-            assert got[:12] in (b"HTTP/1.1 502", b"HTTP/1.1 504")
-            assert b"X-Server-Stamp" not in got
+        async with Rig([route(kind=AT_MOST_ONCE)], [bad]) as rig:
+            received = await rig.ask("POST", body=b"x")
+            assert received[:12] in (b"HTTP/1.1 502", b"HTTP/1.1 504")
+            assert b"X-Server-Stamp" not in received
         assert len(bad.requests) == 1
         bad, good = ScriptedTarget(broken), ScriptedTarget(answers(whole()))
         async with Rig([route()], [bad, good]) as rig:
@@ -217,19 +217,19 @@
     play(scenario)
 
 
-def test_a_failure_of_a_target_passes_with_its_signature():
+def test_server_error_of_a_target_is_forwarded():
     async def scenario():
         error = b"HTTP/1.1 500 Oh\r\nX-Server-Stamp: s\r\nContent-Length: 3\r\n\r\nbad"
         target = ScriptedTarget(answers(error))
-        async with Rig([route(kind=ONCE)], [target]) as rig:
-            got = await rig.ask()
-        assert got.startswith(b"HTTP/1.1 500") and got.endswith(b"bad")
+        async with Rig([route(kind=AT_MOST_ONCE)], [target]) as rig:
+            received = await rig.ask()
+        assert received.startswith(b"HTTP/1.1 500") and received.endswith(b"bad")
         assert len(target.requests) == 1
 
     play(scenario)
 
 
-def test_an_answer_left_over_is_not_taken_for_the_next():
+def test_left_over_answer_is_not_used_for_the_next_request():
     async def scenario():
         def own(extra):
             async def script(target, request, writer):
@@ -244,20 +244,20 @@
         target = ScriptedTarget(own(stray), own(b""))
         async with Rig([route()], [target]) as rig:
             for _ in range(3):
-                got = await rig.ask()
-                assert got.endswith(b"mine")
+                received = await rig.ask()
+                assert received.endswith(b"mine")
 
     play(scenario)
 
 
-def test_a_torn_stream_goes_on_elsewhere_after_its_last_whole_event():
+def test_torn_stream_is_resumed_elsewhere_after_its_last_complete_event():
     async def scenario():
         torn = resets(STREAM + events(1, 2) + chunk(b"id: 3\nda"))
         rest = answers(STREAM + events(3, 4) + b"0\r\n\r\n")
         targets = [ScriptedTarget(torn, rest), ScriptedTarget(torn, rest)]
         kind = RouteKind.RESUMABLE_STREAM
         async with Rig([route(kind=kind)], targets) as rig:
-            # whichever target comes first tears; the other one must go on
+            # The first target to get the request breaks the stream; the other one resumes it.
             targets[1].scripts = targets[0].scripts
             body, ended = body_of(await rig.ask("POST", body=b"prompt"))
         assert ended and body == b"".join(event(number) for number in (1, 2, 3, 4))
@@ -267,7 +267,7 @@
     play(scenario)
 
 
-def test_a_torn_stream_that_cannot_be_resumed_never_looks_whole():
+def test_torn_stream_that_cannot_be_resumed_does_not_look_complete():
     async def scenario():
         torn = resets(STREAM + events(1, 2) + chunk(b"id: 3\nda"))
         targets = [ScriptedTarget(torn), ScriptedTarget(torn)]
@@ -279,7 +279,7 @@
     play(scenario)
 
 
-def test_a_caller_that_leaves_ends_the_work(caplog):
+def test_disconnected_caller_ends_its_request_at_the_target(caplog):
     caplog.set_level(logging.INFO, "ferrydock.forwarding")
 
     async def scenario():
@@ -290,7 +290,7 @@
             await writer.drain()
             await writer.wait_closed()
 
-        async def watch(target, request, writer):
+        async def streams_until_closed(target, request, writer):
             writer.write(STREAM + events(1))
             for number in range(2, 200):
                 await asyncio.sleep(0.02)
@@ -300,7 +300,7 @@
                     return
                 await writer.drain()
 
-        target = ScriptedTarget(watch)
+        target = ScriptedTarget(streams_until_closed)
         async with Rig([route(kind=RouteKind.RESUMABLE_STREAM)], [target]) as rig:
             host, port = rig.gateway.address.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -317,34 +317,36 @@
     assert "event=caller_left" in caplog.text
 
 
-def test_the_time_limit_ends_a_request_and_tells_whether_it_may_have_run():
+def test_status_after_the_time_limit_says_whether_the_request_may_have_run():
     async def scenario():
         async def silent(target, request, writer):
             await asyncio.sleep(5)
 
         limits = {"time_limit_s": 0.3}
-        async with Rig([route(kind=ONCE, **limits)], [ScriptedTarget(silent)]) as rig:
+        async with Rig([route(kind=AT_MOST_ONCE, **limits)], [ScriptedTarget(silent)]) as rig:
             assert (await rig.ask()).startswith(b"HTTP/1.1 504")
-        async with Rig([route(kind=ONCE, **limits)], []) as rig:
-            got = await rig.ask()
-            assert got.startswith(b"HTTP/1.1 503") and b"Retry-After: " in got
+        async with Rig([route(kind=AT_MOST_ONCE, **limits)], []) as rig:
+            received = await rig.ask()
+            assert received.startswith(b"HTTP/1.1 503") and b"Retry-After: " in received
 
     play(scenario)
 
 
-def test_a_stopping_gateway_ends_each_connection_with_its_answer():
+def test_stopping_gateway_closes_each_connection_after_its_answer():
     async def scenario():
         stream = answers(STREAM + events(1) + b"0\r\n\r\n")
         target = ScriptedTarget(stream)
         async with Rig([route(kind=RouteKind.RESUMABLE_STREAM)], [target]) as rig:
             rig.gateway.stopping = True
-            got = await rig.raw(b"GET /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n\r\n")
-        assert b"Connection: close" in got
+            received = await rig.raw(
+                b"GET /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n\r\n"
+            )
+        assert b"Connection: close" in received
 
     play(scenario)
 
 
-def test_a_resting_connection_ends_once_nobody_is_listened_to():
+def test_idle_connection_is_closed_once_listening_has_ended():
     async def scenario():
         target = ScriptedTarget(answers(whole()))
         async with Rig([route()], [target]) as rig:
@@ -360,7 +362,7 @@
     play(scenario)
 
 
-def test_a_request_that_is_read_as_the_listener_ends_is_answered():
+def test_request_read_just_before_listening_ends_is_answered():
     async def scenario():
         target = ScriptedTarget(answers(whole()))
         async with Rig([route()], [target]) as rig:
@@ -371,11 +373,11 @@
             await reader.readuntil(b"ok")
             rig.gateway.stopping = True
             connection = next(iter(rig.gateway._server.connections))
-            connection.data_received(request)  # read, and not yet handed to anybody
+            connection.data_received(request)  # read, but its handler has not started
             rig.gateway.stop_listening()
             async with asyncio.timeout(2):
-                got = await reader.read()
-            assert got.startswith(b"HTTP/1.1 200") and b"Connection: close" in got
+                received = await reader.read()
+            assert received.startswith(b"HTTP/1.1 200") and b"Connection: close" in received
             writer.close()
 
     play(scenario)
@@ -398,31 +400,31 @@
     ],
     ids=["nonsense", "header", "both_lengths", "deadline", "long_head", "longer_head", "long_body"],
 )
-def test_what_is_no_request_reaches_no_target(data, status):
+def test_invalid_request_is_not_forwarded(data, status):
     async def scenario():
         target = ScriptedTarget(answers(whole()))
         async with Rig([route()], [target]) as rig:
-            got = await rig.raw(data, until_closed=False)
-        assert got.split()[1] == status
+            received = await rig.raw(data, until_closed=False)
+        assert received.split()[1] == status
         assert target.requests == []
 
     play(scenario)
 
 
-def test_a_chunked_body_that_grows_too_large_is_refused():
+def test_chunked_body_above_the_size_limit_is_refused():
     async def scenario():
         target = ScriptedTarget(answers(whole()))
         async with Rig([route()], [target]) as rig:
             head = b"POST /a/x HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: chunked\r\n\r\n"
             data = head + chunk(b"x" * 65536) * 80
-            got = await rig.raw(data, until_closed=False)
-        assert got.split()[1] == b"413"
+            received = await rig.raw(data, until_closed=False)
+        assert received.split()[1] == b"413"
         assert target.requests == []
 
     play(scenario)
 
 
-def test_retries_stay_within_the_budget():
+def test_retries_do_not_exceed_the_budget():
     async def scenario():
         targets = [ScriptedTarget(answers(NOT_EXECUTED)) for _ in range(2)]
         async with Rig([route()], targets) as rig:
@@ -435,25 +437,25 @@
     play(scenario)
 
 
-PATIENT_S = 30.0  # a limit that decides nothing unless the code is wrong
+LONG_TIMEOUT_S = 30.0  # only reached if the code under test is wrong
 
 
 async def connected(rig, sent):
-    """Open a connection, send bytes; return its reader, its writer, and the gateway's side."""
+    """Open a connection and send bytes; return reader, writer and the gateway's connection."""
     host, port = rig.gateway.address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(sent)
-    async with asyncio.timeout(PATIENT_S):
+    async with asyncio.timeout(LONG_TIMEOUT_S):
         while not rig.gateway._server.connections:
             await asyncio.sleep(0.01)
     return reader, writer, rig.gateway._server.connections[0]
 
 
-def test_a_head_that_takes_too_long_ends_its_connection():
+def test_connection_with_a_slow_head_is_closed():
     async def scenario():
         async with Rig([route()], [ScriptedTarget(answers(whole()))]) as rig:
             reader, writer, connection = await connected(rig, b"GET /a/x HTTP/1.1\r\nHost: h.ex")
-            async with asyncio.timeout(PATIENT_S):
+            async with asyncio.timeout(LONG_TIMEOUT_S):
                 while connection.head_started_s is None:
                     await asyncio.sleep(0.01)
                 connection.close_if_timed_out(connection.head_started_s + 9.9, 10.0, 60.0)
@@ -466,38 +468,38 @@
     play(scenario)
 
 
-def test_a_connection_rests_as_long_as_the_configuration_allows():
+def test_idle_connection_is_closed_only_after_the_idle_timeout():
     async def scenario():
         async with Rig([route()], [ScriptedTarget(answers(whole()))]) as rig:
             request = b"GET /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n\r\n"
             reader, writer, connection = await connected(rig, request)
-            async with asyncio.timeout(PATIENT_S):
+            async with asyncio.timeout(LONG_TIMEOUT_S):
                 await reader.readuntil(b"ok")
                 while connection.in_flight:
                     await asyncio.sleep(0.01)
-                rests_s = connection.idle_since_s
-                connection.close_if_timed_out(rests_s + 59.9, 10.0, 60.0)
+                idle_since_s = connection.idle_since_s
+                connection.close_if_timed_out(idle_since_s + 59.9, 10.0, 60.0)
                 assert not connection.transport.is_closing()
-                connection.close_if_timed_out(rests_s + 60.1, 10.0, 60.0)
+                connection.close_if_timed_out(idle_since_s + 60.1, 10.0, 60.0)
                 assert await reader.read(-1) == b""
             writer.close()
 
     play(scenario)
 
 
-def test_a_request_under_way_outlasts_both_limits():
+def test_timeouts_do_not_close_a_connection_with_a_request_in_flight():
     async def scenario():
         release = asyncio.Event()
 
-        async def late(target, request, writer):
+        async def answers_when_released(target, request, writer):
             await release.wait()
             writer.write(whole())
             return True
 
-        async with Rig([route()], [ScriptedTarget(late)]) as rig:
+        async with Rig([route()], [ScriptedTarget(answers_when_released)]) as rig:
             request = b"GET /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n\r\n"
             reader, writer, connection = await connected(rig, request)
-            async with asyncio.timeout(PATIENT_S):
+            async with asyncio.timeout(LONG_TIMEOUT_S):
                 while not connection.in_flight:
                     await asyncio.sleep(0.01)
                 connection.close_if_timed_out(connection.idle_since_s + 1000.0, 10.0, 60.0)
@@ -508,77 +510,78 @@
     play(scenario)
 
 
-def test_a_daemon_opens_no_more_connections_to_a_target_than_its_share():
+def test_daemon_does_not_exceed_its_share_of_a_targets_connections():
     async def scenario():
         release = asyncio.Event()
 
-        async def late(target, request, writer):
+        async def answers_when_released(target, request, writer):
             await release.wait()
             writer.write(whole())
             return True
 
-        target = ScriptedTarget(late)
-        patient = route(first_answer_s=PATIENT_S, time_limit_s=PATIENT_S)
-        async with Rig([patient], [target], daemons=4) as rig:  # the service takes 10
-            asked = [asyncio.ensure_future(rig.ask(timeout_s=PATIENT_S)) for _ in range(5)]
-            async with asyncio.timeout(PATIENT_S):
+        target = ScriptedTarget(answers_when_released)
+        long_route = route(first_answer_s=LONG_TIMEOUT_S, time_limit_s=LONG_TIMEOUT_S)
+        async with Rig([long_route], [target], daemons=4) as rig:  # of 10 connections
+            asked = [asyncio.ensure_future(rig.ask(timeout_s=LONG_TIMEOUT_S)) for _ in range(5)]
+            async with asyncio.timeout(LONG_TIMEOUT_S):
                 while rig.selector.waiting < 3 or target.connections < 2:
                     await asyncio.sleep(0.01)
             assert rig.loads.of("t0").running == target.connections == 2
             release.set()
-            assert all(b"200 OK" in got for got in await asyncio.gather(*asked))
+            assert all(b"200 OK" in received for received in await asyncio.gather(*asked))
             assert target.connections == 2
 
     play(scenario)
 
 
-BAD = HEAD.replace(b"200 OK", b"500 Oh") + b"Content-Length: 3\r\n\r\nbad"
+SERVER_ERROR_ANSWER = HEAD.replace(b"200 OK", b"500 Oh") + b"Content-Length: 3\r\n\r\nbad"
 
 
-def test_a_failure_passes_at_once_where_no_other_target_is_left(monkeypatch):
-    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_RETRY_QUEUE_S", 10 * PATIENT_S)
+def test_server_error_is_forwarded_immediately_if_no_other_target_exists(monkeypatch):
+    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_RETRY_QUEUE_S", 10 * LONG_TIMEOUT_S)
 
     async def scenario():
-        patient = route(time_limit_s=10 * PATIENT_S)
-        async with Rig([patient], [ScriptedTarget(answers(BAD))]) as rig:
-            got = await rig.ask(timeout_s=PATIENT_S)  # a wait for room would last ten times that
-            assert got.startswith(b"HTTP/1.1 500") and got.endswith(b"bad")
+        long_route = route(time_limit_s=10 * LONG_TIMEOUT_S)
+        async with Rig([long_route], [ScriptedTarget(answers(SERVER_ERROR_ANSWER))]) as rig:
+            # Waiting for a free slot would take ten times this timeout.
+            received = await rig.ask(timeout_s=LONG_TIMEOUT_S)
+            assert received.startswith(b"HTTP/1.1 500") and received.endswith(b"bad")
 
     play(scenario)
 
 
-def test_a_lost_answer_is_not_waited_for_where_no_other_target_is_left(monkeypatch):
-    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_RETRY_QUEUE_S", 10 * PATIENT_S)
+def test_lost_answer_is_not_retried_if_no_other_target_exists(monkeypatch):
+    monkeypatch.setattr("ferrydock.forwarding._refusal.MAX_RETRY_QUEUE_S", 10 * LONG_TIMEOUT_S)
 
     async def scenario():
-        patient = route(time_limit_s=10 * PATIENT_S)
-        async with Rig([patient], [ScriptedTarget(resets())]) as rig:
-            got = await rig.ask(timeout_s=PATIENT_S)
-            assert got.startswith(b"HTTP/1.1 502")
+        long_route = route(time_limit_s=10 * LONG_TIMEOUT_S)
+        async with Rig([long_route], [ScriptedTarget(resets())]) as rig:
+            received = await rig.ask(timeout_s=LONG_TIMEOUT_S)
+            assert received.startswith(b"HTTP/1.1 502")
 
     play(scenario)
 
 
-def test_a_request_that_gets_no_slot_is_refused_and_told_when_to_come_back():
+def test_request_without_a_slot_is_refused_with_retry_after():
     async def scenario():
         release = asyncio.Event()
 
-        async def late(target, request, writer):
+        async def answers_when_released(target, request, writer):
             await release.wait()
             writer.write(whole())
             return True
 
         objective_s = 0.4
-        target = ScriptedTarget(late)
-        one_place = {"daemons": 10}
-        limited = route(first_answer_s=objective_s, time_limit_s=PATIENT_S)
-        async with Rig([limited], [target], **one_place) as rig:
-            first = asyncio.ensure_future(rig.ask(timeout_s=PATIENT_S))
-            async with asyncio.timeout(PATIENT_S):
+        target = ScriptedTarget(answers_when_released)
+        one_connection = {"daemons": 10}
+        limited = route(first_answer_s=objective_s, time_limit_s=LONG_TIMEOUT_S)
+        async with Rig([limited], [target], **one_connection) as rig:
+            first = asyncio.ensure_future(rig.ask(timeout_s=LONG_TIMEOUT_S))
+            async with asyncio.timeout(LONG_TIMEOUT_S):
                 while not target.requests:
                     await asyncio.sleep(0.01)
-            got = await rig.ask(timeout_s=PATIENT_S)
-            head, _, _ = got.partition(b"\r\n\r\n")
+            received = await rig.ask(timeout_s=LONG_TIMEOUT_S)
+            head, _, _ = received.partition(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 503")
             after = next(x for x in head.split(b"\r\n") if x.lower().startswith(b"retry-after:"))
             assert 0.4 <= float(after.split(b":")[1]) <= 1.4
@@ -590,7 +593,7 @@
 
 
 @pytest.mark.parametrize("usual_first_s", [0.1, 0.25, 0.39])
-def test_the_wait_for_a_first_slot_ends_while_the_answer_can_be_in_time(usual_first_s):
+def test_wait_for_a_slot_leaves_time_to_meet_the_objective(usual_first_s):
     waiting = queue_times(0.4, 0.0, usual_first_s, 6.0)
     assert 0 < waiting.in_time_s <= max(MIN_WAIT_S, 0.4 - usual_first_s)
     assert waiting.late_s == 0
@@ -598,12 +601,12 @@
 
 
 @pytest.mark.parametrize("age_s", [0.4, 1.4, 5.0])
-def test_a_caller_who_comes_back_waits_behind_first_tries(age_s):
+def test_repeated_request_waits_behind_new_ones(age_s):
     waiting = queue_times(0.4, age_s, 0.2, 6.0 - age_s)
     assert waiting.in_time_s == 0 and 0 < waiting.late_s <= MAX_LATE_WAIT_S
 
 
-def test_a_request_that_may_have_run_is_worth_more_patience():
+def test_request_that_may_have_run_waits_longer_for_a_slot():
     exchange = SimpleNamespace(attempt_count=1, response=None, deadline_s=56.0)
     assert max_retry_queue_s(exchange, 50.0) == 1.0
     assert max_retry_queue_s(exchange, 55.5) == 0.5
--- a/ferrydock/forwarding/tests/test_identity.py
+++ b/ferrydock/forwarding/tests/test_identity.py
@@ -1,4 +1,4 @@
-"""The identity of a request, as a daemon reads its body and logs it."""
+"""Identities of requests with buffered and with streamed bodies, as written to the log."""
 
 import asyncio
 
@@ -8,8 +8,8 @@
 from .rig import Rig, ScriptedTarget, answers, play, resets, route, whole
 
 
-class IdentityLog:
-    """Collects the identities of attempts that failed."""
+class FailedAttemptLog:
+    """Reads the identities of failed attempts from the log."""
 
     def __init__(self, caplog):
         self.caplog = caplog
@@ -21,20 +21,20 @@
 
 
 @pytest.fixture
-def told(caplog):
+def identity_log(caplog):
     caplog.set_level("INFO", logger="ferrydock.forwarding")
-    return IdentityLog(caplog)
+    return FailedAttemptLog(caplog)
 
 
 @pytest.mark.parametrize("size", [2, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, 700_000])
-def test_two_tries_have_one_identity_also_where_the_body_is_passed_on_as_it_comes(told, size):
+def test_repeated_request_has_same_identity_even_if_its_body_is_streamed(identity_log, size):
     async def scenario():
         target = ScriptedTarget(resets(), resets(), resets(), answers(whole(), keep=False))
         async with Rig([route(attempts=1)], [target]) as rig:
             for number, tail in enumerate((b"a", b"a", b"b")):
                 target_body = tail * size
                 await rig.ask("POST", body=target_body, headers=(f"X-Own: {number}",))
-            first, second, third = told.identities()
+            first, second, third = identity_log.identities()
             assert first == second != third
             assert len(target.requests) == 3
             assert all(len(request) > size for request in target.requests)
@@ -42,7 +42,7 @@
     play(scenario)
 
 
-def test_a_body_in_slow_pieces_is_passed_on_whole():
+def test_body_sent_in_slow_pieces_is_forwarded_completely():
     async def scenario():
         target = ScriptedTarget(answers(whole(), keep=False))
         async with Rig([route()], [target]) as rig:
@@ -52,8 +52,8 @@
             head = f"POST /a/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: {size}\r\n\r\n"
             writer.write(head.encode())
             body = bytes(n % 251 for n in range(size))
-            for at in range(0, size, 50_000):
-                writer.write(body[at : at + 50_000])
+            for offset in range(0, size, 50_000):
+                writer.write(body[offset : offset + 50_000])
                 await writer.drain()
                 await asyncio.sleep(0.005)
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
--- a/ferrydock/forwarding/tests/test_interruptions.py
+++ b/ferrydock/forwarding/tests/test_interruptions.py
@@ -1,4 +1,4 @@
-"""When a replica that seems broken loses its requests, and when they are left alone."""
+"""When requests at a replica that seems broken are interrupted, and when they are not."""
 
 import asyncio
 from types import SimpleNamespace
@@ -30,32 +30,32 @@
 ENGINE = EngineSpec(slots=9, loads_per_s=5.0, models=(ModelSpec("large", 1, 1.0, 16.0, 1.6),))
 KEYS = [("g0", 5), ("g1", 5)]
 
-# What callers bear, and what is usual of targets.
-PAUSE_S = 0.2
+# Longest pause that the route allows; usual pauses of streams and times to the first bytes.
+MAX_PAUSE_S = 0.2
 USUAL_PAUSE_S, USUAL_FIRST_S = 0.06, 0.09
-TIMES = SimpleNamespace(
+USUAL_TIMES = SimpleNamespace(
     usual_pause_s=lambda service, model: USUAL_PAUSE_S,
     usual_first_s=lambda service, model: USUAL_FIRST_S,
 )
-MOVED_AFTER_S = move_limit_s(PAUSE_S, USUAL_PAUSE_S, USUAL_FIRST_S)
-BEGUN = SimpleNamespace(
-    route=SimpleNamespace(max_pause_s=PAUSE_S),
+MOVED_AFTER_S = move_limit_s(MAX_PAUSE_S, USUAL_PAUSE_S, USUAL_FIRST_S)
+BEGUN_EXCHANGE = SimpleNamespace(
+    route=SimpleNamespace(max_pause_s=MAX_PAUSE_S),
     service=SimpleNamespace(name="s"),
     inbound=SimpleNamespace(model="large"),
 )
 
 
 class ReplicaRig(Rig):
-    """A gateway before replicas of one target each."""
+    """A gateway with replicas of one target each."""
 
     def __init__(self, targets, retries):
         kind = RouteKind.RESUMABLE_STREAM
-        super().__init__([route(kind=kind, time_limit_s=8.0, max_pause_s=PAUSE_S)], targets)
+        super().__init__([route(kind=kind, time_limit_s=8.0, max_pause_s=MAX_PAUSE_S)], targets)
         service = ServiceSpec("plain", 10, ENGINE)
         self.configuration = Configuration(1, self.configuration.routes, {"plain": service}, ())
         self.budget = RetryBudget(0.0, start=retries)
         self.forwarder.budgets = lambda service: self.budget
-        self.stalls = StallDetector(self.forwarder.attempts, None, self.clock, TIMES)
+        self.stalls = StallDetector(self.forwarder.attempts, None, self.clock, USUAL_TIMES)
 
     async def __aenter__(self):
         await super().__aenter__()
@@ -86,8 +86,8 @@
                 await asyncio.sleep(0.005)
 
 
-def pausing(resume):
-    """Return a script that writes two events, and the rest once `resume` is set."""
+def pauses(resume):
+    """Return a script that writes two events, and two more once `resume` is set."""
 
     async def script(target, request, writer):
         if b"Last-Event-Id: 2" in request:
@@ -104,91 +104,91 @@
     return script
 
 
-WHOLE = b"".join(event(number) for number in (1, 2, 3, 4))
+COMPLETE_BODY = b"".join(event(number) for number in (1, 2, 3, 4))
 
 
-def test_a_begun_stream_without_a_retry_left_is_not_cut_on_suspicion():
+def test_begun_stream_is_not_cut_if_the_retry_budget_is_empty():
     async def scenario():
         resume = asyncio.Event()
-        targets = [ScriptedTarget(pausing(resume)), ScriptedTarget(pausing(resume))]
+        targets = [ScriptedTarget(pauses(resume)), ScriptedTarget(pauses(resume))]
         async with ReplicaRig(targets, retries=0.0) as rig:
-            asked = asyncio.ensure_future(rig.stream())
-            await rig.until(lambda: any(a.count for a in _events_of(rig)))
+            streaming = asyncio.ensure_future(rig.stream())
+            await rig.until(lambda: any(a.count for a in _streams_of(rig)))
             rig.break_all()
             await asyncio.sleep(0)
             resume.set()
-            assert body_of(await asked) == (WHOLE, True)
+            assert body_of(await streaming) == (COMPLETE_BODY, True)
 
     play(scenario)
 
 
-def test_a_begun_stream_goes_on_elsewhere_where_a_retry_is_left():
+def test_begun_stream_is_resumed_at_another_replica_if_the_budget_allows():
     async def scenario():
         resume = asyncio.Event()
-        targets = [ScriptedTarget(pausing(resume)), ScriptedTarget(pausing(resume))]
+        targets = [ScriptedTarget(pauses(resume)), ScriptedTarget(pauses(resume))]
         async with ReplicaRig(targets, retries=1.0) as rig:
-            asked = asyncio.ensure_future(rig.stream())
-            await rig.until(lambda: any(a.count for a in _events_of(rig)))
+            streaming = asyncio.ensure_future(rig.stream())
+            await rig.until(lambda: any(a.count for a in _streams_of(rig)))
             first = next(n for n, target in enumerate(targets) if target.requests)
             rig.stalls.break_replica(KEYS[first], MEMBER_DEAD)
-            assert body_of(await asked) == (WHOLE, True)
+            assert body_of(await streaming) == (COMPLETE_BODY, True)
             assert [len(target.requests) for target in targets] == [1, 1]
             assert rig.budget.left == 0
 
     play(scenario)
 
 
-class AllAnswer:
-    """Control of targets whose members all answer when asked."""
+class RespondingMembers:
+    """Target control under which every member answers a poll."""
 
     async def report(self, member, timeout_s):
         return TargetReport(orders=1)
 
 
-def test_a_stream_that_falls_silent_goes_on_elsewhere_though_its_members_all_answer():
+def test_silent_stream_is_moved_even_if_all_members_answer():
     async def scenario():
         resume = asyncio.Event()
-        targets = [ScriptedTarget(pausing(resume)), ScriptedTarget(pausing(resume))]
+        targets = [ScriptedTarget(pauses(resume)), ScriptedTarget(pauses(resume))]
         async with ReplicaRig(targets, retries=1.0) as rig:
-            rig.stalls.control = AllAnswer()
-            asked = asyncio.ensure_future(rig.stream())
-            await rig.until(lambda: any(a.count == 2 for a in _events_of(rig)))
+            rig.stalls.control = RespondingMembers()
+            streaming = asyncio.ensure_future(rig.stream())
+            await rig.until(lambda: any(a.count == 2 for a in _streams_of(rig)))
             while sum(len(target.requests) for target in targets) < 2:
                 await rig.stalls.step()
                 await asyncio.sleep(0.005)
-            assert body_of(await asked) == (WHOLE, True)
+            assert body_of(await streaming) == (COMPLETE_BODY, True)
             assert rig.budget.left == 0
 
     play(scenario)
 
 
-def test_of_several_begun_streams_only_as_many_are_moved_as_retries_are_left():
+def test_streams_moved_at_once_do_not_exceed_the_retry_budget():
     async def scenario():
         resume = asyncio.Event()
-        targets = [ScriptedTarget(pausing(resume)), ScriptedTarget(pausing(resume))]
+        targets = [ScriptedTarget(pauses(resume)), ScriptedTarget(pauses(resume))]
         async with ReplicaRig(targets, retries=2.0) as rig:
-            asked = [asyncio.ensure_future(rig.stream()) for _ in range(6)]
-            await rig.until(lambda: sum(a.count == 2 for a in _events_of(rig)) == 6)
+            streaming = [asyncio.ensure_future(rig.stream()) for _ in range(6)]
+            await rig.until(lambda: sum(a.count == 2 for a in _streams_of(rig)) == 6)
             # Both break at once: moved streams find no other replica and wait for one.
             first, second = KEYS
             rig.stalls.break_replica(first, MEMBER_DEAD)
             moved = [len(target.requests) for target in targets]
             resume.set()
-            answers = [body_of(await each) for each in asked]
-            assert answers == [(WHOLE, True)] * 6, moved
+            answers = [body_of(await each) for each in streaming]
+            assert answers == [(COMPLETE_BODY, True)] * 6, moved
             assert sum(len(target.requests) for target in targets) <= 8
             assert rig.budget.left >= 0
 
     play(scenario)
 
 
-def _events_of(rig):
+def _streams_of(rig):
     attempts = rig.forwarder.attempts._running.values()
     return [attempt.exchange.events for running in attempts for attempt in running]
 
 
 def exchange(begun, retries=1.0, attempts=1, kind=RouteKind.RESUMABLE_STREAM):
-    """Return a request under way."""
+    """Return a request in flight."""
     budget = RetryBudget(0.0, start=retries)
     return Exchange(
         request=None,
@@ -217,11 +217,11 @@
         ({"begun": True, "kind": RouteKind.STREAM}, False),
     ],
 )
-def test_only_an_answer_that_has_not_begun_or_may_go_on_is_interrupted(case, may):
+def test_answer_that_cannot_be_continued_is_not_interrupted(case, may):
     assert may_interrupt(exchange(**case), 0, 5.0, True) is may
 
 
-def test_retries_promised_to_other_streams_are_not_promised_twice():
+def test_one_retry_is_not_reserved_for_two_streams():
     asked = exchange(begun=True, retries=2.5)
     assert [may_interrupt(asked, promised, 5.0, True) for promised in (0, 1, 2)] == [
         True,
@@ -230,20 +230,20 @@
     ]
 
 
-def test_a_begun_answer_waits_for_a_slot_as_long_as_its_caller_does():
+def test_begun_answer_waits_for_a_slot_until_the_callers_deadline():
     assert max_retry_queue_s(exchange(begun=True), now_s=2.0) == 6.0
     assert max_retry_queue_s(exchange(begun=False), now_s=2.0) == 1.0
 
 
-class Watched:
-    """A replica with one request in flight, as the stall detector sees it."""
+class MonitoredReplica:
+    """A replica with requests in flight, and the stall detector that monitors it."""
 
     def __init__(self, running=2, begun=()):
         self.clock = ManualClock(100.0)
-        self.asked = 0
-        self.moved = []
-        self.answers = []
-        self.pause_while_asked_s = 0.0
+        self.poll_count = 0
+        self.moved_replicas = []
+        self.reports = []
+        self.pause_during_poll_s = 0.0
         head = Target("t0", "s", "127.0.0.1:1", "h", 9)
         replica = ReplicaView("g0", 5, "large", head, (head,))
         self.loads = loads = TargetLoads()
@@ -255,18 +255,18 @@
             attempt_count_at=lambda target_id: running,
             responding_at=lambda target_id: begun,
             interrupt=lambda key, reason: None,
-            move_streams=lambda key, reason: self.moved.append(key),
+            move_streams=lambda key, reason: self.moved_replicas.append(key),
         )
-        self.detector = StallDetector(attempts, self, self.clock, TIMES)
+        self.detector = StallDetector(attempts, self, self.clock, USUAL_TIMES)
 
     async def report(self, member, timeout_s):
-        self.asked += 1
-        self.clock.advance(self.pause_while_asked_s)
+        self.poll_count += 1
+        self.clock.advance(self.pause_during_poll_s)
         await asyncio.sleep(0)
-        return self.answers.pop(0) if self.answers else Unavailable("no answer")
+        return self.reports.pop(0) if self.reports else Unavailable("no answer")
 
-    async def look(self, after_s):
-        """Let the detector look after a pause, and finish what it began."""
+    async def step_after(self, after_s):
+        """Advance the clock, call the detector's `step`, and finish the polls it started."""
         self.clock.advance(after_s)
         await self.detector.step()
         for task in list(self.detector._tasks):
@@ -277,95 +277,95 @@
         return self.detector.catalog.broken
 
 
-def test_a_silent_replica_is_found_by_a_daemon_that_looks_regularly():
+def test_silent_replica_is_detected_by_regular_checks():
     async def scenario():
-        watched = Watched()
+        monitored = MonitoredReplica()
         for _ in range(6):
-            await watched.look(0.05)
-        assert watched.asked == 1 and watched.broken == {("g0", 5)}
+            await monitored.step_after(0.05)
+        assert monitored.poll_count == 1 and monitored.broken == {("g0", 5)}
 
     play(scenario)
 
 
-def test_a_daemon_that_stood_still_asks_nobody_before_it_has_read_for_as_long():
+def test_pause_of_the_daemon_does_not_count_as_silence_of_a_replica():
     async def scenario():
-        watched = Watched()
-        await watched.look(0.05)
-        await watched.look(QUIET_S * 3)
-        assert watched.asked == 0
+        monitored = MonitoredReplica()
+        await monitored.step_after(0.05)
+        await monitored.step_after(QUIET_S * 3)
+        assert monitored.poll_count == 0
         for _ in range(int(QUIET_S / 0.05) + 1):
-            await watched.look(0.05)
-        assert watched.asked == 1
+            await monitored.step_after(0.05)
+        assert monitored.poll_count == 1
 
     play(scenario)
 
 
-def test_a_daemon_that_stood_still_while_it_asked_believes_no_silence():
+def test_poll_is_ignored_if_the_daemon_was_paused_during_it():
     async def scenario():
-        watched = Watched()
-        watched.pause_while_asked_s = OWN_PAUSE_S * 2
+        monitored = MonitoredReplica()
+        monitored.pause_during_poll_s = OWN_PAUSE_S * 2
         for _ in range(6):
-            await watched.look(0.05)
-        assert watched.asked == 1 and not watched.broken
+            await monitored.step_after(0.05)
+        assert monitored.poll_count == 1 and not monitored.broken
 
     play(scenario)
 
 
-def test_an_answer_under_way_goes_on_elsewhere_before_its_replica_counts_as_broken():
+def test_begun_stream_is_moved_before_its_replica_is_found_broken():
     async def scenario():
-        watched = Watched(running=1, begun=[BEGUN])
+        monitored = MonitoredReplica(running=1, begun=[BEGUN_EXCHANGE])
         for _ in range(int(MOVED_AFTER_S / 0.025) + 2):
-            await watched.look(0.025)
-        assert watched.moved == [("g0", 5)]
-        assert watched.clock.now_s() - 100.025 + USUAL_FIRST_S <= PAUSE_S + 0.025, "in time"
-        assert watched.asked == 2, "one request alone: a second question was not answered either"
-        assert watched.broken == {("g0", 5)}
+            await monitored.step_after(0.025)
+        assert monitored.moved_replicas == [("g0", 5)]
+        assert monitored.clock.now_s() - 100.025 + USUAL_FIRST_S <= MAX_PAUSE_S + 0.025, "in time"
+        assert monitored.poll_count == 2, "one request: the second poll also failed"
+        assert monitored.broken == {("g0", 5)}
 
     play(scenario)
 
 
-def test_one_lost_question_breaks_no_replica_of_one_request():
+def test_one_lost_poll_does_not_break_a_replica_with_one_request():
     async def scenario():
-        watched = Watched(running=1, begun=[BEGUN])
-        watched.answers = [Unavailable("lost"), TargetReport(orders=1)]
+        monitored = MonitoredReplica(running=1, begun=[BEGUN_EXCHANGE])
+        monitored.reports = [Unavailable("lost"), TargetReport(orders=1)]
         for _ in range(int(MOVED_AFTER_S / 0.025) + 2):
-            await watched.look(0.025)
-        assert watched.asked == 2 and not watched.broken
+            await monitored.step_after(0.025)
+        assert monitored.poll_count == 2 and not monitored.broken
 
     play(scenario)
 
 
-def test_a_replica_that_goes_on_while_it_is_asked_is_left_alone():
+def test_replica_that_makes_progress_during_its_poll_is_not_broken():
     async def scenario():
-        watched = Watched()
+        monitored = MonitoredReplica()
 
         async def report(member, timeout_s):
-            watched.clock.advance(0.01)
-            watched.loads.record_progress("t0", watched.clock.now_s())
+            monitored.clock.advance(0.01)
+            monitored.loads.record_progress("t0", monitored.clock.now_s())
             await asyncio.sleep(0)
             return Unavailable("no answer")
 
-        watched.report = report
+        monitored.report = report
         for _ in range(6):
-            await watched.look(0.05)
-        assert not watched.broken
+            await monitored.step_after(0.05)
+        assert not monitored.broken
 
     play(scenario)
 
 
-def test_a_new_request_to_a_silent_replica_does_not_hide_that_it_is_broken():
+def test_new_request_does_not_hide_that_a_silent_replica_is_broken():
     async def scenario():
-        watched = Watched()
+        monitored = MonitoredReplica()
 
         async def report(member, timeout_s):
-            watched.clock.advance(0.01)
-            watched.loads.request_ended("t0")
-            watched.loads.request_started("t0", watched.clock.now_s())
+            monitored.clock.advance(0.01)
+            monitored.loads.request_ended("t0")
+            monitored.loads.request_started("t0", monitored.clock.now_s())
             return Unavailable("no answer")
 
-        watched.report = report
+        monitored.report = report
         for _ in range(6):
-            await watched.look(0.05)
-        assert watched.broken
+            await monitored.step_after(0.05)
+        assert monitored.broken
 
     play(scenario)
