--- a/ferrydock/forwarding/_attempts.py
+++ b/ferrydock/forwarding/_attempts.py
@@ -56,7 +56,7 @@
 
     __slots__ = (
         "_relay",
-        "_running",
+        "_in_flight",
         "clock",
         "dialect",
         "loads",
@@ -83,7 +83,7 @@
         self.metrics = metrics
         self.notices = AnswerNotices(selector.catalog, clock)
         self._relay = AnswerRelay(loads, clock)
-        self._running: dict[str, set[Attempt]] = {}
+        self._in_flight: dict[str, set[Attempt]] = {}
 
     async def run(self, exchange: Exchange, endpoint: Endpoint) -> AttemptEnd:
         """Send a request to one target; its slot is released in any case."""
@@ -93,7 +93,7 @@
         loop = asyncio.get_running_loop()
         timeout = asyncio.timeout_at(loop.time() + self._remaining_s(exchange))
         attempt = Attempt(exchange, endpoint.replica, timeout)
-        running = self._running.setdefault(target_id, set())
+        running = self._in_flight.setdefault(target_id, set())
         running.add(attempt)
         try:
             async with timeout:
@@ -108,16 +108,16 @@
 
     def attempt_count_at(self, target_id: str) -> int:
         """Return the number of attempts in flight at a target."""
-        return len(self._running.get(target_id, ()))
+        return len(self._in_flight.get(target_id, ()))
 
     def responding_at(self, target_id: str) -> list[Exchange]:
         """Return the requests in flight at a target whose answers have begun."""
-        running = self._running.get(target_id, ())
+        running = self._in_flight.get(target_id, ())
         return [a.exchange for a in running if a.exchange.response is not None]
 
     def busy_replicas(self) -> Iterator[tuple[ReplicaView, int]]:
         """Yield each replica in use, and the number of attempts in flight at its head."""
-        for attempts in self._running.values():
+        for attempts in self._in_flight.values():
             replica = next((a.replica for a in attempts if a.replica is not None), None)
             if replica is not None:
                 yield replica, len(attempts)
@@ -142,7 +142,7 @@
 
     def _attempts_at(self, key: tuple[str, int]) -> list[Attempt]:
         """Return the attempts in flight at a replica."""
-        running = (attempt for attempts in self._running.values() for attempt in attempts)
+        running = (attempt for attempts in self._in_flight.values() for attempt in attempts)
         return [a for a in running if a.replica is not None and a.replica.key == key]
 
     def _interrupt(self, attempts: Iterable[Attempt], reason: str) -> None:
--- a/ferrydock/forwarding/_crash_guard.py
+++ b/ferrydock/forwarding/_crash_guard.py
@@ -96,10 +96,14 @@
         ----------
         target : Target
             The target's entry in the directory when the request was sent.
-        began_s : float
+        sent_s : float
             Local time at which the request was sent.
         """
-        if not end.may_have_run or end.reason in _REASONS_WITHOUT_CRASH or self._is_leaving(target):
+        if (
+            not end.may_have_run
+            or end.reason in _REASONS_WITHOUT_CRASH
+            or self._is_planned_shutdown(target)
+        ):
             return
         ended_s = self.clock.now_s()
         check = asyncio.get_running_loop().create_task(
@@ -110,7 +114,7 @@
         if self.history.crashes_of(exchange.identity) + 1 >= CRASHES_TO_KNOW:
             await asyncio.wait({check}, timeout=MAX_CHECK_WAIT_S)
 
-    def _is_leaving(self, target: Target) -> bool:
+    def _is_planned_shutdown(self, target: Target) -> bool:
         """Return whether a target shuts down as planned: it is draining or not listed."""
         listed = self.directory.targets.get(target.target_id)
         return listed is None or listed.draining
--- a/ferrydock/forwarding/_exchange.py
+++ b/ferrydock/forwarding/_exchange.py
@@ -43,7 +43,7 @@
 
     Attributes
     ----------
-    again_s : float
+    retry_after_s : float
         Seconds until one of its targets accepts requests again; 0 if all slots are merely taken.
     """
 
--- a/ferrydock/forwarding/_listener.py
+++ b/ferrydock/forwarding/_listener.py
@@ -38,11 +38,11 @@
     ----------
     in_flight : int
         Requests whose handlers run.
-    rests_since_s : float
+    idle_since_s : float
         Loop time of the end of the last request, or of the connection's start.
-    head_since_s : float or None
+    head_started_s : float or None
         Loop time at which the first bytes of an incomplete head arrived; None if there is none.
-    begun : int
+    handlers_started : int
         Number of requests whose handlers have started.
     """
 
--- a/ferrydock/forwarding/_refusal.py
+++ b/ferrydock/forwarding/_refusal.py
@@ -19,8 +19,8 @@
     "retry_after_s",
 ]
 
-# Maximum wait for the slot of a retry. Longer than that of a first attempt: the request may have
-# run already, so its caller could not safely repeat it after a refusal.
+# Maximum wait for the slot of a retry. The request may have run already, and its caller could not
+# safely repeat it after a refusal, so an answer is worth a longer wait.
 MAX_RETRY_QUEUE_S = 1.0
 
 # Retry-After is drawn from this range, so that callers refused together do not retry together.
--- a/ferrydock/forwarding/_request_log.py
+++ b/ferrydock/forwarding/_request_log.py
@@ -126,10 +126,10 @@
         Parameters
         ----------
         since_arrival_s : float
-            Seconds since the request came.
-        endpoints : int
+            Seconds since the request arrived.
+        endpoint_count : int
             Endpoints that could have served it, full ones included.
-        waiting : int
+        queued : int
             Requests in this daemon's queue.
         """
         if exchange.response is not None:
--- a/ferrydock/forwarding/_retry_rule.py
+++ b/ferrydock/forwarding/_retry_rule.py
@@ -56,7 +56,7 @@
 
     Parameters
     ----------
-    promised : int
+    reserved_retries : int
         Retries that attempts interrupted in the same pass will take from the budget.
     """
     if exchange.response is None:
--- a/ferrydock/forwarding/_stalls.py
+++ b/ferrydock/forwarding/_stalls.py
@@ -55,7 +55,7 @@
 GIVEN_UP = "given_up"
 
 
-def _is_every_replica_quiet(others_quiet_s: Sequence[float], limit_s: float) -> bool:
+def _are_others_quiet(others_quiet_s: Sequence[float], limit_s: float) -> bool:
     """Return whether all other replicas are quiet as well, for `limit_s` or longer.
 
     The cause is then this daemon's own network link. False if there are no other replicas.
@@ -126,7 +126,7 @@
     async def step(self) -> None:
         """Check all replicas in use for silence, and start polling the members of silent ones."""
         now_s = self.clock.now_s()
-        self._note_own_pause(now_s)
+        self._record_own_pause(now_s)
         busy = [
             (r, attempt_count, self._quiet_s(r, now_s))
             for r, attempt_count in self.attempts.busy_replicas()
@@ -136,7 +136,7 @@
             others_quiet_s = [
                 other_quiet_s for other, _, other_quiet_s in busy if other is not replica
             ]
-            if quiet_s >= move_s and not _is_every_replica_quiet(others_quiet_s, move_s):
+            if quiet_s >= move_s and not _are_others_quiet(others_quiet_s, move_s):
                 self.attempts.move_streams(replica.key, SILENT)
             limit_s = min(move_s, QUIET_S if attempt_count > 1 else SINGLE_REQUEST_QUIET_S)
             if quiet_s >= limit_s and self._may_poll(replica, now_s):
@@ -157,7 +157,7 @@
             self.times.usual_first_s(*kind),
         )
 
-    def _note_own_pause(self, now_s: float) -> None:
+    def _record_own_pause(self, now_s: float) -> None:
         """Record when this daemon resumes after a pause of its own process."""
         if now_s - self._last_step_s > OWN_PAUSE_S:
             self._resumed_s = now_s
@@ -209,11 +209,11 @@
         quiet_from_s = poll_started_s - self._quiet_s(replica, poll_started_s)
         attempt_count = self.attempts.attempt_count_at(replica.head.target_id)
         unresponsive = await self._unresponsive_members(replica.members)
-        is_brief = self.clock.now_s() - quiet_from_s < SINGLE_REQUEST_QUIET_S
-        if unresponsive and attempt_count <= 1 and is_brief and not is_reported_by_peer:
+        is_briefly_quiet = self.clock.now_s() - quiet_from_s < SINGLE_REQUEST_QUIET_S
+        if unresponsive and attempt_count <= 1 and is_briefly_quiet and not is_reported_by_peer:
             unresponsive = await self._unresponsive_members(unresponsive)
         now_s = self.clock.now_s()
-        self._note_own_pause(now_s)
+        self._record_own_pause(now_s)
         if self._resumed_s > poll_started_s:
             return  # this daemon was paused during the poll: reports may still be unread
         if self._has_progressed_since(replica, poll_started_s) and not is_reported_by_peer:
--- a/ferrydock/forwarding/_target_loads.py
+++ b/ferrydock/forwarding/_target_loads.py
@@ -29,14 +29,14 @@
     ----------
     running : int
         This daemon's requests in flight at the target.
-    progress_s : float
+    last_progress_s : float
         Local time of the last progress: an event or answer received from the target, or a request
         sent while the target had no other request in flight.
-    answered_s : float
+    last_answer_s : float
         Local time of the last event or answer received from the target.
-    failures : int
+    consecutive_failures : int
         Failures since the last success or ejection.
-    ejections : int
+    ejections_since_success : int
         Ejections since the last success.
     ejected_until_s : float
         Local time at which the current or last ejection ends.
@@ -51,7 +51,7 @@
 
 
 class TargetLoads:
-    """Loads of the targets that this daemon has sent requests to, by target id.
+    """Loads of targets by target id, as observed by this daemon.
 
     Examples
     --------
@@ -118,7 +118,7 @@
 
         Parameters
         ----------
-        at_once : bool
+        eject_immediately : bool
             Whether this failure alone ejects the target, as when connecting to it failed.
         """
         load = self.of(target_id)
--- a/ferrydock/forwarding/_upstream.py
+++ b/ferrydock/forwarding/_upstream.py
@@ -71,7 +71,7 @@
         ----------
         path : str
             Path and query as the caller sent them; they are not quoted again.
-        once : bool
+        runs_once : bool
             Whether the request may run only once, and so needs a new connection.
 
         Raises
--- a/ferrydock/forwarding/tests/test_crashes.py
+++ b/ferrydock/forwarding/tests/test_crashes.py
@@ -95,7 +95,7 @@
     """The target is draining, or only its entry is removed, when its connections are reset."""
 
     async def scenario():
-        async def leaves(target, request, writer):
+        async def shuts_down(target, request, writer):
             listed = rig.directory.targets["t0"]
             rig.directory.remove("t0")
             if is_listed:
@@ -104,7 +104,7 @@
                 )
             return await crashes()(target, request, writer)
 
-        async with Rig([route(attempts=1)], [ScriptedTarget(leaves)]) as rig:
+        async with Rig([route(attempts=1)], [ScriptedTarget(shuts_down)]) as rig:
             assert (await rig.ask("POST", body=b"hi")).startswith(b"HTTP/1.1 502")
             await asyncio.sleep(0.1)
             assert rig.history.remembered_count == 0
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -113,9 +113,9 @@
 @pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, AT_MOST_ONCE])
 def test_request_that_a_target_did_not_run_is_retried_elsewhere(kind):
     async def scenario():
-        shed = ScriptedTarget(answers(NOT_EXECUTED))
+        refusing = ScriptedTarget(answers(NOT_EXECUTED))
         good = ScriptedTarget(answers(whole()))
-        async with Rig([route(kind=kind)], [shed, good]) as rig:
+        async with Rig([route(kind=kind)], [refusing, good]) as rig:
             for _ in range(4):
                 assert (await rig.ask()).startswith(b"HTTP/1.1 200")
         assert len(good.requests) == 4
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, AT_MOST_ONCE])
 def test_request_to_a_reused_address_is_not_run_by_the_wrong_target(kind):
     async def scenario():
-        async def other(target, request, writer):
+        async def wrong_incarnation(target, request, writer):
             expected = b"x-expect-instance: t0" in request.lower()
             writer.write(
                 b"HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: new\r\n"
@@ -137,7 +137,7 @@
             await writer.drain()
             return True
 
-        reused, good = ScriptedTarget(other), ScriptedTarget(answers(whole(b"own")))
+        reused, good = ScriptedTarget(wrong_incarnation), ScriptedTarget(answers(whole(b"own")))
         async with Rig([route(kind=kind)], [reused, good]) as rig:
             for _ in range(4):
                 received = await rig.ask("POST", body=b"x")
@@ -240,8 +240,8 @@
 
             return script
 
-        stray = whole(b"stray", b"X-Attempt-Id: old\r\n")
-        target = ScriptedTarget(own(stray), own(b""))
+        left_over = whole(b"stray", b"X-Attempt-Id: old\r\n")
+        target = ScriptedTarget(own(left_over), own(b""))
         async with Rig([route()], [target]) as rig:
             for _ in range(3):
                 received = await rig.ask()
@@ -283,7 +283,7 @@
     caplog.set_level(logging.INFO, "ferrydock.forwarding")
 
     async def scenario():
-        left = asyncio.Event()
+        disconnected = asyncio.Event()
 
         async def slow(target, request, writer):
             writer.write(STREAM + events(1))
@@ -296,7 +296,7 @@
                 await asyncio.sleep(0.02)
                 writer.write(events(number))
                 if writer.transport.is_closing():
-                    left.set()
+                    disconnected.set()
                     return
                 await writer.drain()
 
@@ -308,7 +308,7 @@
             await reader.readuntil(b"piece 1")
             writer.close()
             async with asyncio.timeout(2):
-                await left.wait()
+                await disconnected.wait()
             await asyncio.sleep(0.05)
             assert rig.loads.of("t0").running == 0
         assert len(target.requests) == 1
@@ -319,11 +319,13 @@
 
 def test_status_after_the_time_limit_says_whether_the_request_may_have_run():
     async def scenario():
-        async def silent(target, request, writer):
+        async def never_answers(target, request, writer):
             await asyncio.sleep(5)
 
         limits = {"time_limit_s": 0.3}
-        async with Rig([route(kind=AT_MOST_ONCE, **limits)], [ScriptedTarget(silent)]) as rig:
+        async with Rig(
+            [route(kind=AT_MOST_ONCE, **limits)], [ScriptedTarget(never_answers)]
+        ) as rig:
             assert (await rig.ask()).startswith(b"HTTP/1.1 504")
         async with Rig([route(kind=AT_MOST_ONCE, **limits)], []) as rig:
             received = await rig.ask()
--- a/ferrydock/forwarding/tests/test_interruptions.py
+++ b/ferrydock/forwarding/tests/test_interruptions.py
@@ -183,7 +183,7 @@
 
 
 def _streams_of(rig):
-    attempts = rig.forwarder.attempts._running.values()
+    attempts = rig.forwarder.attempts._in_flight.values()
     return [attempt.exchange.events for running in attempts for attempt in running]
 
 
