--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -39,6 +39,7 @@
     "crashes",
     "daemon.py",
     "environment.py",
+    "forwarding",
     "freshness",
     "hall_lease.py",
     "http_client.py",
