--- a/ferrydock/hall/__init__.py
+++ b/ferrydock/hall/__init__.py
@@ -1,8 +1,8 @@
-"""One hall of the table's daemon: its controller, attestations, isolation and rejoin.
+"""Control of one hall by the table's daemon: lease, probes, attestations, work without the store.
 
-The lease and the keys in the store are shared with the route daemon (`ferrydock.hall_lease`); its
-controller is `replicas.ReplicaController`, since its targets take
-other orders and form replicas by themselves.
+The lease and the keys in the store are shared with the route daemon (`ferrydock.hall_lease`). The
+route daemon's controller is `replicas.ReplicaController`, since its targets take other orders and
+form replicas by themselves.
 """
 
 from ._attestation import Attestation, Attestations
--- a/ferrydock/hall/_attestation.py
+++ b/ferrydock/hall/_attestation.py
@@ -1,4 +1,7 @@
-"""Statements that a replica is whole. A replica gets work only while one of them is fresh."""
+"""Attestations that a replica is complete.
+
+A replica is sent requests only while it has an unexpired attestation.
+"""
 
 from dataclasses import dataclass
 
@@ -10,18 +13,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Attestation:
-    """All member boxes reported the same replica, generation and recorded incarnation.
+    """Statement that all members of a replica are ready in its recorded generation.
+
+    Each member box reported the replica, its generation and the incarnation in the record.
 
     Attributes
     ----------
     replica_id : str
-        The replica.
+        Name of the replica.
     generation : Fence
-        Its generation.
+        Generation of the replica that was probed.
     probed_s : float
         Time on the local clock before the first of the probes was sent.
     running, waiting : int
-        Load that the head reported; it lags.
+        Requests in flight and queued, as last reported by the replica's head box.
     """
 
     replica_id: str
@@ -32,19 +37,19 @@
 
 
 class Attestations:
-    """The newest statement on each replica.
+    """The newest attestation of each replica.
 
     Parameters
     ----------
     ttl_s : float
-        How long after its probes a statement counts.
+        How long an attestation is valid after its first probe was sent.
 
     Examples
     --------
     >>> attestations = Attestations(ttl_s=2.0)
     >>> attestations.accept(Attestation("r1", Fence(1, 0, 1), probed_s=10.0))
     True
-    >>> [attestations.fresh("r1", Fence(1, 0, 1), now_s) for now_s in (11.9, 12.1)]
+    >>> [attestations.is_attested("r1", Fence(1, 0, 1), now_s) for now_s in (11.9, 12.1)]
     [True, False]
     """
 
@@ -54,45 +59,49 @@
         self.ttl_s = ttl_s
         self._newest: dict[str, Attestation] = {}
 
-    def accept(self, statement: Attestation) -> bool:
-        """Keep a statement if it is newer than what is known; return whether it was."""
-        known = self._newest.get(statement.replica_id)
-        if known is not None and (known.generation, known.probed_s) >= (
-            statement.generation,
-            statement.probed_s,
+    def accept(self, attestation: Attestation) -> bool:
+        """Store an attestation if it is newer than the stored one; return whether it was."""
+        newest = self._newest.get(attestation.replica_id)
+        if newest is not None and (newest.generation, newest.probed_s) >= (
+            attestation.generation,
+            attestation.probed_s,
         ):
             return False
-        self._newest[statement.replica_id] = statement
+        self._newest[attestation.replica_id] = attestation
         return True
 
     def revoke(self, replica_id: str, generation: Fence) -> None:
-        """Forget the statement on a generation that was seen broken."""
-        known = self._newest.get(replica_id)
-        if known is not None and known.generation <= generation:
+        """Remove the attestation of a replica, up to a generation that was found broken."""
+        newest = self._newest.get(replica_id)
+        if newest is not None and newest.generation <= generation:
             del self._newest[replica_id]
 
     def get(self, replica_id: str) -> Attestation | None:
-        """Return the newest statement, fresh or not."""
+        """Return the newest attestation of a replica, even if it has expired."""
         return self._newest.get(replica_id)
 
-    def fresh(self, replica_id: str, generation: Fence, now_s: float) -> bool:
-        """Return whether the generation is attested at `now_s`."""
-        known = self._newest.get(replica_id)
+    def is_attested(self, replica_id: str, generation: Fence, now_s: float) -> bool:
+        """Return whether this generation of a replica has an unexpired attestation at `now_s`."""
+        newest = self._newest.get(replica_id)
         return (
-            known is not None
-            and known.generation == generation
-            and now_s - known.probed_s <= self.ttl_s
+            newest is not None
+            and newest.generation == generation
+            and now_s - newest.probed_s <= self.ttl_s
         )
 
     def whole(self, replica: Replica, now_s: float) -> bool:
-        """Return whether `replica`, as recorded, is attested at `now_s`."""
-        return self.fresh(replica.replica_id, replica.generation, now_s)
+        """Return whether the recorded generation of `replica` is attested at `now_s`."""
+        return self.is_attested(replica.replica_id, replica.generation, now_s)
 
     def keep_only(self, replica_ids: set[str]) -> None:
-        """Forget replicas that are no longer recorded."""
+        """Remove the attestations of all replicas but `replica_ids`."""
         for replica_id in self._newest.keys() - replica_ids:
             del self._newest[replica_id]
 
-    def statements(self, now_s: float) -> tuple[Attestation, ...]:
-        """Return all statements that still count."""
-        return tuple(s for s in self._newest.values() if now_s - s.probed_s <= self.ttl_s)
+    def unexpired(self, now_s: float) -> tuple[Attestation, ...]:
+        """Return all attestations that have not expired at `now_s`."""
+        return tuple(
+            attestation
+            for attestation in self._newest.values()
+            if now_s - attestation.probed_s <= self.ttl_s
+        )
--- a/ferrydock/hall/_controller.py
+++ b/ferrydock/hall/_controller.py
@@ -1,4 +1,4 @@
-"""The controller of a hall: holds the lease, decides the placement, gives fenced orders."""
+"""The controller of a hall: holds the hall's lease, plans its placement and sends fenced orders."""
 
 import asyncio
 import logging
@@ -31,14 +31,15 @@
 __all__ = ["ControllerMode", "HallController"]
 
 _LOG = logging.getLogger("ferrydock.hall")
-DRAIN_QUIET_S = 3.0
-ORDERS_AT_ONCE = 64
+DRAIN_IDLE_S = 3.0
+MAX_CONCURRENT_ORDERS = 64
+# Each isolated period starts at the next multiple of this, plus a number of the daemon.
 BALLOT_STEP = 1 << 16
-NOTE_GAP_S = 5.0
+MAX_SHORTAGE_INTERVAL_S = 5.0
 
 
 class ControllerMode(StrEnum):
-    """What a daemon is for its hall."""
+    """Role of a daemon in its hall."""
 
     FOLLOWER = "follower"
     CONTROLLER = "controller"
@@ -54,41 +55,41 @@
 
 
 class HallController:
-    """Runs the hall while this daemon holds the lease, or while the hall has no store.
+    """Places replicas in a hall while this daemon holds its lease or the store is unreachable.
 
     Parameters
     ----------
     hall, name : str
-        The hall, and this daemon.
+        Names of the hall and of this daemon.
     store : Store
         The platform's key-value service.
     observer : HallObserver
-        What is seen of the boxes.
+        Supplies the state of the hall's boxes.
     control : EngineControl
-        Takes the orders.
+        Sends orders to the boxes.
     policy : PlacementPolicy
-        Decides.
+        Plans which boxes form which replica.
     clock : Clock
-        Measures the lease.
+        Measures how long the lease is valid.
     random_source : random.Random
-        For jitter.
+        Decides in which isolated rounds the store is tried again.
     publish : callable
-        Is given every record that this controller has put in force.
+        Called with every placement record that this controller applies.
 
     Notes
     -----
-    One call of `step` does one round; nothing is queued from round to round. Orders follow from
-    the record alone and are sent only while the lease is surely valid, so a controller that was
-    paused finds its lease over before it can send what it had in mind.
+    One call of `step` does one round; no order is queued between rounds. Orders are derived from
+    the placement record alone. With the store in reach they are sent only while the lease is valid
+    by the local clock, so a controller that was paused past its lease sends nothing stale.
     """
 
     __slots__ = (
-        "_acts_until_refused",
-        "_noted_s",
-        "_short_replica_s",
-        "_store_failed_s",
-        "_stored",
-        "_stranded_box_s",
+        "_isolation_allowed",
+        "_shortage_measured_s",
+        "_short_replica_seconds",
+        "_store_unreachable_since_s",
+        "_stored_record",
+        "_stranded_box_seconds",
         "clock",
         "control",
         "counters",
@@ -133,46 +134,50 @@
         self.reasons: dict[str, str] = {}
         self.rate_bytes_per_s = 1e9
         self.counters = _Counters()
-        self._stored: StoredPlacement | None = None
-        self._store_failed_s: float | None = None
-        self._acts_until_refused = True
-        self._noted_s: float | None = None
-        self._short_replica_s = 0.0
-        self._stranded_box_s = 0.0
+        self._stored_record: StoredPlacement | None = None
+        self._store_unreachable_since_s: float | None = None
+        self._isolation_allowed = True
+        self._shortage_measured_s: float | None = None
+        self._short_replica_seconds = 0.0
+        self._stranded_box_seconds = 0.0
 
-    # What the daemon tells the controller -------------------------------------------------
+    # State shared with the daemon ---------------------------------------------------------
 
     def learn(self, placement: HallPlacement) -> None:
-        """Take note of a record that another daemon has put in force."""
+        """Adopt a newer placement record of another daemon, unless this one is the controller."""
         if placement.fence > self.placement.fence and self.mode is not ControllerMode.CONTROLLER:
             self.placement = placement
 
     @property
     def store_away(self) -> bool:
-        """Whether the store did not answer when it was last asked."""
-        return self._store_failed_s is not None
+        """Whether the last call to the store failed."""
+        return self._store_unreachable_since_s is not None
 
     def shortage(self) -> tuple[float, float]:
-        """Return replica-seconds short and box-seconds stranded, seen while in control."""
-        return self._short_replica_s, self._stranded_box_s
+        """Return missing replica-seconds and unused box-seconds, summed while in control."""
+        return self._short_replica_seconds, self._stranded_box_seconds
 
-    def _note_shortage(self, view: TableView, boxes: dict[str, ObservedBox]) -> None:
-        """Add up what was short since the last round."""
+    def _add_shortage(self, view: TableView, boxes: dict[str, ObservedBox]) -> None:
+        """Add missing replicas and unused boxes to the sums, times the seconds since the last call.
+
+        Leaves out intervals above `MAX_SHORTAGE_INTERVAL_S`, in which this daemon was paused or
+        not in control.
+        """
         now_s = self.clock.now_s()
-        since_s, self._noted_s = self._noted_s, now_s
-        if since_s is None or now_s - since_s > NOTE_GAP_S:
+        previous_s, self._shortage_measured_s = self._shortage_measured_s, now_s
+        if previous_s is None or now_s - previous_s > MAX_SHORTAGE_INTERVAL_S:
             return
         replicas = self.placement.replicas.values()
-        whole = [r for r in replicas if self.observer.attestations.whole(r, now_s)]
+        complete = [r for r in replicas if self.observer.attestations.whole(r, now_s)]
         wanted = sum(m.replicas_in(self.hall) for m in view.models.values())
-        present = sum(1 for seen in boxes.values() if seen.present)
-        busy = sum(len(r.members) for r in whole)
-        self._short_replica_s += max(0, wanted - len(whole)) * (now_s - since_s)
-        self._stranded_box_s += max(0, present - busy) * (now_s - since_s)
+        present_count = sum(1 for observed in boxes.values() if observed.present)
+        member_count = sum(len(r.members) for r in complete)
+        self._short_replica_seconds += max(0, wanted - len(complete)) * (now_s - previous_s)
+        self._stranded_box_seconds += max(0, present_count - member_count) * (now_s - previous_s)
 
     # Rounds -------------------------------------------------------------------------------
 
-    async def step(self, view: TableView, candidate: bool, first_choice: bool) -> None:
+    async def step(self, view: TableView, candidate: bool, is_first_rank: bool) -> None:
         """Do one round.
 
         Parameters
@@ -180,106 +185,111 @@
         view : TableView
             The table in force.
         candidate : bool
-            Whether no other daemon is known to hold the lease, and it is this one's turn to try.
-        first_choice : bool
-            Whether this daemon would act for the hall if the store stayed away.
+            Whether this daemon may acquire the lease: no other daemon is known to hold it, and this
+            one is next in order.
+        is_first_rank : bool
+            Whether this daemon controls the hall while the store is unreachable.
         """
-        await self._keep_lease(view, candidate)
+        await self._maintain_lease(view, candidate)
         if self.lease.valid:
-            await self._act_with_store(view)
-        elif self._store_away(view) and first_choice and self._acts_until_refused:
-            await self._act_isolated(view)
+            await self._run_with_store(view)
+        elif self._all_leases_expired(view) and is_first_rank and self._isolation_allowed:
+            await self._run_isolated(view)
         else:
             self.mode = ControllerMode.FOLLOWER
 
     async def stand_down(self) -> None:
-        """Give the lease back, as part of a planned stop."""
+        """Release the lease before a planned stop."""
         self.mode = ControllerMode.FOLLOWER
         await self.lease.give_back()
 
     # The lease ----------------------------------------------------------------------------
 
-    async def _keep_lease(self, view: TableView, candidate: bool) -> None:
+    async def _maintain_lease(self, view: TableView, candidate: bool) -> None:
         held = self.lease.held
         now_s = self.clock.now_s()
         if held is not None:
-            due_s = held.valid_until_s - view.site.lease_ttl_s * 2 / 3
-            if now_s < due_s:
+            renew_at_s = held.valid_until_s - view.site.lease_ttl_s * 2 / 3
+            if now_s < renew_at_s:
                 return
-            kept = await self.lease.keep()
-            if isinstance(kept, Unavailable):
-                self._store_failed()
+            renewal = await self.lease.keep()
+            if isinstance(renewal, Unavailable):
+                self._mark_store_unreachable()
                 if not self.lease.valid:
                     self.lease.held = None
-            elif isinstance(kept, LeaseLost):
+            elif isinstance(renewal, LeaseLost):
                 log_event(_LOG, logging.WARNING, "lease_lost", hall=self.hall)
             else:
-                self._store_answered()
+                self._mark_store_reachable()
         if self.lease.held is None:
-            self._stored = None
-            if candidate or self._probe_store_again():
+            self._stored_record = None
+            if candidate or self._should_retry_store():
                 await self._acquire(view)
 
-    def _probe_store_again(self) -> bool:
-        failed_s = self._store_failed_s
-        if failed_s is None or self.mode is not ControllerMode.ISOLATED:
+    def _should_retry_store(self) -> bool:
+        """Return whether to try the store in this isolated round: one in five, at random."""
+        unreachable_since_s = self._store_unreachable_since_s
+        if unreachable_since_s is None or self.mode is not ControllerMode.ISOLATED:
             return False
         return self.random_source.random() < 0.2
 
     async def _acquire(self, view: TableView) -> None:
         outcome = await self.lease.acquire(view.site.lease_ttl_s)
         if isinstance(outcome, Unavailable | Unknown):
-            self._store_failed()
+            self._mark_store_unreachable()
             return
-        self._store_answered()
+        self._mark_store_reachable()
         if isinstance(outcome, HeldLease):
             log_event(_LOG, logging.INFO, "lease_taken", hall=self.hall, term=outcome.term)
 
-    def _store_failed(self) -> None:
-        if self._store_failed_s is None:
-            self._store_failed_s = self.clock.now_s()
+    def _mark_store_unreachable(self) -> None:
+        if self._store_unreachable_since_s is None:
+            self._store_unreachable_since_s = self.clock.now_s()
             log_event(_LOG, logging.WARNING, "store_unreachable", hall=self.hall)
 
-    def _store_answered(self) -> None:
-        if self._store_failed_s is not None:
+    def _mark_store_reachable(self) -> None:
+        if self._store_unreachable_since_s is not None:
             log_event(_LOG, logging.INFO, "store_reachable", hall=self.hall)
-        self._store_failed_s = None
-        self._acts_until_refused = True
-
-    def _store_away(self, view: TableView) -> bool:
-        """Return whether the store has been away so long that any lease has run out."""
-        failed_s = self._store_failed_s
-        return failed_s is not None and self.clock.now_s() - failed_s > 2 * view.site.lease_ttl_s
+        self._store_unreachable_since_s = None
+        self._isolation_allowed = True
+
+    def _all_leases_expired(self, view: TableView) -> bool:
+        """Return whether the store has been unreachable for longer than any lease can be valid."""
+        unreachable_since_s = self._store_unreachable_since_s
+        return (
+            unreachable_since_s is not None
+            and self.clock.now_s() - unreachable_since_s > 2 * view.site.lease_ttl_s
+        )
 
     # With the store -----------------------------------------------------------------------
 
-    async def _act_with_store(self, view: TableView) -> None:
-        if self._stored is None and not await self._take_over(view):
+    async def _run_with_store(self, view: TableView) -> None:
+        if self._stored_record is None and not await self._take_over_hall(view):
             return
         self.mode = ControllerMode.CONTROLLER
         await self.observer.refresh(self.placement)
         boxes = self.observer.boxes(view)
-        plan = self._decide(view, boxes, isolated=False)
-        if plan is not self.placement and not await self._write(plan):
+        plan = self._make_plan(view, boxes, isolated=False)
+        if plan is not self.placement and not await self._write_record(plan):
             return
         if self.lease.valid:
-            await self._send_orders(view, boxes, checking_only=False)
-        self._note_shortage(view, boxes)
+            await self._send_pending_orders(view, boxes, only_checking_boxes=False)
+        self._add_shortage(view, boxes)
 
-    async def _take_over(self, view: TableView) -> bool:
-        """Read the record and bring it in line with what runs, under the new term."""
+    async def _take_over_hall(self, view: TableView) -> bool:
+        """Read the placement record, adopt running replicas, and write it under the new term."""
         stored = await self.repository.read()
         if isinstance(stored, Unavailable):
-            self._store_failed()
+            self._mark_store_unreachable()
             return False
-        self._store_answered()
+        self._mark_store_reachable()
         known = max(stored.placement, self.placement, key=lambda p: p.fence)
         await self.observer.refresh(known, list_interval_s=0.0)
         if not self.lease.valid:
             return False
         held = existing(self.lease.held, "the lease")
         adopted = adopt(known, self.observer.boxes(view), held.term)
-        self._stored = stored
+        self._stored_record = stored
         log_event(
             _LOG,
             logging.INFO,
@@ -288,33 +298,33 @@
             fence=adopted.fence,
             replicas=len(adopted.replicas),
         )
-        return await self._write(adopted)
+        return await self._write_record(adopted)
 
-    async def _write(self, placement: HallPlacement) -> bool:
-        """Put a record into the store; only then is it in force."""
+    async def _write_record(self, placement: HallPlacement) -> bool:
+        """Write a record to the store; apply it and return True if the write succeeded."""
         if not self.lease.valid:
             return False
         self.counters.writes += 1
-        stored = existing(self._stored, "the record that was read")
+        stored = existing(self._stored_record, "the stored placement record")
         held = existing(self.lease.held, "the lease")
         outcome = await self.repository.write(placement, stored, held.term)
         if isinstance(outcome, StoredPlacement):
-            self._stored = outcome
-            self._put_in_force(placement)
+            self._stored_record = outcome
+            self._apply_record(placement)
             return True
         log_event(_LOG, logging.WARNING, "record_not_written", hall=self.hall, why=outcome.reason)
-        self._stored = None
+        self._stored_record = None
         if isinstance(outcome, Conflict):
             await self.lease.give_back()
         else:
-            self._store_failed()
+            self._mark_store_unreachable()
         return False
 
-    def _put_in_force(self, placement: HallPlacement) -> None:
-        before = self.placement
+    def _apply_record(self, placement: HallPlacement) -> None:
+        previous = self.placement
         self.placement = placement
         for replica in placement.replicas.values():
-            known = before.replicas.get(replica.replica_id)
+            known = previous.replicas.get(replica.replica_id)
             if known is None or (known.phase, known.generation) != (
                 replica.phase,
                 replica.generation,
@@ -334,31 +344,34 @@
 
     # Without the store --------------------------------------------------------------------
 
-    async def _act_isolated(self, view: TableView) -> None:
-        """Repair what can be repaired safely: boxes that check orders arbitrate by the ballot."""
+    async def _run_isolated(self, view: TableView) -> None:
+        """Do one round without the store, with orders only to boxes that check fences.
+
+        Several daemons may do so at once: the boxes obey the one with the highest ballot.
+        """
         if self.mode is not ControllerMode.ISOLATED:
             await self.observer.refresh(self.placement, list_interval_s=0.0)
-            before = self.placement
-            ballot = (before.fence.ballot // BALLOT_STEP + 1) * BALLOT_STEP + self._ballot_tail()
-            adopted = adopt(before, self.observer.boxes(view), before.fence.term, ballot)
+            record = self.placement
+            ballot = (record.fence.ballot // BALLOT_STEP + 1) * BALLOT_STEP + self._ballot_offset()
+            adopted = adopt(record, self.observer.boxes(view), record.fence.term, ballot)
             log_event(_LOG, logging.WARNING, "acting_isolated", hall=self.hall, ballot=ballot)
             self.mode = ControllerMode.ISOLATED
-            self._put_in_force(adopted)
+            self._apply_record(adopted)
         await self.observer.refresh(self.placement)
         boxes = self.observer.boxes(view)
-        plan = self._decide(view, boxes, isolated=True)
+        plan = self._make_plan(view, boxes, isolated=True)
         if plan is not self.placement:
-            self._put_in_force(plan)
-        await self._send_orders(view, boxes, checking_only=True)
-        self._note_shortage(view, boxes)
+            self._apply_record(plan)
+        await self._send_pending_orders(view, boxes, only_checking_boxes=True)
+        self._add_shortage(view, boxes)
 
-    def _ballot_tail(self) -> int:
-        """Return a number that tells this daemon's ballots from those of its neighbours."""
+    def _ballot_offset(self) -> int:
+        """Return a number derived from the daemon's name, to tell its ballots from others'."""
         return zlib.crc32(self.name.encode()) % BALLOT_STEP
 
-    # Both ---------------------------------------------------------------------------------
+    # With and without the store -----------------------------------------------------------
 
-    def _decide(
+    def _make_plan(
         self, view: TableView, boxes: dict[str, ObservedBox], isolated: bool
     ) -> HallPlacement:
         self.counters.plans += 1
@@ -367,31 +380,33 @@
                 placement=self.placement,
                 view=view,
                 boxes=boxes,
-                drained=self.observer.drained(self.placement, DRAIN_QUIET_S),
+                drained=self.observer.drained(self.placement, DRAIN_IDLE_S),
                 rate_bytes_per_s=self.rate_bytes_per_s,
                 isolated=isolated,
             )
         )
         self.reasons.update(plan.reasons)
-        kept = plan.placement.replicas.keys() | view.models.keys()
-        self.reasons = {k: why for k, why in self.reasons.items() if k in kept}
+        subjects = plan.placement.replicas.keys() | view.models.keys()
+        self.reasons = {
+            subject: why for subject, why in self.reasons.items() if subject in subjects
+        }
         return plan.placement
 
-    async def _send_orders(
-        self, view: TableView, boxes: dict[str, ObservedBox], checking_only: bool
+    async def _send_pending_orders(
+        self, view: TableView, boxes: dict[str, ObservedBox], only_checking_boxes: bool
     ) -> None:
         orders = [
             order
             for order in pending_orders(self.placement, view, boxes)
-            if not checking_only or view.checks_orders(order.box)
+            if not only_checking_boxes or view.checks_orders(order.box)
         ]
-        for start in range(0, len(orders), ORDERS_AT_ONCE):
-            if not checking_only and not self.lease.valid:
+        for start in range(0, len(orders), MAX_CONCURRENT_ORDERS):
+            if not only_checking_boxes and not self.lease.valid:
                 return
-            batch = orders[start : start + ORDERS_AT_ONCE]
-            await asyncio.gather(*(self._send(order) for order in batch))
+            batch = orders[start : start + MAX_CONCURRENT_ORDERS]
+            await asyncio.gather(*(self._send_order(order) for order in batch))
 
-    async def _send(self, addressed: AddressedOrder) -> None:
+    async def _send_order(self, addressed: AddressedOrder) -> None:
         self.counters.orders += 1
         answer = await self.control.send(addressed.url, addressed.order)
         if not isinstance(answer, OrderRefused):
@@ -406,13 +421,17 @@
             standing=answer.fence,
         )
         if answer.fence > self.placement.fence:
-            await self._outranked(answer)
+            await self._handle_higher_fence(answer)
 
-    async def _outranked(self, answer: OrderRefused) -> None:
-        """Another controller has given higher orders: start over from what runs."""
+    async def _handle_higher_fence(self, answer: OrderRefused) -> None:
+        """Discard this daemon's plan after a box reported a higher fence of another controller.
+
+        An isolated daemon stops acting until the store answers; a controller with a lease adopts
+        the running replicas again above that fence.
+        """
         if self.mode is ControllerMode.ISOLATED:
-            self._acts_until_refused = False
+            self._isolation_allowed = False
             self.mode = ControllerMode.FOLLOWER
             return
         self.placement = replace(self.placement, fence=answer.fence)
-        self._stored = None
+        self._stored_record = None
--- a/ferrydock/hall/_observer.py
+++ b/ferrydock/hall/_observer.py
@@ -1,8 +1,8 @@
-"""How a controller keeps sight of all boxes of its hall at a bounded cost.
+"""What the controller of a hall knows of the hall's boxes, at a bounded number of probes.
 
-Members of attested replicas are taken as reported by the daemons that probe them. Only boxes
-that no fresh statement covers are asked directly: often where something is under way, seldom
-where nothing is.
+The state of members of an attested replica follows from the attestation. Only the other boxes are
+probed: in every round while they take part in a replica or fetch weights, and otherwise once per
+`IDLE_PROBE_INTERVAL_S`.
 """
 
 import asyncio
@@ -18,46 +18,47 @@
 
 __all__ = ["HallObserver"]
 
-QUIET_PROBE_S = 2.0
-PROBES_AT_ONCE = 64
+IDLE_PROBE_INTERVAL_S = 2.0
+MAX_CONCURRENT_PROBES = 64
 
 
 @dataclass(slots=True)
-class _Sighting:
-    """What is remembered of one box."""
+class _BoxEntry:
+    """What the observer knows of one box; all times are on the local clock."""
 
     box: Box
     state: BoxState | None = None
-    heard_s: float = 0.0
+    state_taken_s: float = 0.0
     silent_since_s: float | None = None
     idle_since_s: float | None = None
-    asked_s: float = -1e9
+    last_probe_s: float = -1e9
     listed: bool = True
 
 
 class HallObserver:
-    """Merges box list, attestations and own probes into one picture of a hall.
+    """Merges the box list, attestations and its own probes into the state of a hall's boxes.
 
     Parameters
     ----------
     hall : str
-        The hall.
+        Name of the hall.
     box_list : BoxList
-        The platform's list; it lags, so a box that answers counts whatever the list says.
+        The platform's list of boxes. It lags, so a box that answers counts as present even if it is
+        not listed.
     control : EngineControl
-        Reaches the boxes.
+        Requests the state of a box.
     attestations : Attestations
-        Statements of all daemons of the hall.
+        Attestations by all daemons of the hall.
     absences : AbsenceModel
-        Is told how long absences lasted.
+        Records how long boxes did not answer.
     clock : Clock
-        Dates what is seen.
+        Dates list reads, probes and states.
     """
 
     __slots__ = (
-        "_drain_quiet",
-        "_list_read_s",
-        "_sightings",
+        "_drain_idle_since_s",
+        "_last_list_read_s",
+        "_entries",
         "absences",
         "attestations",
         "box_list",
@@ -65,7 +66,7 @@
         "control",
         "hall",
         "list_reads",
-        "list_unavailable",
+        "list_error",
         "probes",
     )
 
@@ -86,66 +87,66 @@
         self.clock = clock
         self.probes = 0
         self.list_reads = 0
-        self.list_unavailable = ""
-        self._sightings: dict[str, _Sighting] = {}
-        self._drain_quiet: dict[str, float] = {}
-        self._list_read_s = -1e9
+        self.list_error = ""
+        self._entries: dict[str, _BoxEntry] = {}
+        self._drain_idle_since_s: dict[str, float] = {}
+        self._last_list_read_s = -1e9
 
     async def refresh(self, placement: HallPlacement, list_interval_s: float = 1.0) -> None:
-        """Read the box list if it is due, and ask the boxes that need asking."""
-        if self.clock.now_s() - self._list_read_s >= list_interval_s:
+        """Read the box list if `list_interval_s` has passed, and probe the boxes that are due."""
+        if self.clock.now_s() - self._last_list_read_s >= list_interval_s:
             await self._read_list(placement)
-        self._take_attested(placement)
-        due = self._due(placement)
-        for start in range(0, len(due), PROBES_AT_ONCE):
-            batch = due[start : start + PROBES_AT_ONCE]
-            await asyncio.gather(*(self._ask(sighting) for sighting in batch))
+        self._apply_attestations(placement)
+        due = self._boxes_to_probe(placement)
+        for start in range(0, len(due), MAX_CONCURRENT_PROBES):
+            batch = due[start : start + MAX_CONCURRENT_PROBES]
+            await asyncio.gather(*(self._probe(entry) for entry in batch))
 
     async def _read_list(self, placement: HallPlacement) -> None:
-        self._list_read_s = self.clock.now_s()
+        self._last_list_read_s = self.clock.now_s()
         self.list_reads += 1
         listed = await self.box_list.fetch(self.hall)
         if isinstance(listed, Unavailable):
-            self.list_unavailable = listed.reason
-            self._remember_members(placement)
+            self.list_error = listed.reason
+            self._add_unlisted_members(placement)
             return
-        self.list_unavailable = ""
-        names = {box.name for box in listed}
+        self.list_error = ""
+        listed_names = {box.name for box in listed}
         for box in listed:
-            sighting = self._sightings.setdefault(box.name, _Sighting(box))
-            sighting.box = box
-            sighting.listed = True
-        for name, sighting in list(self._sightings.items()):
-            if name in names:
+            entry = self._entries.setdefault(box.name, _BoxEntry(box))
+            entry.box = box
+            entry.listed = True
+        for name, entry in list(self._entries.items()):
+            if name in listed_names:
                 continue
-            sighting.listed = False
-            if placement.replica_of(name) is None and sighting.silent_since_s is not None:
-                del self._sightings[name]
-        self._remember_members(placement)
+            entry.listed = False
+            if placement.replica_of(name) is None and entry.silent_since_s is not None:
+                del self._entries[name]
+        self._add_unlisted_members(placement)
 
-    def _remember_members(self, placement: HallPlacement) -> None:
-        """Know the members of recorded replicas even where the list does not name them."""
+    def _add_unlisted_members(self, placement: HallPlacement) -> None:
+        """Add the members of recorded replicas that the box list does not name."""
         for replica in placement.replicas.values():
             for member in replica.members:
-                if member.box not in self._sightings:
-                    box = Box(member.box, self.hall, _domain_hint(self, replica), member.url)
-                    self._sightings[member.box] = _Sighting(box, listed=bool(self.list_unavailable))
+                if member.box not in self._entries:
+                    box = Box(member.box, self.hall, _guess_domain(self, replica), member.url)
+                    self._entries[member.box] = _BoxEntry(box, listed=bool(self.list_error))
 
-    def _take_attested(self, placement: HallPlacement) -> None:
+    def _apply_attestations(self, placement: HallPlacement) -> None:
         now_s = self.clock.now_s()
         for replica in placement.replicas.values():
             if not self.attestations.whole(replica, now_s):
                 continue
-            statement = self.attestations.get(replica.replica_id)
+            attestation = self.attestations.get(replica.replica_id)
             for member in replica.members:
-                sighting = self._sightings.get(member.box)
-                if sighting is None or statement is None:
+                entry = self._entries.get(member.box)
+                if entry is None or attestation is None:
                     continue
-                if statement.probed_s > sighting.heard_s:
-                    state = _attested_state(replica, member.box, member.incarnation, sighting)
-                    self._note(sighting, state, statement.probed_s)
+                if attestation.probed_s > entry.state_taken_s:
+                    state = _attested_state(replica, member.box, member.incarnation, entry)
+                    self._store_state(entry, state, attestation.probed_s)
 
-    def _due(self, placement: HallPlacement) -> list[_Sighting]:
+    def _boxes_to_probe(self, placement: HallPlacement) -> list[_BoxEntry]:
         now_s = self.clock.now_s()
         attested = {
             box
@@ -153,100 +154,102 @@
             if replica.phase is ReplicaPhase.SERVING and self.attestations.whole(replica, now_s)
             for box in replica.boxes
         }
-        placed = {box for replica in placement.replicas.values() for box in replica.boxes}
-        busy = placed | placement.releases.keys()
+        assigned = {box for replica in placement.replicas.values() for box in replica.boxes}
+        busy = assigned | placement.releases.keys()
         due = []
-        for name, sighting in self._sightings.items():
-            quiet = name not in busy and not self._fetching(placement, name, sighting)
-            pause_s = QUIET_PROBE_S if quiet and sighting.state is not None else 0.0
-            if name not in attested and now_s - sighting.asked_s >= pause_s:
-                due.append(sighting)
+        for name, entry in self._entries.items():
+            is_idle = name not in busy and not self._is_fetching(placement, name, entry)
+            min_interval_s = IDLE_PROBE_INTERVAL_S if is_idle and entry.state is not None else 0.0
+            if name not in attested and now_s - entry.last_probe_s >= min_interval_s:
+                due.append(entry)
         return due
 
-    def _fetching(self, placement: HallPlacement, name: str, sighting: _Sighting) -> bool:
+    def _is_fetching(self, placement: HallPlacement, name: str, entry: _BoxEntry) -> bool:
         prepare = placement.prepares.get(name)
         if prepare is None:
             return False
-        held = sighting.state.held if sighting.state is not None else ()
+        held = entry.state.held if entry.state is not None else ()
         return (prepare.model, prepare.version) not in held
 
-    async def _ask(self, sighting: _Sighting) -> None:
-        asked_s = self.clock.now_s()
-        sighting.asked_s = asked_s
+    async def _probe(self, entry: _BoxEntry) -> None:
+        probed_s = self.clock.now_s()
+        entry.last_probe_s = probed_s
         self.probes += 1
-        state = await self.control.state(sighting.box.url)
-        if isinstance(state, BoxState) and state.box == sighting.box.name:
-            self._note(sighting, state, asked_s)
-        elif sighting.silent_since_s is None:
-            sighting.silent_since_s = asked_s
+        state = await self.control.state(entry.box.url)
+        if isinstance(state, BoxState) and state.box == entry.box.name:
+            self._store_state(entry, state, probed_s)
+        elif entry.silent_since_s is None:
+            entry.silent_since_s = probed_s
 
-    def _note(self, sighting: _Sighting, state: BoxState, at_s: float) -> None:
-        if sighting.silent_since_s is not None:
-            self.absences.record(Absence.SILENT, max(0.0, at_s - sighting.silent_since_s))
-            sighting.silent_since_s = None
-        free = state.phase is BoxPhase.IDLE and not state.replica_id
-        if not free:
-            sighting.idle_since_s = None
-        elif sighting.idle_since_s is None:
-            sighting.idle_since_s = at_s
-        sighting.state = state
-        sighting.heard_s = at_s
+    def _store_state(self, entry: _BoxEntry, state: BoxState, taken_s: float) -> None:
+        if entry.silent_since_s is not None:
+            self.absences.record(Absence.SILENT, max(0.0, taken_s - entry.silent_since_s))
+            entry.silent_since_s = None
+        is_idle = state.phase is BoxPhase.IDLE and not state.replica_id
+        if not is_idle:
+            entry.idle_since_s = None
+        elif entry.idle_since_s is None:
+            entry.idle_since_s = taken_s
+        entry.state = state
+        entry.state_taken_s = taken_s
 
     def boxes(self, view: TableView) -> dict[str, ObservedBox]:
-        """Return the picture as placement decisions take it."""
+        """Return the boxes by name, in the form that placement policies take."""
         now_s = self.clock.now_s()
         return {
-            name: self._observed(sighting, view, now_s)
-            for name, sighting in sorted(self._sightings.items())
+            name: self._observed_box(entry, view, now_s)
+            for name, entry in sorted(self._entries.items())
         }
 
-    def _observed(self, sighting: _Sighting, view: TableView, now_s: float) -> ObservedBox:
-        name = sighting.box.name
-        silent = sighting.silent_since_s
-        missing_s = 0.0 if silent is None else max(now_s - silent, 1e-3)
-        draining = sighting.state is not None and sighting.state.draining
-        idle_since_s = sighting.idle_since_s
+    def _observed_box(self, entry: _BoxEntry, view: TableView, now_s: float) -> ObservedBox:
+        name = entry.box.name
+        silent_since_s = entry.silent_since_s
+        missing_s = 0.0 if silent_since_s is None else max(now_s - silent_since_s, 1e-3)
+        draining = entry.state is not None and entry.state.draining
+        idle_since_s = entry.idle_since_s
         return ObservedBox(
-            box=sighting.box,
-            state=sighting.state,
+            box=entry.box,
+            state=entry.state,
             missing_s=missing_s,
-            listed=sighting.listed,
-            leaving=sighting.box.leaving or draining or view.box_leaving(name),
+            listed=entry.listed,
+            leaving=entry.box.leaving or draining or view.box_leaving(name),
             checks_orders=view.checks_orders(name),
-            idle_s=0.0 if idle_since_s is None or silent is not None else now_s - idle_since_s,
+            idle_s=0.0
+            if idle_since_s is None or silent_since_s is not None
+            else now_s - idle_since_s,
         )
 
-    def drained(self, placement: HallPlacement, quiet_s: float) -> frozenset[str]:
-        """Return the draining replicas whose head has reported no work for `quiet_s`."""
+    def drained(self, placement: HallPlacement, min_idle_s: float) -> frozenset[str]:
+        """Return the draining replicas whose head has reported no requests for `min_idle_s`."""
         now_s = self.clock.now_s()
-        found = set()
+        drained = set()
         draining = {
             r.replica_id: r for r in placement.replicas.values() if r.phase is ReplicaPhase.DRAINING
         }
-        for replica_id in self._drain_quiet.keys() - draining.keys():
-            del self._drain_quiet[replica_id]
+        for replica_id in self._drain_idle_since_s.keys() - draining.keys():
+            del self._drain_idle_since_s[replica_id]
         for replica_id, replica in draining.items():
-            sighting = self._sightings.get(replica.head.box)
-            state = sighting.state if sighting is not None else None
+            entry = self._entries.get(replica.head.box)
+            state = entry.state if entry is not None else None
             idle = state is not None and state.running == 0 and state.waiting == 0
-            if sighting is None or not idle or sighting.silent_since_s is not None:
-                self._drain_quiet[replica_id] = now_s
-            elif now_s - self._drain_quiet.setdefault(replica_id, now_s) >= quiet_s:
-                found.add(replica_id)
-        return frozenset(found)
+            if entry is None or not idle or entry.silent_since_s is not None:
+                self._drain_idle_since_s[replica_id] = now_s
+            elif now_s - self._drain_idle_since_s.setdefault(replica_id, now_s) >= min_idle_s:
+                drained.add(replica_id)
+        return frozenset(drained)
 
 
-def _domain_hint(observer: HallObserver, replica: Replica) -> str:
-    """Return the fabric domain of the replica's other boxes, as far as one is known."""
+def _guess_domain(observer: HallObserver, replica: Replica) -> str:
+    """Return the fabric domain of a known box of the replica, or a placeholder if none is known."""
     for box in replica.boxes:
-        sighting = observer._sightings.get(box)
-        if sighting is not None:
-            return sighting.box.fabric_domain
+        entry = observer._entries.get(box)
+        if entry is not None:
+            return entry.box.fabric_domain
     return f"domain-of-{replica.head.box}"
 
 
-def _attested_state(replica: Replica, box: str, incarnation: str, sighting: _Sighting) -> BoxState:
-    known = sighting.state
+def _attested_state(replica: Replica, box: str, incarnation: str, entry: _BoxEntry) -> BoxState:
+    known = entry.state
     held = known.held if known is not None else ()
     base = known or BoxState(box, incarnation, replica.generation, BoxPhase.READY)
     return replace(
--- a/ferrydock/hall/_prober.py
+++ b/ferrydock/hall/_prober.py
@@ -1,4 +1,4 @@
-"""Probes the replicas that fall to this daemon and states which of them are whole."""
+"""Probes the replicas assigned to this daemon and attests those that are complete."""
 
 import asyncio
 
@@ -7,11 +7,11 @@
 from ..placement import HallPlacement, Member, Replica
 from ._attestation import Attestation, Attestations
 
-__all__ = ["Prober", "attest", "member_reports"]
+__all__ = ["Prober", "attest", "is_ready_member"]
 
 
-def member_reports(replica: Replica, member: Member, state) -> bool:
-    """Return whether a state says that its box serves in `replica` as recorded."""
+def is_ready_member(replica: Replica, member: Member, state) -> bool:
+    """Return whether a box's state shows it ready as the recorded `member` of `replica`."""
     return (
         isinstance(state, BoxState)
         and state.box == member.box
@@ -24,25 +24,28 @@
 
 
 def attest(replica: Replica, states: list, probed_s: float) -> Attestation | None:
-    """Return a statement that `replica` is whole, or None unless every member reports so."""
+    """Return an attestation of `replica`, or None unless every member is ready.
+
+    `states` holds the answers to the probes in the order of the members.
+    """
     pairs = zip(replica.members, states, strict=True)
-    if not all(member_reports(replica, member, state) for member, state in pairs):
+    if not all(is_ready_member(replica, member, state) for member, state in pairs):
         return None
     head = states[0]
     return Attestation(replica.replica_id, replica.generation, probed_s, head.running, head.waiting)
 
 
 class Prober:
-    """Reads the state of all members of a replica at once.
+    """Probes all members of a replica at once and stores an attestation if all are ready.
 
     Parameters
     ----------
     control : EngineControl
-        Reaches the boxes.
+        Requests the state of a box.
     attestations : Attestations
-        Where statements go.
+        Stores the attestations.
     clock : Clock
-        Dates the statements.
+        Dates the attestations.
     """
 
     __slots__ = ("attestations", "clock", "control", "probes")
@@ -54,24 +57,24 @@
         self.probes = 0
 
     async def probe(self, placement: HallPlacement, replica_ids: list[str]) -> None:
-        """Probe some replicas of a record side by side."""
-        wanted = [placement.replicas[i] for i in replica_ids if i in placement.replicas]
-        await asyncio.gather(*(self._probe_one(replica) for replica in wanted))
+        """Probe the replicas of the record named by `replica_ids` concurrently."""
+        replicas = [placement.replicas[i] for i in replica_ids if i in placement.replicas]
+        await asyncio.gather(*(self._probe_replica(replica) for replica in replicas))
 
-    async def _probe_one(self, replica: Replica) -> None:
+    async def _probe_replica(self, replica: Replica) -> None:
         probed_s = self.clock.now_s()
         self.probes += len(replica.members)
         states = await asyncio.gather(
             *(self.control.state(member.url) for member in replica.members)
         )
-        statement = attest(replica, list(states), probed_s)
-        if statement is not None:
-            self.attestations.accept(statement)
+        attestation = attest(replica, list(states), probed_s)
+        if attestation is not None:
+            self.attestations.accept(attestation)
         elif any(isinstance(state, BoxState) for state in states):
             self._revoke_if_contradicted(replica, states)
 
     def _revoke_if_contradicted(self, replica: Replica, states) -> None:
-        """Take a statement back at once where a member says something else."""
+        """Revoke the attestation if a member answered but is not ready as recorded."""
         for member, state in zip(replica.members, states, strict=True):
-            if isinstance(state, BoxState) and not member_reports(replica, member, state):
+            if isinstance(state, BoxState) and not is_ready_member(replica, member, state):
                 self.attestations.revoke(replica.replica_id, replica.generation)
--- a/ferrydock/hall/_repository.py
+++ b/ferrydock/hall/_repository.py
@@ -12,21 +12,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredPlacement:
-    """A record with the store revision that the next write is compared against."""
+    """A placement record and the store revision that the next write requires to be unchanged."""
 
     placement: HallPlacement
     mod_revision: int
 
 
 class PlacementRepository:
-    """Reads and writes the record of one hall.
+    """Reads and writes the placement record of one hall.
 
     Parameters
     ----------
     store : Store
         The platform's key-value service.
     hall : str
-        The hall.
+        Name of the hall.
     """
 
     __slots__ = ("hall", "store")
@@ -36,7 +36,7 @@
         self.hall = hall
 
     async def read(self) -> StoredPlacement | Unavailable:
-        """Read the record; an absent one is empty."""
+        """Read the record; return an empty one with revision 0 if none is stored."""
         found = await self.store.range(placement_key(self.hall))
         if isinstance(found, Unavailable):
             return found
@@ -46,33 +46,34 @@
         return StoredPlacement(HallPlacement.from_json(item.value), item.mod_revision)
 
     async def write(
-        self, placement: HallPlacement, after: StoredPlacement, term: int
+        self, placement: HallPlacement, previous: StoredPlacement, term: int
     ) -> StoredPlacement | Conflict | Unavailable | Unknown:
-        """Write the record if nobody wrote since `after` and the term still holds the hall.
+        """Write the record if it is unchanged since `previous` and `term` still holds the lease.
 
-        A lost answer is settled by reading back: records are told apart by their fence.
+        If the store's reply is lost, the record is read back: it is this write's if it equals
+        `placement`, since each record has a fence of its own.
         """
         key = placement_key(self.hall)
-        raw = placement.to_json()
+        encoded = placement.to_json()
         conditions = (
-            Compare(key, after.mod_revision),
+            Compare(key, previous.mod_revision),
             Compare(controller_key(self.hall), term),
         )
-        done = await self.store.transact(Txn(conditions, (Put(key, raw),)))
-        if isinstance(done, Unavailable):
-            return done
-        if isinstance(done, Unknown):
-            return await self._read_back(key, raw, placement)
-        if not done.succeeded:
+        outcome = await self.store.transact(Txn(conditions, (Put(key, encoded),)))
+        if isinstance(outcome, Unavailable):
+            return outcome
+        if isinstance(outcome, Unknown):
+            return await self._read_back(key, encoded, placement)
+        if not outcome.succeeded:
             return Conflict("another controller wrote the record or holds the hall")
-        return StoredPlacement(placement, done.revision)
+        return StoredPlacement(placement, outcome.revision)
 
     async def _read_back(
-        self, key: str, raw: bytes, placement: HallPlacement
+        self, key: str, encoded: bytes, placement: HallPlacement
     ) -> StoredPlacement | Conflict | Unknown:
         found = await self.store.range(key)
         if not isinstance(found, RangeDone):
             return Unknown("the answer to the record's write was lost")
-        if found.items and found.items[0].value == raw:
+        if found.items and found.items[0].value == encoded:
             return StoredPlacement(placement, found.items[0].mod_revision)
         return Unknown("the record's write was not seen yet")
--- a/ferrydock/hall/tests/test_controller.py
+++ b/ferrydock/hall/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""Failures around a hall's controller, each with the state that it must end in."""
+"""The controller of a hall after failures of boxes, daemons, orders and the store."""
 
 import asyncio
 
@@ -7,19 +7,19 @@
 from ...outcomes import Conflict
 from ...standins import FaultyStore
 from .. import ControllerMode, PlacementRepository, StoredPlacement
-from .world import LEASE_S, TTL_S, World, make_view, run
+from .world import LEASE_S, TTL_S, HallSimulation, make_view, run
 
 
-class SleepyRepository(PlacementRepository):
-    """Falls asleep for longer than the lease after each write."""
+class PausingRepository(PlacementRepository):
+    """Advances the clock past the lease after each write, as if the daemon had been paused."""
 
-    def __init__(self, world, daemon):
+    def __init__(self, simulation, daemon):
         super().__init__(daemon.store, "hall-a")
-        self.world = world
+        self.simulation = simulation
 
-    async def write(self, placement, after, term):
-        outcome = await super().write(placement, after, term)
-        self.world.clock.advance(LEASE_S + 1)
+    async def write(self, placement, previous, term):
+        outcome = await super().write(placement, previous, term)
+        self.simulation.clock.advance(LEASE_S + 1)
         return outcome
 
 
@@ -27,407 +27,417 @@
     return {box for r in daemon.placement.replicas.values() for box in r.boxes}
 
 
-def test_a_hall_gets_the_replica_that_the_table_asks_for():
+def test_forms_the_replicas_in_the_table():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
-        assert len(daemon.whole()) == 1
-        assert len(daemon.whole()[0].boxes) == 4
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        assert len(daemon.complete_replicas()) == 1
+        assert len(daemon.complete_replicas()[0].boxes) == 4
 
     run(check)
 
 
-def test_a_dead_member_is_replaced_and_never_counts_as_whole():
+def test_a_dead_member_is_replaced_and_its_replica_is_not_attested():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
-        before = daemon.whole()[0]
-        world.fleet.boxes[before.boxes[2]].kill()
-        world.clock.advance(TTL_S + 0.1)
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        before = daemon.complete_replicas()[0]
+        simulation.fleet.boxes[before.boxes[2]].kill()
+        simulation.clock.advance(TTL_S + 0.1)
         await daemon.probe()
-        assert daemon.whole() == []
-        await world.settle(daemon)
-        after = daemon.whole()[0]
+        assert daemon.complete_replicas() == []
+        await simulation.run_rounds(daemon)
+        after = daemon.complete_replicas()[0]
         assert before.boxes[2] not in after.boxes
         assert after.generation > before.generation
 
     run(check)
 
 
-def test_a_member_that_pauses_and_returns_in_time_costs_nothing():
+def test_a_short_pause_of_a_member_changes_no_placement():
     async def check():
-        world = World(make_view(member_wait_s="30"))
-        daemon = world.daemon()
-        await world.settle(daemon)
-        before = daemon.whole()[0]
-        world.fleet.boxes[before.boxes[1]].pause()
-        await world.settle(daemon, rounds=8)
-        assert daemon.whole() == []
-        world.fleet.boxes[before.boxes[1]].resume()
-        await world.settle(daemon, rounds=3)
-        assert daemon.whole() == [before]
+        simulation = HallSimulation(make_view(member_wait_s="30"))
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        before = daemon.complete_replicas()[0]
+        simulation.fleet.boxes[before.boxes[1]].pause()
+        await simulation.run_rounds(daemon, rounds=8)
+        assert daemon.complete_replicas() == []
+        simulation.fleet.boxes[before.boxes[1]].resume()
+        await simulation.run_rounds(daemon, rounds=3)
+        assert daemon.complete_replicas() == [before]
 
     run(check)
 
 
-def test_a_member_that_was_replaced_and_returns_stays_out():
+def test_a_replaced_member_that_answers_again_does_not_rejoin():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
-        box = daemon.whole()[0].boxes[1]
-        world.fleet.boxes[box].pause()
-        await world.settle(daemon)
-        mended = daemon.whole()[0]
-        assert box not in mended.boxes
-        world.fleet.boxes[box].resume()
-        await world.settle(daemon)
-        assert daemon.whole() == [mended]
-        assert world.fleet.boxes[box].order is None
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        box = daemon.complete_replicas()[0].boxes[1]
+        simulation.fleet.boxes[box].pause()
+        await simulation.run_rounds(daemon)
+        repaired = daemon.complete_replicas()[0]
+        assert box not in repaired.boxes
+        simulation.fleet.boxes[box].resume()
+        await simulation.run_rounds(daemon)
+        assert daemon.complete_replicas() == [repaired]
+        assert simulation.fleet.boxes[box].order is None
 
     run(check)
 
 
 def test_a_restarted_member_with_a_new_incarnation_is_not_attested():
     async def check():
-        world = World(make_view(member_wait_s="60"))
-        daemon = world.daemon()
-        await world.settle(daemon)
-        before = daemon.whole()[0]
-        world.fleet.boxes[before.boxes[3]].restart()
+        simulation = HallSimulation(make_view(member_wait_s="60"))
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        before = daemon.complete_replicas()[0]
+        simulation.fleet.boxes[before.boxes[3]].restart()
         await daemon.probe()
-        assert daemon.whole() == []
-        await world.settle(daemon)
-        assert daemon.whole()[0].generation > before.generation
+        assert daemon.complete_replicas() == []
+        await simulation.run_rounds(daemon)
+        assert daemon.complete_replicas()[0].generation > before.generation
 
     run(check)
 
 
-def test_a_controller_that_slept_past_its_lease_sends_nothing():
+def test_a_controller_paused_past_its_lease_sends_no_orders():
     async def check():
-        world = World()
-        first, second = world.daemon(), world.daemon()
-        await world.settle(first)
-        world.parted.add(first)
-        world.fleet.boxes[first.whole()[0].boxes[1]].kill()
-        world.clock.advance(LEASE_S + 1)
-        await world.settle(second)
+        simulation = HallSimulation()
+        first, second = simulation.daemon(), simulation.daemon()
+        await simulation.run_rounds(first)
+        simulation.partitioned.add(first)
+        simulation.fleet.boxes[first.complete_replicas()[0].boxes[1]].kill()
+        simulation.clock.advance(LEASE_S + 1)
+        await simulation.run_rounds(second)
         orders_before = first.controller.counters.orders
         await first.step(candidate=False)
         assert first.controller.mode is ControllerMode.FOLLOWER
         assert first.controller.counters.orders == orders_before
-        assert len(second.whole()) == 1
+        assert len(second.complete_replicas()) == 1
 
     run(check)
 
 
-def test_a_controller_that_falls_asleep_between_record_and_orders_sends_nothing():
+def test_a_controller_paused_between_write_and_orders_sends_no_orders():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
-        world.fleet.boxes[daemon.whole()[0].boxes[1]].kill()
-        await world.settle(daemon, rounds=2)
-        daemon.controller.repository = SleepyRepository(world, daemon)
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        simulation.fleet.boxes[daemon.complete_replicas()[0].boxes[1]].kill()
+        await simulation.run_rounds(daemon, rounds=2)
+        daemon.controller.repository = PausingRepository(simulation, daemon)
         orders_before = daemon.controller.counters.orders
         for _ in range(4):
             await daemon.step(candidate=False)
-            world.clock.advance(0.5)
+            simulation.clock.advance(0.5)
         assert daemon.controller.counters.orders == orders_before
 
     run(check)
 
 
-def test_of_two_controllers_the_boxes_obey_the_later_one():
+def test_boxes_obey_the_controller_with_the_later_term():
     async def check():
-        world = World()
-        first, second = world.daemon(), world.daemon()
-        await world.settle(first)
-        old = first.whole()[0]
-        world.parted.add(first)
-        world.store.lapse_leases()
-        world.clock.advance(LEASE_S + 1)
-        await world.settle(second)
-        new = second.whole()[0]
-        late = world.fleet.boxes[new.head.box].orders_obeyed[-1]
+        simulation = HallSimulation()
+        first, second = simulation.daemon(), simulation.daemon()
+        await simulation.run_rounds(first)
+        old = first.complete_replicas()[0]
+        simulation.partitioned.add(first)
+        simulation.store.lapse_leases()
+        simulation.clock.advance(LEASE_S + 1)
+        await simulation.run_rounds(second)
+        new = second.complete_replicas()[0]
+        late = simulation.fleet.boxes[new.head.box].orders_obeyed[-1]
         assert second.placement.fence.term > old.generation.term
-        assert late.fence <= world.fleet.boxes[new.head.box].fence
+        assert late.fence <= simulation.fleet.boxes[new.head.box].fence
         stale = Fence(old.generation.term, 0, old.generation.order)
         for box in new.boxes:
-            assert world.fleet.boxes[box].fence >= stale
+            assert simulation.fleet.boxes[box].fence >= stale
 
     run(check)
 
 
-def test_a_write_whose_answer_was_lost_is_settled_and_not_done_twice():
+def test_a_write_whose_reply_is_lost_forms_no_second_replica():
     async def check():
-        world = World()
-        daemon = world.daemon()
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
         for _ in range(12):
             daemon.store.lose_answers = 1
-            await world.settle(daemon, rounds=1)
+            await simulation.run_rounds(daemon, rounds=1)
         daemon.store.lose_answers = 0
-        await world.settle(daemon)
-        assert len(daemon.whole()) == 1
+        await simulation.run_rounds(daemon)
+        assert len(daemon.complete_replicas()) == 1
         assert len(boxes_of(daemon)) == 4
 
     run(check)
 
 
-def test_a_record_that_lands_late_never_replaces_a_newer_one():
+def test_a_delayed_write_does_not_replace_a_newer_record():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
-        world.fleet.boxes[daemon.whole()[0].boxes[1]].kill()
-        await world.settle(daemon, rounds=3)
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        simulation.fleet.boxes[daemon.complete_replicas()[0].boxes[1]].kill()
+        await simulation.run_rounds(daemon, rounds=3)
         daemon.store.lose_writes = 1
-        await world.settle(daemon)
+        await simulation.run_rounds(daemon)
         await daemon.store.deliver_late()
-        await world.settle(daemon)
-        stored = await PlacementRepository(FaultyStore(world.store), "hall-a").read()
+        await simulation.run_rounds(daemon)
+        stored = await PlacementRepository(FaultyStore(simulation.store), "hall-a").read()
         assert stored.placement == daemon.placement
-        assert len(daemon.whole()) == 1
+        assert len(daemon.complete_replicas()) == 1
 
     run(check)
 
 
-def test_writes_of_a_controller_that_lost_the_hall_are_refused():
+def test_a_write_without_the_lease_conflicts():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
         repository = PlacementRepository(daemon.store, "hall-a")
         stored = await repository.read()
-        world.store.lapse_leases()
+        simulation.store.lapse_leases()
         outcome = await repository.write(stored.placement, stored, daemon.placement.fence.term)
         assert isinstance(outcome, Conflict)
 
     run(check)
 
 
-def test_the_hall_is_repaired_while_the_store_is_down_for_hours_and_rejoins():
+def test_an_isolated_hall_repairs_replicas_and_keeps_them_once_the_store_answers():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
-        before = daemon.whole()[0]
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        before = daemon.complete_replicas()[0]
         daemon.store.down = True
-        world.clock.advance(3600)
-        await world.settle(daemon, rounds=30)
+        simulation.clock.advance(3600)
+        await simulation.run_rounds(daemon, rounds=30)
         assert daemon.controller.mode is ControllerMode.ISOLATED
-        world.fleet.boxes[before.boxes[2]].kill()
-        await world.settle(daemon, rounds=30)
-        mended = daemon.whole()[0]
-        assert before.boxes[2] not in mended.boxes
-        assert mended.generation.ballot > before.generation.ballot
+        simulation.fleet.boxes[before.boxes[2]].kill()
+        await simulation.run_rounds(daemon, rounds=30)
+        repaired = daemon.complete_replicas()[0]
+        assert before.boxes[2] not in repaired.boxes
+        assert repaired.generation.ballot > before.generation.ballot
         daemon.store.down = False
-        await world.settle(daemon, rounds=30)
+        await simulation.run_rounds(daemon, rounds=30)
         assert daemon.controller.mode is ControllerMode.CONTROLLER
-        assert daemon.whole() == [mended], "what runs is adopted, not formed again"
+        assert daemon.complete_replicas() == [repaired], (
+            "the running replica is adopted, not formed again"
+        )
         stored = await PlacementRepository(daemon.store, "hall-a").read()
         assert stored.placement.replicas == daemon.placement.replicas
 
     run(check)
 
 
-def test_a_fresh_daemon_adopts_what_an_isolated_hall_runs():
+def test_a_new_daemon_adopts_the_replicas_of_an_isolated_hall():
     async def check():
-        world = World()
-        first = world.daemon()
-        await world.settle(first)
+        simulation = HallSimulation()
+        first = simulation.daemon()
+        await simulation.run_rounds(first)
         first.store.down = True
-        world.clock.advance(60)
-        await world.settle(first, rounds=30)
-        world.fleet.boxes[first.whole()[0].boxes[0]].kill()
-        await world.settle(first, rounds=30)
-        running = first.whole()[0]
-        fresh = world.daemon()
-        world.parted.add(first)
-        await world.settle(fresh, rounds=30)
-        assert fresh.whole() == [running]
+        simulation.clock.advance(60)
+        await simulation.run_rounds(first, rounds=30)
+        simulation.fleet.boxes[first.complete_replicas()[0].boxes[0]].kill()
+        await simulation.run_rounds(first, rounds=30)
+        running = first.complete_replicas()[0]
+        newcomer = simulation.daemon()
+        simulation.partitioned.add(first)
+        await simulation.run_rounds(newcomer, rounds=30)
+        assert newcomer.complete_replicas() == [running]
 
     run(check)
 
 
-def test_boxes_that_check_no_orders_stay_while_isolated():
+def test_an_isolated_controller_sends_no_orders_to_unchecked_boxes():
     async def check():
-        world = World(make_view(unchecked="hall-a-*"))
-        for box in world.fleet.boxes.values():
+        simulation = HallSimulation(make_view(unchecked="hall-a-*"))
+        for box in simulation.fleet.boxes.values():
             box.checks_orders = False
-        daemon = world.daemon()
-        await world.settle(daemon, rounds=40)
-        before = daemon.whole()[0]
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon, rounds=40)
+        before = daemon.complete_replicas()[0]
         daemon.store.down = True
-        world.clock.advance(60)
-        await world.settle(daemon, rounds=30)
-        world.fleet.boxes[before.boxes[2]].kill()
+        simulation.clock.advance(60)
+        await simulation.run_rounds(daemon, rounds=30)
+        simulation.fleet.boxes[before.boxes[2]].kill()
         orders_before = daemon.controller.counters.orders
-        await world.settle(daemon, rounds=60)
+        await simulation.run_rounds(daemon, rounds=60)
         assert daemon.controller.counters.orders == orders_before
-        assert daemon.whole() == []
+        assert daemon.complete_replicas() == []
 
     run(check)
 
 
-def test_a_late_order_to_a_box_that_checks_none_is_found_by_the_next_probe():
+def test_a_probe_detects_that_an_unchecked_box_obeyed_a_stale_order():
     async def check():
-        world = World(make_view(unchecked="hall-a-*"))
-        for box in world.fleet.boxes.values():
+        simulation = HallSimulation(make_view(unchecked="hall-a-*"))
+        for box in simulation.fleet.boxes.values():
             box.checks_orders = False
-        daemon = world.daemon()
-        await world.settle(daemon, rounds=40)
-        serving = daemon.whole()[0]
-        victim = world.fleet.boxes[serving.boxes[1]]
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon, rounds=40)
+        serving = daemon.complete_replicas()[0]
+        victim = simulation.fleet.boxes[serving.boxes[1]]
         late = victim.orders_obeyed[-1]
         other = type(late)(Fence(1, 0, 1), late.action, "old-replica", "draft", "1", 1, ("x",), 1)
         victim.obey(other)
         assert victim.order.replica_id == "old-replica"
         await daemon.probe()
-        assert daemon.whole() == []
+        assert daemon.complete_replicas() == []
 
     run(check)
 
 
-def test_a_box_that_checks_no_orders_moves_only_after_lease_and_settle_time():
+def test_an_unchecked_box_joins_a_replica_only_after_lease_and_settle_time():
     async def check():
-        world = World(make_view(unchecked="hall-a-*", settle_s="5"))
-        for box in world.fleet.boxes.values():
+        simulation = HallSimulation(make_view(unchecked="hall-a-*", settle_s="5"))
+        for box in simulation.fleet.boxes.values():
             box.checks_orders = False
-        daemon = world.daemon()
-        start_s = world.clock.now_s()
+        daemon = simulation.daemon()
+        start_s = simulation.clock.now_s()
         while not daemon.placement.replicas:
-            await world.settle(daemon, rounds=1)
-        assert world.clock.now_s() - start_s >= LEASE_S + 5
+            await simulation.run_rounds(daemon, rounds=1)
+        assert simulation.clock.now_s() - start_s >= LEASE_S + 5
 
     run(check)
 
 
-def test_an_older_store_does_not_lower_the_fences():
+def test_a_store_restored_from_an_older_copy_does_not_lower_fences():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        backup = world.store.snapshot()
-        await world.settle(daemon)
-        world.fleet.boxes[daemon.whole()[0].boxes[1]].kill()
-        await world.settle(daemon)
-        highest = max(box.fence for box in world.fleet.boxes.values())
-        running = daemon.whole()
-        world.store.restore(backup)
-        world.clock.advance(LEASE_S + 1)
-        await world.settle(daemon, rounds=20)
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        backup = simulation.store.snapshot()
+        await simulation.run_rounds(daemon)
+        simulation.fleet.boxes[daemon.complete_replicas()[0].boxes[1]].kill()
+        await simulation.run_rounds(daemon)
+        highest = max(box.fence for box in simulation.fleet.boxes.values())
+        running = daemon.complete_replicas()
+        simulation.store.restore(backup)
+        simulation.clock.advance(LEASE_S + 1)
+        await simulation.run_rounds(daemon, rounds=20)
         assert daemon.placement.fence > highest
-        assert daemon.whole() == running
+        assert daemon.complete_replicas() == running
 
     run(check)
 
 
-def test_a_rack_gone_at_once_is_replaced_from_the_other_domain():
+def test_a_replica_moves_to_another_domain_when_its_whole_domain_fails():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
-        domain = world.fleet.boxes[daemon.whole()[0].boxes[0]].fabric_domain
-        for box in world.fleet.boxes.values():
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        domain = simulation.fleet.boxes[daemon.complete_replicas()[0].boxes[0]].fabric_domain
+        for box in simulation.fleet.boxes.values():
             if box.fabric_domain == domain:
                 box.kill()
-        await world.settle(daemon, rounds=30)
-        assert len(daemon.whole()) == 1
-        assert {world.fleet.boxes[b].fabric_domain for b in daemon.whole()[0].boxes} != {domain}
+        await simulation.run_rounds(daemon, rounds=30)
+        assert len(daemon.complete_replicas()) == 1
+        assert {
+            simulation.fleet.boxes[b].fabric_domain for b in daemon.complete_replicas()[0].boxes
+        } != {domain}
 
     run(check)
 
 
-def test_a_box_list_that_lags_in_either_direction_changes_nothing():
+def test_a_stale_box_list_neither_drops_nor_keeps_members():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
-        serving = daemon.whole()
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        serving = daemon.complete_replicas()
         daemon.box_list.delisted.add(serving[0].boxes[0])
-        await world.settle(daemon)
-        assert daemon.whole() == serving, "a box that answers counts, listed or not"
-        world.fleet.boxes[serving[0].boxes[1]].kill()
-        await world.settle(daemon, rounds=20)
-        assert serving[0].boxes[1] not in daemon.whole()[0].boxes, "listed, but gone"
+        await simulation.run_rounds(daemon)
+        assert daemon.complete_replicas() == serving, (
+            "a box that answers is used even if it is not listed"
+        )
+        simulation.fleet.boxes[serving[0].boxes[1]].kill()
+        await simulation.run_rounds(daemon, rounds=20)
+        assert serving[0].boxes[1] not in daemon.complete_replicas()[0].boxes, (
+            "a listed box that does not answer is replaced"
+        )
 
     run(check)
 
 
-def test_a_leaving_member_is_drained_out_and_replaced():
+def test_a_replica_with_a_leaving_member_drains_and_replaces_it():
     async def check():
-        world = World()
-        daemon = world.daemon()
-        await world.settle(daemon)
-        before = daemon.whole()[0]
+        simulation = HallSimulation()
+        daemon = simulation.daemon()
+        await simulation.run_rounds(daemon)
+        before = daemon.complete_replicas()[0]
         daemon.box_list.leaving.add(before.boxes[1])
-        await world.settle(daemon, rounds=5)
-        assert daemon.whole() == [], "no new work soon after the first sign"
-        await world.settle(daemon, rounds=30)
-        assert before.boxes[1] not in daemon.whole()[0].boxes
+        await simulation.run_rounds(daemon, rounds=5)
+        assert daemon.complete_replicas() == [], (
+            "the replica gets no new requests once a member is leaving"
+        )
+        await simulation.run_rounds(daemon, rounds=30)
+        assert before.boxes[1] not in daemon.complete_replicas()[0].boxes
 
     run(check)
 
 
-def test_two_failures_at_once_member_death_and_lost_lease():
+def test_a_member_dies_while_the_controller_loses_its_lease():
     async def check():
-        world = World()
-        first, second = world.daemon(), world.daemon()
-        await world.settle(first)
-        world.fleet.boxes[first.whole()[0].boxes[1]].kill()
-        world.store.lapse_leases()
+        simulation = HallSimulation()
+        first, second = simulation.daemon(), simulation.daemon()
+        await simulation.run_rounds(first)
+        simulation.fleet.boxes[first.complete_replicas()[0].boxes[1]].kill()
+        simulation.store.lapse_leases()
         first.store.down = True
-        world.parted.add(first)
-        world.clock.advance(LEASE_S)
-        await world.settle(second, rounds=20)
-        assert len(second.whole()) == 1
+        simulation.partitioned.add(first)
+        simulation.clock.advance(LEASE_S)
+        await simulation.run_rounds(second, rounds=20)
+        assert len(second.complete_replicas()) == 1
         await first.step(candidate=False)
         assert first.controller.mode is not ControllerMode.CONTROLLER
 
     run(check)
 
 
-def test_the_lease_of_a_write_with_a_lost_answer_is_held_once():
+def test_a_lease_whose_write_reply_is_lost_has_one_holder():
     async def check():
-        world = World()
-        store = FaultyStore(world.store)
+        simulation = HallSimulation()
+        store = FaultyStore(simulation.store)
         store.lose_answers = 1
-        lease = ControllerLease(store, world.clock, "hall-a", "one")
-        other = ControllerLease(FaultyStore(world.store), world.clock, "hall-a", "two")
+        lease = ControllerLease(store, simulation.clock, "hall-a", "one")
+        other = ControllerLease(FaultyStore(simulation.store), simulation.clock, "hall-a", "two")
         held = await lease.acquire(LEASE_S)
         assert held.term > 0
         assert isinstance(await other.acquire(LEASE_S), Conflict)
-        world.clock.advance(LEASE_S)
+        simulation.clock.advance(LEASE_S)
         assert not lease.valid
 
     run(check)
 
 
-def test_store_calls_do_not_grow_with_idle_daemons():
+def test_followers_make_no_store_calls():
     async def check():
-        world = World()
-        daemons = [world.daemon() for _ in range(6)]
-        await world.settle(daemons[0])
+        simulation = HallSimulation()
+        daemons = [simulation.daemon() for _ in range(6)]
+        await simulation.run_rounds(daemons[0])
         before = [d.store.calls for d in daemons[1:]]
         for _ in range(20):
             for daemon in daemons:
-                await daemon.step(candidate=False, first_choice=False)
-            world.clock.advance(0.5)
+                await daemon.step(candidate=False, is_first_rank=False)
+            simulation.clock.advance(0.5)
         assert [d.store.calls for d in daemons[1:]] == before
-        assert isinstance(daemons[0].controller._stored, StoredPlacement)
+        assert isinstance(daemons[0].controller._stored_record, StoredPlacement)
 
     run(check)
 
 
-def test_concurrent_rounds_of_two_daemons_leave_one_controller():
+def test_concurrent_rounds_of_two_daemons_give_one_controller():
     async def check():
-        world = World()
-        daemons = [world.daemon() for _ in range(2)]
+        simulation = HallSimulation()
+        daemons = [simulation.daemon() for _ in range(2)]
         for _ in range(10):
             await asyncio.gather(*(d.step() for d in daemons))
-            world.clock.advance(0.5)
+            simulation.clock.advance(0.5)
         modes = sorted(d.controller.mode for d in daemons)
         assert modes == [ControllerMode.CONTROLLER, ControllerMode.FOLLOWER]
 
--- a/ferrydock/hall/tests/world.py
+++ b/ferrydock/hall/tests/world.py
@@ -1,4 +1,4 @@
-"""A small hall for tests: stand-in boxes, one store, controllers reached by calls."""
+"""Simulated halls for tests: stand-in boxes, a store in memory and daemons in one process."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 
 
 def make_view(replicas=1, halls=("hall-a",), unchecked="", **site):
-    """Return the typed rows of a small table."""
+    """Return the view of a small table; `site` holds cells of its site row."""
     rows = {
         RowKey("site", "site"): {"lease_ttl_s": str(LEASE_S), "member_wait_s": "1", **site},
         RowKey("models", "draft"): {
@@ -42,20 +42,20 @@
 
 
 class Daemon:
-    """What one daemon needs to control a hall and to know which replicas are whole."""
+    """A daemon that controls a hall and attests replicas."""
 
-    def __init__(self, world, hall, name):
-        self.world = world
+    def __init__(self, simulation, hall, name):
+        self.simulation = simulation
         self.name = name
-        self.store = FaultyStore(world.store)
-        self.control = LocalControl(world.fleet)
+        self.store = FaultyStore(simulation.store)
+        self.control = LocalControl(simulation.fleet)
         self.attestations = Attestations(TTL_S)
-        self.box_list = LocalBoxList(world.fleet)
+        self.box_list = LocalBoxList(simulation.fleet)
         absences = AbsenceModel()
         self.observer = HallObserver(
-            hall, self.box_list, self.control, self.attestations, absences, world.clock
+            hall, self.box_list, self.control, self.attestations, absences, simulation.clock
         )
-        self.prober = Prober(self.control, self.attestations, world.clock)
+        self.prober = Prober(self.control, self.attestations, simulation.clock)
         self.placement = HallPlacement(hall)
         self.controller = HallController(
             hall,
@@ -64,14 +64,14 @@
             self.observer,
             self.control,
             make_placement_policy("cost_based", absences=absences),
-            world.clock,
+            simulation.clock,
             random.Random(name),
             self._publish,
         )
 
     def _publish(self, placement):
         self.learn(placement)
-        self.world.published(self, placement)
+        self.simulation.deliver_record(self, placement)
 
     def learn(self, placement):
         if placement.fence > self.placement.fence:
@@ -79,20 +79,20 @@
             self.attestations.keep_only(set(placement.replicas))
             self.controller.learn(placement)
 
-    async def step(self, candidate=True, first_choice=True):
-        await self.controller.step(self.world.view, candidate, first_choice)
+    async def step(self, candidate=True, is_first_rank=True):
+        await self.controller.step(self.simulation.view, candidate, is_first_rank)
 
     async def probe(self):
         await self.prober.probe(self.placement, list(self.placement.replicas))
 
-    def whole(self):
-        now_s = self.world.clock.now_s()
+    def complete_replicas(self):
+        now_s = self.simulation.clock.now_s()
         replicas = self.placement.replicas.values()
         return [r for r in replicas if r.phase == "serving" and self.attestations.whole(r, now_s)]
 
 
-class World:
-    """Boxes, a store, and daemons that hear of each other's records unless parted."""
+class HallSimulation:
+    """Boxes, a store, and daemons that send each other placement records unless partitioned."""
 
     def __init__(self, view=None, domains=2, boxes_per_domain=5, halls=("hall-a",)):
         self.clock = ManualClock(1000.0)
@@ -106,22 +106,22 @@
                 for index in range(boxes_per_domain):
                     self.fleet.add_box(f"{hall}-d{domain}-b{index}", hall, f"{hall}-d{domain}")
         self.daemons = []
-        self.parted = set()
+        self.partitioned = set()
 
     def daemon(self, hall="hall-a"):
         daemon = Daemon(self, hall, f"{hall}-{len(self.daemons)}")
         self.daemons.append(daemon)
         return daemon
 
-    def published(self, sender, placement):
+    def deliver_record(self, publisher, placement):
         for daemon in self.daemons:
             same_hall = daemon.placement.hall == placement.hall
-            reachable = not {sender, daemon} & self.parted
-            if daemon is not sender and same_hall and reachable:
+            reachable = not {publisher, daemon} & self.partitioned
+            if daemon is not publisher and same_hall and reachable:
                 daemon.learn(placement)
 
-    async def settle(self, daemon, rounds=12, pause_s=0.5, **roles):
-        """Let a daemon control the hall for some rounds."""
+    async def run_rounds(self, daemon, rounds=12, pause_s=0.5, **roles):
+        """Run rounds of a daemon, with `pause_s` on the clock after each."""
         for _ in range(rounds):
             await daemon.step(**roles)
             await asyncio.sleep(0)
