--- a/ferrydock/placement/__init__.py
+++ b/ferrydock/placement/__init__.py
@@ -1,8 +1,8 @@
-"""Which boxes form each replica: the record, the decisions, and the orders that follow."""
+"""Placement: which boxes form each replica, as a stored record, policies and orders to boxes."""
 
 from ._adopt import adopt
 from ._cost_based import CostBased
-from ._health import ReplicaHealth, judge
+from ._health import ReplicaHealth, assess_health
 from ._naive import FirstFit
 from ._observed import Absence, AbsenceModel, ObservedBox
 from ._orders import AddressedOrder, pending_orders
@@ -33,7 +33,7 @@
     "ReplicaHealth",
     "ReplicaPhase",
     "adopt",
-    "judge",
+    "assess_health",
     "make_placement_policy",
     "pending_orders",
     "placement_policies",
--- a/ferrydock/placement/_adopt.py
+++ b/ferrydock/placement/_adopt.py
@@ -1,4 +1,4 @@
-"""Taking over a hall: the record is brought in line with what really runs on the boxes."""
+"""Adoption: a new controller updates the placement record to the replicas running on the boxes."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -13,76 +13,78 @@
 def adopt(
     placement: HallPlacement, boxes: Mapping[str, ObservedBox], term: int, ballot: int = 0
 ) -> HallPlacement:
-    """Return the record under a new term, with every whole replica that runs taken in.
+    """Return the record under a new term, with every complete running replica added.
 
     Parameters
     ----------
     placement : HallPlacement
-        The last record known; it may be older than what runs.
+        Newest record known; the boxes may run replicas of a later one.
     boxes : mapping of str to ObservedBox
-        Boxes of the hall as they answer now.
+        Observed boxes of the hall by name.
     term, ballot : int
-        Rank of the new controller.
+        Term and ballot of the new controller's fences; raised if a known fence is higher.
 
     Notes
     -----
     A replica counts as running only if all its members report the same replica and generation.
-    It takes the place of recorded replicas that claim any of its boxes with an older generation.
+    It replaces recorded replicas of an older generation that have its id or any of its boxes.
     """
     replicas = dict(placement.replicas)
     releases = dict(placement.releases)
     prepares = dict(placement.prepares)
-    for running in _running_replicas(boxes):
-        rivals = [
+    for running in _complete_replicas(boxes):
+        conflicting = [
             r
             for r in replicas.values()
             if r.replica_id == running.replica_id or set(r.boxes) & set(running.boxes)
         ]
-        if any(r.generation >= running.generation for r in rivals):
+        if any(r.generation >= running.generation for r in conflicting):
             continue
-        for rival in rivals:
-            del replicas[rival.replica_id]
+        for outdated in conflicting:
+            del replicas[outdated.replica_id]
         replicas[running.replica_id] = running
-    taken = {box for r in replicas.values() for box in r.boxes}
-    highest = max(
-        (seen.known_state.fence for seen in boxes.values() if seen.state is not None),
+    assigned_boxes = {box for r in replicas.values() for box in r.boxes}
+    highest_on_boxes = max(
+        (observed.known_state.fence for observed in boxes.values() if observed.state is not None),
         default=placement.fence,
     )
-    start = Fence(term, ballot, 0)
-    if start <= max(placement.fence, highest):
-        top = max(placement.fence, highest)
-        start = Fence(top.term, max(ballot, top.ballot), top.order)
+    first_fence = Fence(term, ballot, 0)
+    if first_fence <= max(placement.fence, highest_on_boxes):
+        newest = max(placement.fence, highest_on_boxes)
+        first_fence = Fence(newest.term, max(ballot, newest.ballot), newest.order)
     return replace(
         placement,
-        fence=Fence(start.term, start.ballot, start.order + 1),
+        fence=Fence(first_fence.term, first_fence.ballot, first_fence.order + 1),
         replicas=replicas,
-        releases={box: f for box, f in releases.items() if box not in taken},
-        prepares={box: p for box, p in prepares.items() if box not in taken},
+        releases={box: f for box, f in releases.items() if box not in assigned_boxes},
+        prepares={box: p for box, p in prepares.items() if box not in assigned_boxes},
     )
 
 
-def _running_replicas(boxes: Mapping[str, ObservedBox]) -> list[Replica]:
-    groups: dict[tuple[str, Fence], list[ObservedBox]] = {}
-    for seen in boxes.values():
+def _complete_replicas(boxes: Mapping[str, ObservedBox]) -> list[Replica]:
+    boxes_by_generation: dict[tuple[str, Fence], list[ObservedBox]] = {}
+    for observed in boxes.values():
         if (
-            seen.present
-            and seen.known_state.replica_id
-            and seen.known_state.phase is BoxPhase.READY
+            observed.present
+            and observed.known_state.replica_id
+            and observed.known_state.phase is BoxPhase.READY
         ):
-            groups.setdefault((seen.known_state.replica_id, seen.known_state.fence), []).append(
-                seen
-            )
-    found = []
-    for (replica_id, generation), group in sorted(groups.items(), key=lambda g: g[0][1]):
+            boxes_by_generation.setdefault(
+                (observed.known_state.replica_id, observed.known_state.fence), []
+            ).append(observed)
+    running = []
+    for (replica_id, generation), group in sorted(
+        boxes_by_generation.items(), key=lambda g: g[0][1]
+    ):
         state = group[0].known_state
-        by_name = {seen.box.name: seen for seen in group}
+        by_name = {observed.box.name: observed for observed in group}
         if set(by_name) != set(state.members):
             continue
         members = tuple(
             Member(name, by_name[name].box.url, by_name[name].known_state.incarnation)
             for name in state.members
         )
-        found.append(
+        running.append(
             Replica(
                 replica_id,
                 state.model,
@@ -93,4 +95,4 @@
                 ReplicaPhase.SERVING,
             )
         )
-    return found
+    return running
--- a/ferrydock/placement/_cost_based.py
+++ b/ferrydock/placement/_cost_based.py
@@ -1,39 +1,41 @@
-"""The placement policy in use: wait, repair, move or re-form, whichever costs least.
+"""The cost-based placement policy: waits, repairs, moves or forms replicas by expected cost.
 
-What it does beyond first fit, each part switchable so that a measurement shows what it earns:
+Beyond first fit it does the following. Each part can be switched off to measure its benefit.
 
-* waits for a silent member as long as its return is expected before a repair would be done;
-* keeps spare boxes prepared with the weights they are most likely to need;
-* replaces just the lost members, by spares of the same fabric domain;
-* completes one broken replica with the members of another that is worse off;
-* moves a replica to another fabric domain that has enough prepared boxes;
-* prepares the successor of a leaving member while the replica drains.
+* waits for a silent member while it is expected to answer before a repair would be complete;
+* has spare boxes fetch the weights that they are most likely to need;
+* replaces only the lost members, with spares of the same fabric domain;
+* completes a broken replica with members of another one, if that has as many broken members or
+  costs less to lose;
+* moves a replica to another fabric domain that has enough free boxes;
+* has the successor of a leaving member fetch weights while the replica drains.
 """
 
 from ..table import Model
 from ._costs import Costs
 from ._draft import Draft, prefer_holders
-from ._health import judge
+from ._health import assess_health
 from ._observed import AbsenceModel, ObservedBox
 from ._policy import PlacementInput, Plan, register_placement_policy
 from ._record import Replica, ReplicaPhase
 from ._repairs import Repairs
 from ._spares import prepare_boxes, prepare_spares
-from ._upkeep import is_outdated, is_surplus, keep_books, remove_surplus
+from ._upkeep import is_outdated, is_surplus, reconcile_with_boxes, remove_surplus
 
 __all__ = ["CostBased"]
 
 
 @register_placement_policy("cost_based")
 class CostBased:
-    """Place by expected cost.
+    """Place replicas by expected cost.
 
     Parameters
     ----------
     absences : AbsenceModel, default=AbsenceModel()
-        What was learned of how long boxes stay away.
+        Estimates how long silent boxes stay absent.
     wait, prepare_spares, swap, donors, move : bool, default=True
-        Switch a part of the policy off.
+        Whether to wait for silent members, have spares fetch weights, replace members with spares,
+        take members of another replica, and move replicas to another fabric domain.
     """
 
     __slots__ = ("absences", "donors", "move", "prepare_spares", "repairs", "swap", "wait")
@@ -55,36 +57,36 @@
         self.move = move
         self.repairs = Repairs(self.absences, wait, swap, donors, move)
 
-    def plan(self, given: PlacementInput) -> Plan:
-        draft = Draft(given)
-        costs = Costs(given.view, given.rate_bytes_per_s)
-        keep_books(draft)
-        self._advance(draft)
+    def plan(self, inputs: PlacementInput) -> Plan:
+        draft = Draft(inputs)
+        costs = Costs(inputs.view, inputs.rate_bytes_per_s)
+        reconcile_with_boxes(draft)
+        self._start_serving(draft)
         remove_surplus(draft)
-        self._end_drains(draft)
-        for replica in self._by_urgency(draft):
+        self._finish_drains(draft)
+        for replica in self._by_priority(draft):
             if replica.replica_id in draft.replicas:
                 self.repairs.repair(draft, costs, replica)
-        self._drain_leaving(draft)
-        self._renew_versions(draft)
-        self._fill(draft)
+        self._drain_for_leaving_members(draft)
+        self._replace_outdated(draft)
+        self._form_missing(draft)
         if self.prepare_spares:
             prepare_spares(draft)
         return draft.result()
 
     # Progress -----------------------------------------------------------------------------
 
-    def _advance(self, draft: Draft) -> None:
-        """Let replicas serve whose members are all ready."""
+    def _start_serving(self, draft: Draft) -> None:
+        """Set forming replicas whose members are all ready to serving."""
         for replica in list(draft.replicas.values()):
             if replica.phase is not ReplicaPhase.FORMING:
                 continue
-            if judge(replica, draft.given.boxes).whole:
+            if assess_health(replica, draft.inputs.boxes).is_complete:
                 draft.explain(replica.replica_id, "all members are ready: serving")
                 draft.set_phase(replica, ReplicaPhase.SERVING)
 
-    def _by_urgency(self, draft: Draft) -> list[Replica]:
-        models = draft.given.view.models
+    def _by_priority(self, draft: Draft) -> list[Replica]:
+        models = draft.inputs.view.models
 
         def rank(replica: Replica):
             model = models.get(replica.model)
@@ -92,74 +94,78 @@
 
         return sorted(draft.replicas.values(), key=rank)
 
-    def _end_drains(self, draft: Draft) -> None:
-        """Dissolve what was drained to make room, and let serve what need not drain any more."""
+    def _finish_drains(self, draft: Draft) -> None:
+        """Dissolve replicas drained to make room, or let them serve if room is not needed."""
         for replica in list(draft.replicas.values()):
             if replica.phase is not ReplicaPhase.DRAINING or is_surplus(draft, replica):
                 continue
-            leaving = judge(replica, draft.given.boxes).leaving
+            leaving = assess_health(replica, draft.inputs.boxes).leaving
             if leaving or is_outdated(draft, replica):
                 continue
-            if not self._room_is_wanted(draft, replica):
+            if not self._is_room_needed(draft, replica):
                 draft.explain(replica.replica_id, "need not drain any more: serving")
                 draft.set_phase(replica, ReplicaPhase.SERVING)
-            elif replica.replica_id in draft.given.drained:
+            elif replica.replica_id in draft.inputs.drained:
                 draft.explain(replica.replica_id, "drained, and makes room: dissolved")
                 draft.dissolve(replica)
 
-    def _room_is_wanted(self, draft: Draft, replica: Replica) -> bool:
-        """Return whether a model of higher priority is short of replicas."""
-        hall = draft.given.placement.hall
-        models = draft.given.view.models
-        mine = models[replica.model].priority
-        counts = draft.counts()
+    def _is_room_needed(self, draft: Draft, replica: Replica) -> bool:
+        """Return whether a model of higher priority has fewer replicas than the table asks for."""
+        hall = draft.inputs.placement.hall
+        models = draft.inputs.view.models
+        priority = models[replica.model].priority
+        replica_counts = draft.replica_counts()
         return any(
-            model.priority > mine and counts.get(model.name, 0) < model.replicas_in(hall)
+            model.priority > priority
+            and replica_counts.get(model.name, 0) < model.replicas_in(hall)
             for model in models.values()
         )
 
     # Planned changes ----------------------------------------------------------------------
 
-    def _drain_leaving(self, draft: Draft) -> None:
-        """Give replicas with a leaving member no new work, and prepare the successors meanwhile."""
+    def _drain_for_leaving_members(self, draft: Draft) -> None:
+        """Drain replicas with a leaving member, and have its successor fetch weights meanwhile."""
         for replica in list(draft.replicas.values()):
-            health = judge(replica, draft.given.boxes)
-            model = draft.given.view.models.get(replica.model)
-            if not health.leaving or model is None or replica.replica_id in draft.given.drained:
+            health = assess_health(replica, draft.inputs.boxes)
+            model = draft.inputs.view.models.get(replica.model)
+            if not health.leaving or model is None or replica.replica_id in draft.inputs.drained:
                 continue
             if replica.phase is ReplicaPhase.SERVING:
                 draft.set_phase(replica, ReplicaPhase.DRAINING)
-            spares = draft.free_in(draft.domain_of(replica))
+            spares = draft.free_boxes_in(draft.domain_of(replica))
             chosen = prefer_holders(spares, model)[: len(health.leaving)]
             unprepared = [s for s in chosen if not s.holds(model.name, model.version)]
             prepare_boxes(draft, unprepared, model)
-            names = " ".join(seen.box.name for seen in chosen) or "nobody"
+            names = " ".join(observed.box.name for observed in chosen) or "nobody"
             draft.explain(replica.replica_id, f"a member is leaving: drains, {names} prepares")
 
-    def _renew_versions(self, draft: Draft) -> None:
-        """Drain one replica of a model at a time and form it again with the new version."""
-        for model in draft.given.view.models.values():
-            mine = [r for r in draft.replicas.values() if r.model == model.name]
-            outdated = [r for r in mine if r.version != model.version]
-            busy = [r for r in mine if r.phase is not ReplicaPhase.SERVING]
+    def _replace_outdated(self, draft: Draft) -> None:
+        """Drain one outdated replica of each model whose replicas are all serving.
+
+        Once it is drained and dissolved, a replica of the new version is formed.
+        """
+        for model in draft.inputs.view.models.values():
+            same_model = [r for r in draft.replicas.values() if r.model == model.name]
+            outdated = [r for r in same_model if r.version != model.version]
+            busy = [r for r in same_model if r.phase is not ReplicaPhase.SERVING]
             if outdated and not busy:
                 draft.set_phase(outdated[0], ReplicaPhase.DRAINING)
                 draft.explain(outdated[0].replica_id, f"draining for version {model.version}")
 
     # Formation ----------------------------------------------------------------------------
 
-    def _fill(self, draft: Draft) -> None:
-        """Form the replicas that are short, the most urgent model first."""
-        hall = draft.given.placement.hall
+    def _form_missing(self, draft: Draft) -> None:
+        """Form missing replicas, the model of highest priority first."""
+        hall = draft.inputs.placement.hall
         models = sorted(
-            draft.given.view.models.values(),
+            draft.inputs.view.models.values(),
             key=lambda m: (-m.priority, -m.boxes_per_replica, m.name),
         )
         for model in models:
-            while draft.counts().get(model.name, 0) < model.replicas_in(hall):
+            while draft.replica_counts().get(model.name, 0) < model.replicas_in(hall):
                 domain = self._best_domain(draft, model)
                 if domain is None:
-                    self._make_room(draft, model)
+                    self._drain_for_room(draft, model)
                     break
                 chosen = prefer_holders(domain, model)[: model.boxes_per_replica]
                 if not draft.may_load(model, chosen):
@@ -169,8 +175,14 @@
                 draft.explain(replica.replica_id, "the table asks for it: forming")
 
     def _best_domain(self, draft: Draft, model: Model) -> list[ObservedBox] | None:
-        """Return the free boxes of the domain that fits: weights held first, then least left."""
-        fitting = [b for b in draft.free().values() if len(b) >= model.boxes_per_replica]
+        """Return the free boxes of the best domain for a replica, or None if none has enough.
+
+        Prefers, in this order: more boxes that hold the weights; a number of boxes that is not a
+        multiple of the replica's size; fewer boxes.
+        """
+        fitting = [
+            b for b in draft.free_boxes_by_domain().values() if len(b) >= model.boxes_per_replica
+        ]
         if not fitting:
             return None
 
@@ -179,23 +191,23 @@
                 s.holds(model.name, model.version)
                 for s in prefer_holders(boxes, model)[: model.boxes_per_replica]
             )
-            remainder = len(boxes) % model.boxes_per_replica
-            return (-held, remainder == 0, len(boxes), boxes[0].box.fabric_domain)
+            unused_count = len(boxes) % model.boxes_per_replica
+            return (-held, unused_count == 0, len(boxes), boxes[0].box.fabric_domain)
 
         return min(fitting, key=rank)
 
-    def _make_room(self, draft: Draft, model: Model) -> None:
-        """Drain a replica of a model with lower priority whose domain would then fit."""
+    def _drain_for_room(self, draft: Draft, model: Model) -> None:
+        """Drain a replica of lower priority if its domain then has enough boxes for `model`."""
         if any(r.phase is ReplicaPhase.DRAINING for r in draft.replicas.values()):
             return
-        free = draft.free()
+        free_boxes_by_domain = draft.free_boxes_by_domain()
         best: tuple[int, int, str] | None = None
         for replica in draft.replicas.values():
-            other = draft.given.view.models.get(replica.model)
+            other = draft.inputs.view.models.get(replica.model)
             if other is None or other.priority >= model.priority:
                 continue
             domain = draft.domain_of(replica)
-            in_domain = free.get(domain, ()) if domain is not None else ()
+            in_domain = free_boxes_by_domain.get(domain, ()) if domain is not None else ()
             if len(in_domain) + len(replica.members) < model.boxes_per_replica:
                 continue
             rank = (other.priority, len(replica.members), replica.replica_id)
--- a/ferrydock/placement/_draft.py
+++ b/ferrydock/placement/_draft.py
@@ -1,4 +1,4 @@
-"""A placement record under change: the few moves from which every plan is made."""
+"""A draft of the next placement record, with the operations that policies build plans from."""
 
 from collections.abc import Iterable, Mapping
 
@@ -12,34 +12,34 @@
 
 
 class Draft:
-    """Working copy of a placement record.
+    """Mutable copy of a placement record.
 
     Parameters
     ----------
-    given : PlacementInput
-        What the plan starts from.
+    inputs : PlacementInput
+        The current record, the table and the observed boxes.
     """
 
-    __slots__ = ("_order", "changed", "given", "prepares", "reasons", "releases", "replicas")
+    __slots__ = ("_order", "changed", "inputs", "prepares", "reasons", "releases", "replicas")
 
-    def __init__(self, given: PlacementInput):
-        self.given = given
-        self.replicas: dict[str, Replica] = dict(given.placement.replicas)
-        self.releases: dict[str, Fence] = dict(given.placement.releases)
-        self.prepares: dict[str, Prepare] = dict(given.placement.prepares)
+    def __init__(self, inputs: PlacementInput):
+        self.inputs = inputs
+        self.replicas: dict[str, Replica] = dict(inputs.placement.replicas)
+        self.releases: dict[str, Fence] = dict(inputs.placement.releases)
+        self.prepares: dict[str, Prepare] = dict(inputs.placement.prepares)
         self.reasons: dict[str, str] = {}
         self.changed = False
-        self._order = given.placement.fence.order
+        self._order = inputs.placement.fence.order
 
     def next_fence(self) -> Fence:
-        """Return a fence above all that were given out."""
+        """Return a fence above all fences issued so far."""
         self._order += 1
-        before = self.given.placement.fence
+        before = self.inputs.placement.fence
         return Fence(before.term, before.ballot, self._order)
 
     def result(self) -> Plan:
-        """Return the plan; the record that went in if nothing was changed."""
-        before = self.given.placement
+        """Return the plan; its record is the input's object if nothing was changed."""
+        before = self.inputs.placement
         if not self.changed:
             return Plan(before, self.reasons)
         fence = Fence(before.fence.term, before.fence.ballot, self._order + 1)
@@ -47,17 +47,18 @@
         return Plan(after, self.reasons)
 
     def explain(self, subject: str, reason: str) -> None:
-        """Note why something was decided about a replica or a model."""
+        """Set the reason of the latest decision about a replica or a model."""
         self.reasons[subject] = reason
 
-    # Moves --------------------------------------------------------------------------------
+    # Changes ------------------------------------------------------------------------------
 
     def form(self, model: Model, boxes: Iterable[ObservedBox], replica_id: str = "") -> Replica:
-        """Order `boxes` to form a replica, or a new generation of `replica_id`."""
+        """Form a new replica or a new generation of `replica_id`; the first box is its head."""
         fence = self.next_fence()
-        name = replica_id or f"{self.given.placement.hall}-r{fence.term}-{fence.order}"
+        name = replica_id or f"{self.inputs.placement.hall}-r{fence.term}-{fence.order}"
         members = tuple(
-            Member(seen.box.name, seen.box.url, seen.known_state.incarnation) for seen in boxes
+            Member(observed.box.name, observed.box.url, observed.known_state.incarnation)
+            for observed in boxes
         )
         replica = Replica(
             name,
@@ -76,99 +77,104 @@
         return replica
 
     def set_phase(self, replica: Replica, phase: ReplicaPhase) -> None:
-        """Move a replica to another phase."""
-        record = HallPlacement(self.given.placement.hall, replicas=self.replicas)
+        """Set the phase of a replica."""
+        record = HallPlacement(self.inputs.placement.hall, replicas=self.replicas)
         self.replicas = dict(record.with_phase(replica.replica_id, phase).replicas)
         self.changed = True
 
     def dissolve(self, replica: Replica) -> None:
-        """Take a replica apart: its boxes are told to leave it."""
+        """Remove a replica and order its boxes to leave it."""
         del self.replicas[replica.replica_id]
         for box in replica.boxes:
             self.release(box)
 
     def release(self, box: str) -> None:
-        """Tell a box to leave whatever it takes part in."""
+        """Order a box to leave its replica, and withdraw its order to fetch weights."""
         self.prepares.pop(box, None)
         self.releases[box] = self.next_fence()
         self.changed = True
 
     def prepare(self, box: str, model: Model) -> None:
-        """Tell a free box to fetch weights."""
+        """Order a free box to fetch the model's weights."""
         self.prepares[box] = Prepare(self.next_fence(), model.name, model.version)
         self.changed = True
 
-    def confirm_release(self, box: str) -> None:
-        """Note that a box was seen free."""
+    def remove_release(self, box: str) -> None:
+        """Remove the order to leave, once the box is idle or no longer exists."""
         del self.releases[box]
         self.changed = True
 
-    def drop_prepare(self, box: str) -> None:
-        """Forget that a box was told to fetch weights."""
+    def remove_prepare(self, box: str) -> None:
+        """Remove the order to fetch weights."""
         del self.prepares[box]
         self.changed = True
 
-    # Questions ----------------------------------------------------------------------------
+    # Queries ------------------------------------------------------------------------------
 
-    def taken(self) -> set[str]:
-        """Return the boxes that belong to a replica."""
+    def assigned_boxes(self) -> set[str]:
+        """Return the names of the boxes that belong to a replica."""
         return {box for replica in self.replicas.values() for box in replica.boxes}
 
-    def free(self) -> dict[str, list[ObservedBox]]:
+    def free_boxes_by_domain(self) -> dict[str, list[ObservedBox]]:
         """Return the boxes that may join a replica, by fabric domain."""
-        taken = self.taken()
+        assigned_boxes = self.assigned_boxes()
         found: dict[str, list[ObservedBox]] = {}
-        for name, seen in self.given.boxes.items():
-            if name in taken or name in self.releases or seen.leaving or not seen.listed:
+        for name, observed in self.inputs.boxes.items():
+            if (
+                name in assigned_boxes
+                or name in self.releases
+                or observed.leaving
+                or not observed.listed
+            ):
                 continue
-            if seen.idle and self.may_move(seen):
-                found.setdefault(seen.box.fabric_domain, []).append(seen)
+            if observed.idle and self.may_reassign(observed):
+                found.setdefault(observed.box.fabric_domain, []).append(observed)
         return found
 
-    def free_in(self, domain: str | None) -> list[ObservedBox]:
-        """Return the boxes of one domain that may join a replica; none for no domain."""
-        return self.free().get(domain, []) if domain is not None else []
+    def free_boxes_in(self, domain: str | None) -> list[ObservedBox]:
+        """Return the boxes of a domain that may join a replica; none if `domain` is None."""
+        return self.free_boxes_by_domain().get(domain, []) if domain is not None else []
 
-    def may_move(self, seen: ObservedBox) -> bool:
-        """Return whether an order may give the box to a replica.
+    def may_reassign(self, observed: ObservedBox) -> bool:
+        """Return whether the box may be assigned to a replica.
 
-        A box that checks no orders could still get a late one from an earlier controller. It
-        moves only with the store in reach, after the lease of any earlier controller has run
-        out and a settle time has passed with the box seen free all along.
+        A box that does not check fences may still obey a delayed order of an earlier controller.
+        It is assigned only while the store is reachable, and after it has been idle without a
+        break for the lease time of an earlier controller plus the settle time.
         """
-        if seen.checks_orders:
+        if observed.checks_orders:
             return True
-        site = self.given.view.site
-        return not self.given.isolated and seen.idle_s >= site.lease_ttl_s + site.settle_s
+        site = self.inputs.view.site
+        return not self.inputs.isolated and observed.idle_s >= site.lease_ttl_s + site.settle_s
 
-    def counts(self) -> Mapping[str, int]:
-        """Return how many replicas each model has that are not about to go."""
-        counts: dict[str, int] = {}
+    def replica_counts(self) -> Mapping[str, int]:
+        """Return how many replicas the draft has of each model, in any phase."""
+        replica_counts: dict[str, int] = {}
         for replica in self.replicas.values():
-            counts[replica.model] = counts.get(replica.model, 0) + 1
-        return counts
+            replica_counts[replica.model] = replica_counts.get(replica.model, 0) + 1
+        return replica_counts
 
     def domain_of(self, replica: Replica) -> str | None:
-        """Return the fabric domain of a replica, as far as one of its boxes is known."""
+        """Return the fabric domain of a replica, or None if none of its boxes is observed."""
         for box in replica.boxes:
-            seen = self.given.boxes.get(box)
-            if seen is not None:
-                return seen.box.fabric_domain
+            observed = self.inputs.boxes.get(box)
+            if observed is not None:
+                return observed.box.fabric_domain
         return None
 
     def may_load(self, model: Model, boxes: list[ObservedBox]) -> bool:
-        """Return whether the weight store has room for what `boxes` would load."""
-        if all(seen.holds(model.name, model.version) for seen in boxes):
+        """Return whether `boxes` may load the model within the site's limit of concurrent loads."""
+        if all(observed.holds(model.name, model.version) for observed in boxes):
             return True
         forming = [r for r in self.replicas.values() if r.phase is ReplicaPhase.FORMING]
-        loading = sum(1 for replica in forming if not self._holds_all(replica))
-        return loading < self.given.view.site.concurrent_loads
+        loading = sum(1 for replica in forming if not self._all_hold_weights(replica))
+        return loading < self.inputs.view.site.concurrent_loads
 
-    def _holds_all(self, replica: Replica) -> bool:
-        seen = [self.given.boxes.get(box) for box in replica.boxes]
-        return all(s and s.holds(replica.model, replica.version) for s in seen)
+    def _all_hold_weights(self, replica: Replica) -> bool:
+        observed = [self.inputs.boxes.get(box) for box in replica.boxes]
+        return all(s and s.holds(replica.model, replica.version) for s in observed)
 
 
 def prefer_holders(boxes: Iterable[ObservedBox], model: Model) -> list[ObservedBox]:
-    """Return `boxes` with those first that hold the model's weights already."""
+    """Return `boxes` sorted by name, those that hold the model's weights first."""
     return sorted(boxes, key=lambda s: (not s.holds(model.name, model.version), s.box.name))
--- a/ferrydock/placement/_health.py
+++ b/ferrydock/placement/_health.py
@@ -1,4 +1,4 @@
-"""Judging a replica's members by what the boxes last said."""
+"""Health of a replica's members, from the last reported states of their boxes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
@@ -7,26 +7,26 @@
 from ._observed import ObservedBox
 from ._record import Member, Replica
 
-__all__ = ["ReplicaHealth", "judge"]
+__all__ = ["ReplicaHealth", "assess_health"]
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaHealth:
-    """The state of a replica's members.
+    """Health of a replica's members; boxes are given by name.
 
     Attributes
     ----------
     silent : tuple of str
-        Boxes that do not answer, and may come back as they were.
+        Boxes that do not answer, and may answer again in the same state.
     lost : tuple of str
-        Boxes that answer with another incarnation or a higher fence, or whose box is off the
-        list: what they held for the replica is gone.
+        Boxes that answer with another incarnation or a higher fence, or are silent and not in the
+        box list: their state for this replica is lost.
     loading : tuple of str
-        Boxes that have not yet said that they are ready.
+        Boxes that answer but have not reported that they are ready.
     leaving : tuple of str
-        Boxes about to leave.
+        Boxes that are about to be removed from the hall.
     missing_s : float
-        How long the longest silence has lasted.
+        Longest time that a silent box has not answered.
     """
 
     silent: tuple[str, ...]
@@ -37,50 +37,53 @@
 
     @property
     def broken(self) -> tuple[str, ...]:
-        """Boxes without which the replica cannot serve as it is."""
+        """Members that keep the replica from serving: silent or lost."""
         return self.silent + self.lost
 
-    def after_drain(self) -> "ReplicaHealth":
-        """Return the same with leaving members counted as lost: nothing runs there any more."""
-        gone = tuple(box for box in self.leaving if box not in self.broken)
-        return replace(self, lost=self.lost + gone)
+    def with_leaving_lost(self) -> "ReplicaHealth":
+        """Return this health with the leaving members counted as lost.
+
+        Meant for a drained replica: its members run no requests, so leaving ones can be replaced.
+        """
+        leaving = tuple(box for box in self.leaving if box not in self.broken)
+        return replace(self, lost=self.lost + leaving)
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every member is ready for the replica's generation."""
         return not (self.silent or self.lost or self.loading)
 
 
-def judge(replica: Replica, boxes: Mapping[str, ObservedBox]) -> ReplicaHealth:
-    """Return how the members of `replica` are."""
+def assess_health(replica: Replica, boxes: Mapping[str, ObservedBox]) -> ReplicaHealth:
+    """Return the health of the members of `replica`, given the observed boxes by name."""
     silent, lost, loading, leaving = [], [], [], []
     missing_s = 0.0
     for member in replica.members:
-        seen = boxes.get(member.box)
-        if seen is None or (not seen.listed and not seen.present):
+        observed = boxes.get(member.box)
+        if observed is None or (not observed.listed and not observed.present):
             lost.append(member.box)
-        elif not seen.present:
+        elif not observed.present:
             silent.append(member.box)
-            missing_s = max(missing_s, seen.missing_s)
-        elif _is_lost(replica, member, seen):
+            missing_s = max(missing_s, observed.missing_s)
+        elif _has_lost_state(replica, member, observed):
             lost.append(member.box)
-        elif not _is_ready(replica, seen):
+        elif not _is_ready(replica, observed):
             loading.append(member.box)
-        if seen is not None and seen.leaving:
+        if observed is not None and observed.leaving:
             leaving.append(member.box)
     return ReplicaHealth(tuple(silent), tuple(lost), tuple(loading), tuple(leaving), missing_s)
 
 
-def _is_lost(replica: Replica, member: Member, seen: ObservedBox) -> bool:
+def _has_lost_state(replica: Replica, member: Member, observed: ObservedBox) -> bool:
     return (
-        seen.known_state.incarnation != member.incarnation
-        or seen.known_state.fence > replica.generation
+        observed.known_state.incarnation != member.incarnation
+        or observed.known_state.fence > replica.generation
     )
 
 
-def _is_ready(replica: Replica, seen: ObservedBox) -> bool:
+def _is_ready(replica: Replica, observed: ObservedBox) -> bool:
     return (
-        seen.known_state.replica_id == replica.replica_id
-        and seen.known_state.fence == replica.generation
-        and seen.known_state.phase is BoxPhase.READY
+        observed.known_state.replica_id == replica.replica_id
+        and observed.known_state.fence == replica.generation
+        and observed.known_state.phase is BoxPhase.READY
     )
--- a/ferrydock/placement/_observed.py
+++ b/ferrydock/placement/_observed.py
@@ -1,4 +1,4 @@
-"""What a controller sees of its boxes, and what it has learned of how long boxes stay away."""
+"""Boxes as their controller observes them, and estimates of how long silent boxes stay absent."""
 
 from bisect import bisect_right
 from collections import deque
@@ -14,24 +14,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedBox:
-    """A box as its hall's controller sees it now.
+    """A box as its hall's controller currently observes it.
 
     Attributes
     ----------
     box : Box
-        What the platform lists.
+        Entry of the box in the platform's list.
     state : BoxState or None
-        What the box last said; None if it never spoke to this controller.
+        Last state that the box reported; None if it never answered this controller.
     missing_s : float
-        How long it has been silent; 0 while it answers.
+        How long the box has not answered; 0 while it answers.
     listed : bool
-        Whether the box list still names it.
+        Whether the box is in the platform's list.
     leaving : bool
-        Whether any source says that it is about to leave.
+        Whether the list, the box or the table marks it as about to be removed.
     checks_orders : bool
-        Whether it refuses orders with an old fence.
+        Whether the box refuses orders with a fence below its own.
     idle_s : float
-        How long it has been seen free without a break, for boxes that check no orders.
+        How long it has been idle without a break; used for boxes that check no orders.
     """
 
     box: Box
@@ -44,7 +44,7 @@
 
     @property
     def known_state(self) -> BoxState:
-        """What the box last said; only for a box that has spoken."""
+        """The last reported state; fails for a box that has never answered."""
         return existing(self.state, f"the state of {self.box.name}")
 
     @property
@@ -54,43 +54,44 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the box answers and takes part in nothing."""
-        return self.present and self._takes_no_part()
+        """Whether the box answers and belongs to no replica."""
+        return self.present and self._is_unassigned()
 
-    def _takes_no_part(self) -> bool:
+    def _is_unassigned(self) -> bool:
         state = self.known_state
         return state.phase is BoxPhase.IDLE and not state.replica_id
 
     def holds(self, model: str, version: str) -> bool:
-        """Return whether the weights are on the box already."""
+        """Return whether the box holds the weights of this version of the model."""
         return self.state is not None and (model, version) in self.state.held
 
 
 class Absence(StrEnum):
-    """Why a box is silent, as far as the platform says."""
+    """Cause of a box's absence, as known from the platform."""
 
     SILENT = "silent"
     LEAVING = "leaving"
     DELISTED = "delisted"
 
 
-_PRIOR_S = (2.0, 5.0, 10.0, 30.0, 90.0, 180.0, 300.0, 1800.0)
+# Absences assumed for each cause until real ones are recorded.
+_INITIAL_ABSENCES_S = (2.0, 5.0, 10.0, 30.0, 90.0, 180.0, 300.0, 1800.0)
 
 
 class AbsenceModel:
-    """Learns how long boxes stay away, for each cause.
+    """Estimates how long boxes stay absent, for each cause.
 
     Parameters
     ----------
-    never_s : float, default=3600.0
-        What counts as never: an absence that long is taken for a death.
-    limit : int, default=128
-        How many past absences are remembered for each cause.
+    max_absence_s : float, default=3600.0
+        Longest absence: a box that is absent for that long is assumed not to answer again.
+    max_samples : int, default=128
+        How many past absences are kept for each cause.
 
     Notes
     -----
-    The estimate is the mean of what past absences longer than the present one still lasted.
-    Absences that never ended count with `never_s`.
+    The expected remaining time is the mean time that past absences longer than the current one
+    still lasted. Absences that never ended count as `max_absence_s`.
 
     Examples
     --------
@@ -101,25 +102,25 @@
     True
     """
 
-    __slots__ = ("_past", "limit", "never_s")
+    __slots__ = ("_absences_s", "max_samples", "max_absence_s")
 
-    def __init__(self, never_s: float = 3600.0, limit: int = 128):
-        self.never_s = never_s
-        self.limit = limit
-        self._past: dict[Absence, deque[float]] = {
-            cause: deque(_PRIOR_S, maxlen=limit) for cause in Absence
+    def __init__(self, max_absence_s: float = 3600.0, max_samples: int = 128):
+        self.max_absence_s = max_absence_s
+        self.max_samples = max_samples
+        self._absences_s: dict[Absence, deque[float]] = {
+            cause: deque(_INITIAL_ABSENCES_S, maxlen=max_samples) for cause in Absence
         }
 
     def record(self, cause: Absence, lasted_s: float) -> None:
-        """Remember that an absence ended after `lasted_s`, or was given up on."""
-        self._past[cause].append(min(lasted_s, self.never_s))
+        """Record an absence that ended, or was no longer waited for, after `lasted_s`."""
+        self._absences_s[cause].append(min(lasted_s, self.max_absence_s))
 
     def expected_remaining_s(self, cause: Absence, elapsed_s: float) -> float:
-        """Return how much longer an absence of `elapsed_s` is expected to last."""
+        """Return how many more seconds an absence of `elapsed_s` so far is expected to last."""
         if cause is Absence.DELISTED:
-            return self.never_s
-        past = sorted(self._past[cause])
-        longer = past[bisect_right(past, elapsed_s) :]
-        if not longer:
-            return self.never_s
-        return sum(longer) / len(longer) - elapsed_s
+            return self.max_absence_s
+        absences_s = sorted(self._absences_s[cause])
+        longer_absences_s = absences_s[bisect_right(absences_s, elapsed_s) :]
+        if not longer_absences_s:
+            return self.max_absence_s
+        return sum(longer_absences_s) / len(longer_absences_s) - elapsed_s
--- a/ferrydock/placement/_orders.py
+++ b/ferrydock/placement/_orders.py
@@ -1,4 +1,4 @@
-"""Orders that follow from a placement record, compared with what the boxes say."""
+"""Orders derived from a placement record and the states that boxes report."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressedOrder:
-    """An order and the box that it is for."""
+    """An order with the name and URL of the box that it is for."""
 
     box: str
     url: str
@@ -23,21 +23,21 @@
 def pending_orders(
     placement: HallPlacement, view: TableView, boxes: Mapping[str, ObservedBox]
 ) -> tuple[AddressedOrder, ...]:
-    """Return the orders that boxes in reach have not carried out yet.
+    """Return the orders that answering boxes have not obeyed yet.
 
-    An order is sent until its box says that it stands behind the order's fence. Nothing is
-    queued: what a controller would send after a pause follows anew from the record.
+    An order is pending until its box reports the order's fence or a higher one. Orders are not
+    queued: a controller derives them from the record again in each round, also after a pause.
     """
     orders = []
     for replica in placement.replicas.values():
         orders += _load_orders(replica, view, boxes)
     for box, fence in placement.releases.items():
-        seen = boxes.get(box)
-        if seen is not None and seen.present and seen.known_state.fence < fence:
-            orders.append(AddressedOrder(box, seen.box.url, Order(fence, OrderAction.RELEASE)))
+        observed = boxes.get(box)
+        if observed is not None and observed.present and observed.known_state.fence < fence:
+            orders.append(AddressedOrder(box, observed.box.url, Order(fence, OrderAction.RELEASE)))
     for box, prepare in placement.prepares.items():
-        seen = boxes.get(box)
-        if seen is not None and seen.idle and seen.known_state.fence < prepare.fence:
+        observed = boxes.get(box)
+        if observed is not None and observed.idle and observed.known_state.fence < prepare.fence:
             model = view.models.get(prepare.model)
             if model is None:
                 continue
@@ -48,7 +48,7 @@
                 version=prepare.version,
                 weight_bytes=model.weight_bytes // model.boxes_per_replica,
             )
-            orders.append(AddressedOrder(box, seen.box.url, order))
+            orders.append(AddressedOrder(box, observed.box.url, order))
     return tuple(orders)
 
 
@@ -67,11 +67,15 @@
         replica.boxes,
         replica.slots,
     )
-    found = []
+    orders = []
     for member in replica.members:
-        seen = boxes.get(member.box)
-        if seen is None or not seen.present or seen.known_state.incarnation != member.incarnation:
+        observed = boxes.get(member.box)
+        if (
+            observed is None
+            or not observed.present
+            or observed.known_state.incarnation != member.incarnation
+        ):
             continue
-        if seen.known_state.fence < replica.generation:
-            found.append(AddressedOrder(member.box, member.url, order))
-    return found
+        if observed.known_state.fence < replica.generation:
+            orders.append(AddressedOrder(member.box, member.url, order))
+    return orders
--- a/ferrydock/placement/_policy.py
+++ b/ferrydock/placement/_policy.py
@@ -1,4 +1,4 @@
-"""Registry of placement policies, and the parameters that each declares."""
+"""Interface and registry of placement policies."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -25,17 +25,17 @@
     Attributes
     ----------
     placement : HallPlacement
-        The record as it stands.
+        The current placement record.
     view : TableView
         The table in force.
     boxes : mapping of str to ObservedBox
-        Boxes of the hall by name.
+        Observed boxes of the hall by name.
     drained : frozenset of str
-        Replicas that were told to drain and have been seen without work for long enough.
+        Ids of draining replicas that have run no requests for long enough to be dissolved.
     rate_bytes_per_s : float
-        Rate of the weight store.
+        Rate at which one load reads from the weight store.
     isolated : bool, default=False
-        Whether the store cannot be reached: boxes that check no orders then stay where they are.
+        Whether the store is unreachable. Boxes that check no orders are then not reassigned.
     """
 
     placement: HallPlacement
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A decision: the record to write, and why.
+    """Result of a placement decision: the next record and the reasons.
 
     Attributes
     ----------
     placement : HallPlacement
-        The new record; the very object that went in if nothing changes.
+        The next record; the same object as in the input if nothing changes.
     reasons : mapping of str to str
-        One sentence for each replica, or model, that something was decided about.
+        Reason by id of the replica, or name of the model, that was decided about.
     """
 
     placement: HallPlacement
@@ -63,32 +63,32 @@
 
 
 class PlacementPolicy(Protocol):
-    """Decides which boxes form which replica: a pure function of its input."""
+    """Decides which boxes form which replica, as a pure function of its input."""
 
-    def plan(self, given: PlacementInput) -> Plan:
-        """Return the next record."""
+    def plan(self, inputs: PlacementInput) -> Plan:
+        """Return the next record and the reasons for it."""
 
 
 _POLICIES: dict[str, type] = {}
 
 
 def register_placement_policy(name: str) -> Callable[[type], type]:
-    """Return a decorator that enters a `PlacementPolicy` class under `name`."""
+    """Return a decorator that registers a `PlacementPolicy` class under `name`."""
 
-    def enter(cls: type) -> type:
+    def register(cls: type) -> type:
         if name in _POLICIES:
             raise AssertionError(f"placement policy {name!r} is registered twice")
         _POLICIES[name] = cls
         return cls
 
-    return enter
+    return register
 
 
 def placement_policies() -> tuple[str, ...]:
-    """Return the registered names, sorted."""
+    """Return the names of the registered policies, sorted."""
     return tuple(sorted(_POLICIES))
 
 
 def make_placement_policy(name: str, **parameters) -> PlacementPolicy:
-    """Make the policy `name`."""
+    """Return a new policy registered as `name`, constructed with `parameters`."""
     return _POLICIES[name](**parameters)
--- a/ferrydock/placement/_record.py
+++ b/ferrydock/placement/_record.py
@@ -1,4 +1,4 @@
-"""The placement record of a hall: which boxes form which replica. The aggregate and its rules."""
+"""The placement record of a hall: which boxes form which replica, and which records are valid."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
@@ -12,7 +12,7 @@
 
 
 class ReplicaPhase(StrEnum):
-    """Where a replica is in its life."""
+    """Phase of a replica's life cycle."""
 
     FORMING = "forming"
     SERVING = "serving"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A box as part of a replica, in one incarnation of its engine."""
+    """A box that belongs to a replica, and the incarnation of its engine."""
 
     box: str
     url: str
@@ -35,15 +35,15 @@
     Attributes
     ----------
     replica_id : str
-        Name, unique in the site; it stays when members change.
+        Name, unique in the site; it is kept when members are replaced.
     generation : Fence
-        Fence of the orders that formed it as it is now. Any change of members makes a new one.
+        Fence of the orders that formed it. Each change of members starts a new generation.
     members : tuple of Member
-        Its boxes; the first is the head, which takes requests.
+        Boxes of the replica; the first is the head, which receives requests.
     slots : int
-        Requests that it runs at a time.
+        Maximum number of requests in flight.
     phase : ReplicaPhase
-        Only a serving replica gets work.
+        Requests are sent to a replica only while it is serving.
     """
 
     replica_id: str
@@ -56,18 +56,18 @@
 
     @property
     def head(self) -> Member:
-        """The member that takes requests."""
+        """The member that receives requests."""
         return self.members[0]
 
     @property
     def boxes(self) -> tuple[str, ...]:
-        """Names of its boxes."""
+        """Names of the member boxes, the head first."""
         return tuple(member.box for member in self.members)
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """A free box that fetches weights, so that it can join a replica at once."""
+    """Order to a free box to fetch a model's weights ahead of joining a replica."""
 
     fence: Fence
     model: str
@@ -76,20 +76,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HallPlacement:
-    """What a hall's controller has decided; stored under one key, changed by compare-and-swap.
+    """Placement decided by a hall's controller; stored under one key, changed by compare-and-swap.
 
     Attributes
     ----------
     hall : str
-        The hall.
+        Name of the hall.
     fence : Fence
-        Highest fence given out; later records have a higher one.
+        Highest fence issued so far; each later record has a higher one.
     replicas : dict of str to Replica
-        By replica id.
+        Replicas by replica id.
     releases : dict of str to Fence
-        Boxes told to leave their replica that have not yet been seen free.
+        Boxes ordered to leave their replica that have not reported themselves idle yet, with the
+        fence of the order.
     prepares : dict of str to Prepare
-        Free boxes that hold or fetch weights.
+        Free boxes ordered to fetch weights.
     """
 
     hall: str
@@ -99,15 +100,15 @@
     prepares: Mapping[str, Prepare] = field(default_factory=dict)
 
     def __post_init__(self):
-        taken: dict[str, str] = {}
+        replica_by_box: dict[str, str] = {}
         for replica in self.replicas.values():
             for box in replica.boxes:
-                other = taken.setdefault(box, replica.replica_id)
+                other = replica_by_box.setdefault(box, replica.replica_id)
                 if other != replica.replica_id or replica.boxes.count(box) != 1:
                     raise AssertionError(f"box {box} is in {other} and in {replica.replica_id}")
         for box in (*self.releases, *self.prepares):
-            if box in taken:
-                raise AssertionError(f"box {box} is free and in {taken[box]}")
+            if box in replica_by_box:
+                raise AssertionError(f"box {box} is free and in {replica_by_box[box]}")
 
     def replica_of(self, box: str) -> Replica | None:
         """Return the replica that the box belongs to, or None."""
@@ -119,7 +120,7 @@
         return replace(self, replicas={**self.replicas, replica_id: changed})
 
     def to_json(self) -> bytes:
-        """Return the form that is stored and relayed."""
+        """Return the record as JSON, as it is stored and sent to other daemons."""
         return orjson.dumps(
             {
                 "hall": self.hall,
@@ -134,7 +135,7 @@
 
     @classmethod
     def from_json(cls, raw: bytes) -> "HallPlacement":
-        """Read what `to_json` wrote."""
+        """Decode a record that `to_json` encoded."""
         fields = orjson.loads(raw)
         replicas = (_replica_from_json(r) for r in fields["replicas"])
         return cls(
--- a/ferrydock/placement/_repairs.py
+++ b/ferrydock/placement/_repairs.py
@@ -1,40 +1,41 @@
-"""Repairs of broken replicas: the ways there are, what each costs, and carrying one out."""
+"""Repairs of broken replicas: lists the options, estimates their costs and applies one."""
 
 from dataclasses import dataclass
 
 from ..table import Model
 from ._costs import Costs
 from ._draft import Draft, prefer_holders
-from ._health import ReplicaHealth, judge
+from ._health import ReplicaHealth, assess_health
 from ._observed import Absence, AbsenceModel, ObservedBox
 from ._record import Replica, ReplicaPhase
 
 __all__ = ["Repairs"]
 
-HYSTERESIS = 1.25
+# Multiplies the cost of breaking up a healthy replica for its boxes.
+HYSTERESIS_FACTOR = 1.25
 
 
 @dataclass(frozen=True, slots=True)
 class _Repair:
-    """One way to make a broken replica whole: its boxes, when it is whole, and what it takes."""
+    """One option to repair a broken replica: its new boxes, the seconds it takes, and its cost."""
 
     kind: str
     boxes: list[ObservedBox]
-    ready_s: float
+    ready_after_s: float
     cost: float
     donor: Replica | None = None
 
 
 class Repairs:
-    """Chooses between waiting and the ways to repair, by expected cost.
+    """Chooses between waiting for absent members and the options to repair, by expected cost.
 
     Parameters
     ----------
     absences : AbsenceModel
-        What was learned of how long boxes stay away.
+        Estimates how long silent boxes stay absent.
     wait, swap, donors, move : bool
-        Which ways are open: waiting for the return, spares of the fabric domain, members of
-        another replica, another fabric domain.
+        Options that are enabled: wait for silent members, use spares of the fabric domain, use
+        members of another replica, move to another fabric domain.
     """
 
     __slots__ = ("absences", "donors", "move", "swap", "wait")
@@ -47,30 +48,30 @@
         self.move = move
 
     def repair(self, draft: Draft, costs: Costs, replica: Replica) -> None:
-        """Decide what to do about a replica that may be broken, and put it into the draft."""
-        health = judge(replica, draft.given.boxes)
-        if replica.replica_id in draft.given.drained:
-            health = health.after_drain()
-        model = draft.given.view.models.get(replica.model)
+        """Repair a broken replica in the draft, dissolve it, or wait for its members."""
+        health = assess_health(replica, draft.inputs.boxes)
+        if replica.replica_id in draft.inputs.drained:
+            health = health.with_leaving_lost()
+        model = draft.inputs.view.models.get(replica.model)
         if not health.broken or model is None:
             return
         if model.boxes_per_replica != len(replica.members):
             draft.explain(replica.replica_id, "broken, and its size has changed: dissolved")
             draft.dissolve(replica)
             return
-        site = draft.given.view.site
-        patient = self.wait and replica.phase is not ReplicaPhase.FORMING
-        if patient and not health.lost and health.missing_s < site.member_wait_s:
+        site = draft.inputs.view.site
+        may_wait = self.wait and replica.phase is not ReplicaPhase.FORMING
+        if may_wait and not health.lost and health.missing_s < site.member_wait_s:
             draft.explain(replica.replica_id, f"waits for {' '.join(health.silent)}")
             return
-        survivors = self._survivors(draft, replica, health)
+        survivors = self._surviving_boxes(draft, replica, health)
         wait_s = self._expected_wait_s(draft, health)
-        wait_cost = costs.per_second(model, len(survivors)) * wait_s
+        wait_cost = costs.cost_per_s(model, len(survivors)) * wait_s
         options = self._options(draft, costs, replica, model, health)
         best = min(options, key=lambda option: option.cost, default=None)
         if best is not None and (best.cost < wait_cost or not self.wait):
-            self._carry_out(draft, replica, model, health, best)
-        elif self._give_up(draft, model, costs, survivors, wait_s):
+            self._apply_repair(draft, replica, model, health, best)
+        elif self._should_dissolve(draft, model, costs, survivors, wait_s):
             draft.explain(replica.replica_id, "cannot be repaired where it is: dissolved")
             draft.dissolve(replica)
         else:
@@ -81,12 +82,12 @@
 
     def _expected_wait_s(self, draft: Draft, health: ReplicaHealth) -> float:
         if health.lost or not self.wait:
-            return self.absences.never_s
+            return self.absences.max_absence_s
         waits = []
         for box in health.silent:
-            seen = draft.given.boxes[box]
-            cause = Absence.LEAVING if seen.leaving else Absence.SILENT
-            waits.append(self.absences.expected_remaining_s(cause, seen.missing_s))
+            observed = draft.inputs.boxes[box]
+            cause = Absence.LEAVING if observed.leaving else Absence.SILENT
+            waits.append(self.absences.expected_remaining_s(cause, observed.missing_s))
         return max(waits)
 
     def _options(
@@ -106,34 +107,36 @@
             options += self._move_options(draft, costs, replica, model)
         return options
 
-    def _survivors(self, draft: Draft, replica: Replica, health: ReplicaHealth):
-        return [draft.given.boxes[box] for box in replica.boxes if box not in health.broken]
+    def _surviving_boxes(self, draft: Draft, replica: Replica, health: ReplicaHealth):
+        return [draft.inputs.boxes[box] for box in replica.boxes if box not in health.broken]
 
-    def _returned(self, draft: Draft, replica: Replica, health: ReplicaHealth):
-        """Return members that restarted and are free to join again."""
-        seen = [draft.given.boxes.get(box) for box in health.lost]
-        return [s for s in seen if s and s.idle and not s.leaving and draft.may_move(s)]
+    def _restarted_members(self, draft: Draft, replica: Replica, health: ReplicaHealth):
+        """Return lost members that answer, are idle and may join the replica again."""
+        observed = [draft.inputs.boxes.get(box) for box in health.lost]
+        return [s for s in observed if s and s.idle and not s.leaving and draft.may_reassign(s)]
 
     def _swap_option(self, draft, costs, replica, model, health) -> list[_Repair]:
-        survivors = self._survivors(draft, replica, health)
-        if not all(draft.may_move(seen) for seen in survivors):
+        survivors = self._surviving_boxes(draft, replica, health)
+        if not all(draft.may_reassign(observed) for observed in survivors):
             return []
-        spares = draft.free().get(draft.domain_of(replica), [])
-        candidates = spares + self._returned(draft, replica, health)
+        spares = draft.free_boxes_by_domain().get(draft.domain_of(replica), [])
+        candidates = spares + self._restarted_members(draft, replica, health)
         chosen = prefer_holders(candidates, model)[: len(health.broken)]
         if len(chosen) < len(health.broken):
             return []
-        ready_s = costs.load_s(model, survivors + chosen)
-        cost = costs.per_second(model, len(survivors)) * ready_s
-        return [_Repair("swap", survivors + chosen, ready_s, cost)]
+        ready_after_s = costs.load_s(model, survivors + chosen)
+        cost = costs.cost_per_s(model, len(survivors)) * ready_after_s
+        return [_Repair("swap", survivors + chosen, ready_after_s, cost)]
 
     def _donor_options(self, draft, costs, replica, model, health) -> list[_Repair]:
-        """Complete the replica with members of another one in the same fabric domain."""
-        survivors = self._survivors(draft, replica, health)
-        if not all(draft.may_move(seen) for seen in survivors):
+        """Return repairs that take members of another replica in the same fabric domain."""
+        survivors = self._surviving_boxes(draft, replica, health)
+        if not all(draft.may_reassign(observed) for observed in survivors):
             return []
         domain = draft.domain_of(replica)
-        spares = draft.free().get(domain, []) + self._returned(draft, replica, health)
+        spares = draft.free_boxes_by_domain().get(domain, []) + self._restarted_members(
+            draft, replica, health
+        )
         options = []
         for donor in draft.replicas.values():
             if donor is replica or draft.domain_of(donor) != domain:
@@ -145,62 +148,74 @@
     def _donor_option(
         self, draft, costs, model, health, survivors, spares, donor
     ) -> _Repair | None:
-        donor_model = draft.given.view.models.get(donor.model)
-        donor_health = judge(donor, draft.given.boxes)
-        given_up = self._survivors(draft, donor, donor_health)
-        if donor_model is None or not all(s.checks_orders for s in given_up):
+        donor_model = draft.inputs.view.models.get(donor.model)
+        donor_health = assess_health(donor, draft.inputs.boxes)
+        donor_boxes = self._surviving_boxes(draft, donor, donor_health)
+        if donor_model is None or not all(s.checks_orders for s in donor_boxes):
             return None
-        chosen = prefer_holders(spares + given_up, model)[: len(health.broken)]
+        chosen = prefer_holders(spares + donor_boxes, model)[: len(health.broken)]
         if len(chosen) < len(health.broken):
             return None
-        ready_s = costs.load_s(model, survivors + chosen)
-        cost = costs.per_second(model, len(survivors)) * ready_s
+        ready_after_s = costs.load_s(model, survivors + chosen)
+        cost = costs.cost_per_s(model, len(survivors)) * ready_after_s
         if donor_health.broken:
             worse_off = len(donor_health.broken) >= len(health.broken)
             if donor_model.priority > model.priority or not worse_off:
                 return None
         else:
-            left_idle = len(given_up) - len(chosen)
-            lost_s = self.absences.expected_remaining_s(Absence.SILENT, health.missing_s)
-            cost += HYSTERESIS * costs.per_second(donor_model, left_idle) * lost_s
-        return _Repair("donor", survivors + chosen, ready_s, cost, donor)
+            unused_count = len(donor_boxes) - len(chosen)
+            expected_downtime_s = self.absences.expected_remaining_s(
+                Absence.SILENT, health.missing_s
+            )
+            cost += (
+                HYSTERESIS_FACTOR
+                * costs.cost_per_s(donor_model, unused_count)
+                * expected_downtime_s
+            )
+        return _Repair("donor", survivors + chosen, ready_after_s, cost, donor)
 
     def _move_options(self, draft, costs, replica, model) -> list[_Repair]:
         options = []
-        for boxes in draft.free().values():
+        for boxes in draft.free_boxes_by_domain().values():
             if len(boxes) < model.boxes_per_replica:
                 continue
             chosen = prefer_holders(boxes, model)[: model.boxes_per_replica]
-            ready_s = costs.load_s(model, chosen)
-            cost = costs.per_second(model, len(replica.members)) * ready_s
-            options.append(_Repair("move", chosen, ready_s, cost))
+            ready_after_s = costs.load_s(model, chosen)
+            cost = costs.cost_per_s(model, len(replica.members)) * ready_after_s
+            options.append(_Repair("move", chosen, ready_after_s, cost))
         return options
 
-    def _carry_out(self, draft, replica, model, health, best: _Repair) -> None:
-        names = " ".join(seen.box.name for seen in best.boxes)
-        reason = f"{best.kind}: {names}, whole in about {best.ready_s:.1f} s"
+    def _apply_repair(self, draft, replica, model, health, best: _Repair) -> None:
+        names = " ".join(observed.box.name for observed in best.boxes)
+        reason = f"{best.kind}: {names}, whole in about {best.ready_after_s:.1f} s"
         if not draft.may_load(model, best.boxes):
             draft.explain(replica.replica_id, f"waits for its turn to load, then {reason}")
             return
-        keep = {seen.box.name for seen in best.boxes}
+        kept_boxes = {observed.box.name for observed in best.boxes}
         if best.donor is not None:
             del draft.replicas[best.donor.replica_id]
             for box in best.donor.boxes:
-                if box not in keep:
+                if box not in kept_boxes:
                     draft.release(box)
             draft.explain(best.donor.replica_id, f"gave boxes to {replica.replica_id}")
         for box in replica.boxes:
-            if box not in keep:
+            if box not in kept_boxes:
                 draft.release(box)
         draft.form(model, best.boxes, replica.replica_id)
         draft.explain(replica.replica_id, reason)
 
-    def _give_up(self, draft, model, costs, survivors: list[ObservedBox], wait_s: float) -> bool:
-        """Return whether the survivors are of more use free than waiting."""
+    def _should_dissolve(
+        self, draft, model, costs, survivors: list[ObservedBox], wait_s: float
+    ) -> bool:
+        """Return whether to dissolve a replica that is not repaired, to free its surviving boxes.
+
+        Boxes that check no orders become usable only after lease, settle and load time; freeing
+        them pays if the silent members are expected to be absent for longer.
+        """
         if not self.wait or not survivors:
             return True
-        if all(seen.checks_orders for seen in survivors) or draft.given.isolated:
+        if all(observed.checks_orders for observed in survivors) or draft.inputs.isolated:
             return False
-        site = draft.given.view.site
-        free_after_s = site.lease_ttl_s + site.settle_s + costs.load_s(model, survivors)
-        return wait_s > free_after_s
+        site = draft.inputs.view.site
+        free_boxes_after_s = site.lease_ttl_s + site.settle_s + costs.load_s(model, survivors)
+        return wait_s > free_boxes_after_s
--- a/ferrydock/placement/_upkeep.py
+++ b/ferrydock/placement/_upkeep.py
@@ -1,59 +1,66 @@
-"""What every policy does first: note what boxes have done, and take away what nobody wants."""
+"""Steps shared by all policies: update the draft from box states and remove surplus replicas."""
 
 from ..engines import Fence
 from ._draft import Draft
 from ._observed import ObservedBox
 from ._record import Replica, ReplicaPhase
 
-__all__ = ["is_outdated", "is_surplus", "keep_books", "remove_surplus"]
+__all__ = ["is_outdated", "is_surplus", "reconcile_with_boxes", "remove_surplus"]
 
 
-def keep_books(draft: Draft) -> None:
-    """Confirm releases, drop what no longer fits, and release boxes that nobody placed."""
-    boxes = draft.given.boxes
+def reconcile_with_boxes(draft: Draft) -> None:
+    """Remove finished and obsolete orders, and release boxes that run an unrecorded replica."""
+    boxes = draft.inputs.boxes
     for box, fence in list(draft.releases.items()):
-        _settle_release(draft, box, fence, boxes.get(box))
+        _update_release(draft, box, fence, boxes.get(box))
     for box, prepare in list(draft.prepares.items()):
-        seen = boxes.get(box)
-        if seen is None or not seen.idle or seen.leaving or seen.known_state.fence > prepare.fence:
-            draft.drop_prepare(box)
-    taken = draft.taken()
-    for name, seen in boxes.items():
-        stray = seen.present and seen.known_state.replica_id and name not in taken
-        if stray and name not in draft.releases:
+        observed = boxes.get(box)
+        if (
+            observed is None
+            or not observed.idle
+            or observed.leaving
+            or observed.known_state.fence > prepare.fence
+        ):
+            draft.remove_prepare(box)
+    assigned_boxes = draft.assigned_boxes()
+    for name, observed in boxes.items():
+        is_stray = (
+            observed.present and observed.known_state.replica_id and name not in assigned_boxes
+        )
+        if is_stray and name not in draft.releases:
             draft.release(name)
 
 
-def _settle_release(draft: Draft, box: str, fence: Fence, seen: ObservedBox | None) -> None:
-    """Confirm a release that was carried out; repeat one that something later overtook."""
-    if seen is None or (not seen.listed and not seen.present):
-        draft.confirm_release(box)
-    elif seen.present and seen.known_state.fence >= fence:
-        if seen.idle:
-            draft.confirm_release(box)
-        elif seen.known_state.fence > fence:
+def _update_release(draft: Draft, box: str, fence: Fence, observed: ObservedBox | None) -> None:
+    """Remove a release that was obeyed; repeat it if the box obeyed a later order instead."""
+    if observed is None or (not observed.listed and not observed.present):
+        draft.remove_release(box)
+    elif observed.present and observed.known_state.fence >= fence:
+        if observed.idle:
+            draft.remove_release(box)
+        elif observed.known_state.fence > fence:
             draft.release(box)
 
 
 def is_surplus(draft: Draft, replica: Replica) -> bool:
-    """Return whether the table asks for fewer replicas, and this is the one to give up."""
-    model = draft.given.view.models.get(replica.model)
-    wanted = 0 if model is None else model.replicas_in(draft.given.placement.hall)
-    mine = [r for r in draft.replicas.values() if r.model == replica.model]
-    return len(mine) > wanted and replica is _least_useful(mine)
+    """Return whether the table asks for fewer replicas and this one is to be removed first."""
+    model = draft.inputs.view.models.get(replica.model)
+    wanted = 0 if model is None else model.replicas_in(draft.inputs.placement.hall)
+    same_model = [r for r in draft.replicas.values() if r.model == replica.model]
+    return len(same_model) > wanted and replica is _least_useful(same_model)
 
 
 def is_outdated(draft: Draft, replica: Replica) -> bool:
-    """Return whether the table names another version of the model, or no such model."""
-    model = draft.given.view.models.get(replica.model)
+    """Return whether the table has another version of the model, or does not have the model."""
+    model = draft.inputs.view.models.get(replica.model)
     return model is None or replica.version != model.version
 
 
 def remove_surplus(draft: Draft) -> None:
-    """Drain replicas that the table no longer asks for, and dissolve those that are drained."""
+    """Drain surplus replicas and dissolve drained ones that are surplus or outdated."""
     for replica in list(draft.replicas.values()):
         surplus = is_surplus(draft, replica)
-        if replica.phase is ReplicaPhase.DRAINING and replica.replica_id in draft.given.drained:
+        if replica.phase is ReplicaPhase.DRAINING and replica.replica_id in draft.inputs.drained:
             if surplus or is_outdated(draft, replica):
                 draft.explain(replica.replica_id, "drained, and no longer wanted: dissolved")
                 draft.dissolve(replica)
@@ -66,6 +73,6 @@
 
 
 def _least_useful(replicas: list[Replica]) -> Replica:
-    """Return the replica to give up first: one that drains, then one that forms, then any."""
+    """Return the replica to remove first: a draining one, else a forming one, else any."""
     order = {ReplicaPhase.DRAINING: 0, ReplicaPhase.FORMING: 1, ReplicaPhase.SERVING: 2}
     return min(replicas, key=lambda r: (order[r.phase], r.replica_id))
