--- a/ferrydock/hall/_controller.py
+++ b/ferrydock/hall/_controller.py
@@ -380,7 +380,7 @@
                 placement=self.placement,
                 view=view,
                 boxes=boxes,
-                drained=self.observer.drained(self.placement, DRAIN_IDLE_S),
+                drained=self.observer.drained_replica_ids(self.placement, DRAIN_IDLE_S),
                 rate_bytes_per_s=self.rate_bytes_per_s,
                 isolated=isolated,
             )
--- a/ferrydock/hall/_observer.py
+++ b/ferrydock/hall/_observer.py
@@ -1,8 +1,8 @@
 """What the controller of a hall knows of the hall's boxes, at a bounded number of probes.
 
 The state of members of an attested replica follows from the attestation. Only the other boxes are
-probed: in every round while they take part in a replica or fetch weights, and otherwise once per
-`IDLE_PROBE_INTERVAL_S`.
+probed: in every round while they join or leave a replica, fetch weights or have never answered, and
+otherwise once per `IDLE_PROBE_INTERVAL_S`.
 """
 
 import asyncio
@@ -219,7 +219,7 @@
             else now_s - idle_since_s,
         )
 
-    def drained(self, placement: HallPlacement, min_idle_s: float) -> frozenset[str]:
+    def drained_replica_ids(self, placement: HallPlacement, min_idle_s: float) -> frozenset[str]:
         """Return the draining replicas whose head has reported no requests for `min_idle_s`."""
         now_s = self.clock.now_s()
         drained = set()
