--- a/ferrydock/hall/tests/test_machine.py
+++ b/ferrydock/hall/tests/test_machine.py
@@ -176,7 +176,7 @@
 
     @invariant()
     def no_work_for_a_replica_with_a_member_missing(self):
-        if not hasattr(self, "world"):
+        if not hasattr(self, "simulation"):
             return
         now_s = self.simulation.clock.now_s()
         for daemon in self.simulation.daemons:
@@ -187,7 +187,7 @@
 
     @invariant()
     def no_statement_for_a_generation_that_a_checking_box_has_left(self):
-        if not hasattr(self, "world"):
+        if not hasattr(self, "simulation"):
             return
         for daemon in self.simulation.daemons:
             for replica in daemon.placement.replicas.values():
@@ -210,7 +210,7 @@
 
     @invariant()
     def no_box_is_in_two_replicas(self):
-        if not hasattr(self, "world"):
+        if not hasattr(self, "simulation"):
             return
         for daemon in self.simulation.daemons:
             boxes = [b for r in daemon.placement.replicas.values() for b in r.boxes]
