--- a/ferrydock/requests/__init__.py
+++ b/ferrydock/requests/__init__.py
@@ -1,11 +1,10 @@
-"""Model requests of the table's daemon, from admission to a whole answer.
+"""Execution of model requests, from admission to the complete answer.
 
-Here stand the rules on admission (`_admission`: a replica with room, a place in the queue, or a
-refusal), on retry and resumption (`_executor`), on what may be said of a request that ended without
-an answer (`_lifecycle`), and on requests that may run only once (`_claims`). The budget of retries
-is shared with the route daemon (`ferrydock.retry_budget`). What does not belong here: HTTP towards
-callers (`ferrydock.gateway`), the choice among replicas with room (`ferrydock.routing`), the teams'
-shares (`ferrydock.teams`).
+The package covers admission (`_admission`: assign a replica with room, queue, or refuse), retry and
+resumption (`_executor`), what a caller is told about a request that ended without a complete answer
+(`_lifecycle`), and requests that may run only once (`_claims`). The retry budget is shared with the
+route daemon (`ferrydock.retry_budget`). Elsewhere: HTTP to callers (`ferrydock.gateway`), the
+choice among replicas with room (`ferrydock.routing`) and the teams' shares (`ferrydock.teams`).
 """
 
 from ._admission import ReplicaGate
--- a/ferrydock/requests/_attempt.py
+++ b/ferrydock/requests/_attempt.py
@@ -1,7 +1,7 @@
-"""One attempt at a request with one engine: send, relay, and report how it ended.
+"""One attempt at a request on one engine: send it, relay the answer, report the outcome.
 
-Owns the connections to engines. The outcome says whether the engine certainly did not run the
-request (`Refused`) or may have (`Broken`).
+Owns the HTTP connections to engines. A failed attempt is `Refused` if the engine certainly did not
+run the request, and `Broken` if it may have.
 """
 
 import asyncio
@@ -29,23 +29,22 @@
     "Streamed",
 ]
 
-# How long connecting to an engine may take. Chosen, not measured.
 CONNECT_TIMEOUT_S = 1.0
 
-# How long a connection is kept without a request. Chosen, not measured.
-KEEP_IDLE_S = 20.0
+# How long a pooled connection without requests stays open.
+IDLE_CONNECTION_TIMEOUT_S = 20.0
 
-# HTTP statuses (RFC 9110): the first server error, and those with which an engine may say that it
-# did not run a request.
-FIRST_SERVER_ERROR = 500
+# HTTP statuses (RFC 9110). An answer with one of `NOT_RUN_STATUSES` may state in its body that the
+# request did not run.
+FIRST_SERVER_ERROR_STATUS = 500
 CONFLICT = 409
-MAY_SAY_NOT_RUN = (404, CONFLICT, 429, 503)
-_LEFT_OUT_HEADERS = ("User-Agent", "Accept", "Accept-Encoding")
+NOT_RUN_STATUSES = (404, CONFLICT, 429, 503)
+_OMITTED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding")
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The engine's whole answer."""
+    """The engine's complete answer."""
 
     status: int
     content_type: str
@@ -54,16 +53,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Streamed:
-    """The whole stream, terminal marker included, has gone to the caller."""
+    """The complete stream, terminal marker included, was sent to the caller."""
 
     events: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The engine did not run it, by its own word or since no byte had left.
+    """The engine did not run the request: it says so, or no connection to it could be opened.
 
-    `stale` says that the replica is not what the placement record says.
+    `stale` is true if the engine answered that the replica differs from the placement record.
     """
 
     reason: str
@@ -73,98 +72,99 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """Contact was lost after bytes had left; the engine may have run it, or may still."""
+    """The attempt failed after bytes were sent; the engine may have run the request, or may yet."""
 
     reason: str
 
 
 class CallerLeft(Exception):
-    """The caller has closed the connection; raised by `Caller.write` and never by an engine."""
+    """The caller has closed its connection; raised by `Caller.write`, never by an engine."""
 
 
 class Caller(Protocol):
-    """The side towards the caller of a stream.
+    """Writes a stream to the caller.
 
     Attributes
     ----------
     on_first : callable or None
-        Called when the first event of an attempt passes.
+        Called at the first event of each attempt.
     """
 
     on_first: Callable[[], None] | None
 
     async def begin(self) -> None:
-        """Send the headers of a stream, once."""
+        """Send the response headers unless they were sent before."""
 
     async def write(self, events: bytes) -> None:
-        """Send whole events."""
+        """Send complete events."""
 
 
 class Attempt:
-    """A handle to abandon an attempt from outside.
+    """A handle by which another task abandons an attempt.
 
-    A watchdog calls `abandon` when the replica is no longer whole; the attempt then ends as
-    `Broken` with that reason.
+    The executor calls `abandon` when a member of the replica is missing for too long; the attempt
+    then ends as `Broken` with the given reason.
     """
 
-    __slots__ = ("_cancelled_before", "_task", "reason", "replica")
+    __slots__ = ("_earlier_cancellations", "_task", "reason", "replica")
 
     def __init__(self, replica: Replica):
         self.replica = replica
         self.reason = ""
         self._task: asyncio.Task | None = None
-        self._cancelled_before = 0
+        self._earlier_cancellations = 0
 
     def begin(self) -> None:
-        """Name the running task as the one that `abandon` interrupts."""
+        """Register the current task as the one that `abandon` cancels."""
         self._task = existing(asyncio.current_task(), "the running task")
-        self._cancelled_before = self._task.cancelling()
+        self._earlier_cancellations = self._task.cancelling()
 
     def end(self) -> None:
-        """Let `abandon` do nothing from now on."""
+        """Make later calls of `abandon` do nothing."""
         self._task = None
 
     def abandon(self, reason: str) -> None:
-        """End the attempt."""
+        """Cancel the attempt if it is running; the first reason given counts."""
         if self._task is not None and not self.reason:
             self.reason = reason
             self._task.cancel()
 
     def was_abandoned(self) -> bool:
-        """Return whether a cancellation came from `abandon` only; that one is then taken back.
+        """Return whether only `abandon` cancelled the task; undo its cancellation.
 
-        If the caller leaves or the daemon's time is over at the same moment, the request ends.
+        If the task was also cancelled because the caller disconnected or the daemon stops, this
+        returns False, so that the request ends.
         """
         if not self.reason or self._task is None:
             return False
-        return self._task.uncancel() <= self._cancelled_before
+        return self._task.uncancel() <= self._earlier_cancellations
 
 
 class EngineClient:
-    """Data side of engines over HTTP.
+    """Sends requests to engines over HTTP.
 
     Notes
     -----
-    Requests that are not repeatable go over connections of their own: a kept connection that the
-    engine has just closed would leave it open whether the request arrived. No cookie is kept:
-    it could carry something from one caller to another.
+    Each request that is not repeatable gets a new connection: if the engine closes a pooled
+    connection just as the request is sent, it is unknown whether the request arrived. Cookies are
+    not stored, since they could carry data from one caller to another.
     """
 
-    __slots__ = ("_kept", "_single_use")
+    __slots__ = ("_pooled", "_single_use")
 
     def __init__(self):
-        self._kept: aiohttp.ClientSession | None = None
+        self._pooled: aiohttp.ClientSession | None = None
         self._single_use: aiohttp.ClientSession | None = None
 
     def _session(self, repeatable: bool) -> aiohttp.ClientSession:
-        if self._kept is None:
-            self._kept = _open_session(KEEP_IDLE_S)
+        if self._pooled is None:
+            self._pooled = _open_session(IDLE_CONNECTION_TIMEOUT_S)
             self._single_use = _open_session(None)
-        return existing(self._kept if repeatable else self._single_use, "the session")
+        return existing(self._pooled if repeatable else self._single_use, "the session")
 
     async def close(self) -> None:
-        """Close the connections."""
-        for session in (self._kept, self._single_use):
+        """Close all connections to engines."""
+        for session in (self._pooled, self._single_use):
             if session is not None:
                 await session.close()
 
@@ -177,20 +177,20 @@
         resume: bool = False,
         body: bytes | None = None,
     ) -> Answered | Streamed | Refused | Broken:
-        """Send a request to the head of a replica and take its answer.
+        """Send a request to the head of a replica and process its answer.
 
         Parameters
         ----------
         request : ModelRequest
             What to send.
         attempt : Attempt
-            Names the replica, and can be abandoned.
+            Holds the replica; another task can abandon it.
         relay : EventRelay
-            Counts what the caller has; its count is the offset of a resumption.
+            Counts the events sent to the caller; the count is the offset at which to resume.
         caller : Caller
             Gets the stream.
         resume : bool, default=False
-            Whether the engine shall go on with the run that it has under this request id.
+            Whether to ask the engine to continue its run of this request id.
         body : bytes, optional
             Sent in place of the caller's body.
         """
@@ -204,13 +204,13 @@
         except asyncio.CancelledError:
             if not attempt.was_abandoned():
                 raise
-            relay.drop_rest()
+            relay.drop_incomplete_event()
             return Broken(attempt.reason)
         finally:
             attempt.end()
 
     async def _exchange(self, session, url, data, headers, request, relay, caller):
-        """Send, and take the answer, which may be a stream, whole, or a refusal."""
+        """Send the request; relay a streamed answer, or read any other answer completely."""
         try:
             response = await session.post(url, data=data, headers=headers)
         except aiohttp.ClientConnectorError:
@@ -219,13 +219,13 @@
             return Broken(f"no answer from the engine: {type(error).__name__}")
         try:
             if response.status == 200 and request.stream:
-                return await self._relay(response, relay, caller)
-            return await self._whole(response)
+                return await self._relay_stream(response, relay, caller)
+            return await self._read_answer(response)
         finally:
             response.close()
 
     def _headers(
-        self, request: ModelRequest, replica: Replica, resumed: EventRelay | None
+        self, request: ModelRequest, replica: Replica, resumed_relay: EventRelay | None
     ) -> dict[str, str]:
         headers = {
             "Content-Type": "application/json",
@@ -234,41 +234,41 @@
             "X-Generation": str(replica.generation),
             "X-Priority": str(request.priority),
         }
-        if resumed is not None:
-            headers["X-Resume-Offset"] = str(resumed.events_of_run)
+        if resumed_relay is not None:
+            headers["X-Resume-Offset"] = str(resumed_relay.events_in_run)
         if request.key:
             headers["Idempotency-Key"] = request.key
         return headers
 
-    async def _relay(self, response, relay: EventRelay, caller: Caller) -> Streamed | Broken:
-        """Pass whole events on until the terminal marker."""
+    async def _relay_stream(self, response, relay: EventRelay, caller: Caller) -> Streamed | Broken:
+        """Relay complete events to the caller until the terminal marker."""
         await caller.begin()
         feed = relay.feed
         try:
-            async for piece in response.content.iter_any():
-                ready = feed(piece)
-                if ready:
-                    await caller.write(ready)
+            async for chunk in response.content.iter_any():
+                events = feed(chunk)
+                if events:
+                    await caller.write(events)
         except (aiohttp.ClientError, TimeoutError) as error:
-            relay.drop_rest()
+            relay.drop_incomplete_event()
             return Broken(f"the stream broke: {type(error).__name__}")
-        relay.drop_rest()
+        relay.drop_incomplete_event()
         if relay.whole:
             response.release()
             return Streamed(relay.events)
         return Broken("the stream ended without its terminal marker")
 
-    async def _whole(self, response) -> Answered | Refused | Broken:
+    async def _read_answer(self, response) -> Answered | Refused | Broken:
         try:
             body = await response.read()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             return Broken(f"the answer broke: {type(error).__name__}")
         response.release()
-        if response.status in MAY_SAY_NOT_RUN:
-            refusal = _refusal(response.status, body)
+        if response.status in NOT_RUN_STATUSES:
+            refusal = _parse_refusal(response.status, body)
             if refusal is not None:
                 return refusal
-        if response.status >= FIRST_SERVER_ERROR:
+        if response.status >= FIRST_SERVER_ERROR_STATUS:
             return Broken(f"the engine answered with status {response.status}")
         content_type = response.headers.get("Content-Type", "application/json")
         return Answered(response.status, content_type, body)
@@ -279,15 +279,15 @@
         CONNECT_TIMEOUT_S,
         keep_idle_s,
         cookie_jar=aiohttp.DummyCookieJar(),
-        skip_auto_headers=_LEFT_OUT_HEADERS,
+        skip_auto_headers=_OMITTED_HEADERS,
         auto_decompress=False,
     )
 
 
-def _refusal(status: int, body: bytes) -> Refused | None:
-    """Return the engine's statement that it did not run the request, or None if it is no such.
+def _parse_refusal(status: int, body: bytes) -> Refused | None:
+    """Return a refusal if the answer states that the request did not run, else None.
 
-    A body that cannot be read is no statement; the caller then logs the answer as broken.
+    A body that cannot be parsed states nothing; the answer then counts as any other of its status.
     """
     try:
         error = orjson.loads(body)["error"]
--- a/ferrydock/requests/_claim_writer.py
+++ b/ferrydock/requests/_claim_writer.py
@@ -1,9 +1,9 @@
-"""Writing claims in groups, and through one daemon of a hall where there are many.
+"""Writing of claims in groups, and in large halls through one daemon of the hall.
 
-A claim's write is one small transaction with a condition of its own. It carries the nonce of the
-daemon that made it. So no matter which daemon sends it to the store, and how often, it takes effect
-once for that daemon or not at all; a daemon that does not learn the outcome reads it back. Owns the
-writes that wait for their group, in memory.
+A claim is written by a small transaction with its own condition and a nonce of the daemon that
+created it. It therefore takes effect at most once, no matter which daemon sends it to the store and
+how often; a daemon that does not learn the outcome reads the claim back. Owns the pending writes,
+in memory.
 """
 
 import asyncio
@@ -24,73 +24,72 @@
     "WritesClaims",
 ]
 
-# Claims in one transaction: below the 128 operations that an etcd store allows by default. Chosen,
-# not measured.
-GROUP_LIMIT = 48
+# Claims in one transaction: below the 128 operations that an etcd store allows by default.
+MAX_GROUP_CLAIMS = 48
 
-# How long the first claim of a group waits for others, in a daemon that writes its own and in one
-# that writes for its hall. Chosen, not measured; the calls that it saves: docs/CAPACITY.md, claims.
+# How long the first claim of a group waits for others: in a daemon that writes its own claims, and
+# in one that writes those of its hall. For the store calls saved, see docs/CAPACITY.md (claims).
 GROUP_WAIT_S = 0.002
 RELAYED_WAIT_S = 0.02
 
-# Daemons in a hall from which on one of them writes the claims of all. Chosen, not measured.
+# Number of daemons in a hall from which on one of them writes the claims of all.
 RELAY_FROM_DAEMONS = 4
 
 Outcome = TxnDone | Unavailable | Unknown
 
 
 class WritesClaims(Protocol):
-    """What `ClaimStore` needs for writing."""
+    """Interface by which `ClaimStore` writes."""
 
     async def write(self, txn: Txn) -> Outcome:
         """Apply one claim's transaction."""
 
 
 @dataclass(eq=False, slots=True)
-class _Pending:
-    """A write that waits for its group."""
+class _PendingWrite:
+    """A queued write and the future of its outcome."""
 
     txn: Txn
     done: asyncio.Future = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
 
 class ClaimWriter:
-    """Writes to the store; what gathers in `wait_s` shares one transaction.
+    """Writes claims to the store; those that arrive within `wait_s` share one transaction.
 
     Parameters
     ----------
     store : Store
         The platform's key-value service.
     wait_s : float, default=GROUP_WAIT_S
-        How long the first of a group waits for others.
+        How long the first claim of a group waits for others.
 
     Notes
     -----
-    Inside the shared transaction each claim is a nested one, decided by its own condition.
+    Each claim is a nested transaction of the shared one and depends only on its own condition.
     """
 
-    __slots__ = ("_flusher", "_pending", "groups", "store", "wait_s")
+    __slots__ = ("_flush_task", "_pending", "groups", "store", "wait_s")
 
     def __init__(self, store: Store, wait_s: float = GROUP_WAIT_S):
         self.store = store
         self.wait_s = wait_s
         self.groups = 0
-        self._pending: deque[_Pending] = deque()
-        self._flusher: asyncio.Task | None = None
+        self._pending: deque[_PendingWrite] = deque()
+        self._flush_task: asyncio.Task | None = None
 
     async def write(self, txn: Txn) -> Outcome:
-        """Apply one claim's transaction, together with others that come soon."""
-        pending = _Pending(txn)
+        """Apply one claim's transaction, grouped with others that arrive within `wait_s`."""
+        pending = _PendingWrite(txn)
         self._pending.append(pending)
-        if self._flusher is None or self._flusher.done():
-            self._flusher = asyncio.get_running_loop().create_task(self._flush())
+        if self._flush_task is None or self._flush_task.done():
+            self._flush_task = asyncio.get_running_loop().create_task(self._flush())
         return await asyncio.shield(pending.done)
 
     async def _flush(self) -> None:
-        """Write the pending claims, one transaction at a time."""
+        """Write the pending claims in groups, one transaction after another."""
         await asyncio.sleep(self.wait_s)
         while self._pending:
-            count = min(GROUP_LIMIT, len(self._pending))
+            count = min(MAX_GROUP_CLAIMS, len(self._pending))
             group = [self._pending.popleft() for _ in range(count)]
             self.groups += 1
             done = await self.store.transact(Txn((), tuple(p.txn for p in group)))
@@ -101,21 +100,22 @@
 
 
 class RelayingClaimWriter:
-    """Writes through the daemon that writes the claims of its hall.
+    """Writes claims through the daemon that writes those of the hall.
 
     Parameters
     ----------
     own : ClaimWriter
-        Writes what this daemon is asked to write, and what it cannot hand on.
+        Writes to the store if the hall's writer is this daemon or is unavailable.
     choose : callable
-        Returns the address of the hall's writer, or None if this daemon writes itself.
+        Returns the address of the hall's writer, or None if this daemon is to write.
     send : callable
-        Hands a transaction to the daemon at an address.
+        Sends a transaction to the daemon at an address.
 
     Notes
     -----
-    In a hall of 76 each daemon has too few claims to group, and the store is counted by calls. The
-    writer is chosen by rendezvous; two daemons that choose differently do no harm.
+    In a hall of 76 daemons each one has too few claims to form groups, and the load on the store
+    depends on the number of calls. Rendezvous hashing selects the writer; daemons that select
+    different writers do no harm.
     """
 
     __slots__ = ("choose", "own", "relayed", "send")
@@ -132,7 +132,7 @@
         self.relayed = 0
 
     async def write(self, txn: Txn) -> Outcome:
-        """Apply one claim's transaction through the hall's writer, or here if that fails."""
+        """Apply one claim's transaction through the hall's writer, or directly if unavailable."""
         address = self.choose()
         if address is not None:
             self.relayed += 1
--- a/ferrydock/requests/_claims.py
+++ b/ferrydock/requests/_claims.py
@@ -1,12 +1,15 @@
-"""Rule: a not-repeatable request with a key runs at most once, no matter which daemon gets it.
+"""Claims: a request with an idempotency key that is not repeatable runs at most once.
 
-A claim is created in the store before the request leaves; only its creator may send the request,
-once. An unfinished claim is never run again. The store owns the claims; here are only those that
-were abandoned before their request was sent, until they are removed. Keys::
+This holds no matter which daemons receive the request.
+
+A claim is created in the store before the request is sent; only the daemon that created it may send
+the request, once. A request whose claim has no recorded end never runs again. The store owns the
+claims; this module holds only those that were abandoned before their request was sent, until they
+are removed from the store. Keys::
 
     /ferrydock/claim/TEAM/DIGEST   nonce, state, and the recorded end
 
-Writes that come close together share one transaction: see `ClaimWriter`.
+Concurrent writes share one transaction: see `ClaimWriter`.
 """
 
 import asyncio
@@ -39,30 +42,31 @@
 
 _LOG = logging.getLogger("ferrydock.requests")
 
-# Largest answer that is recorded with a claim; of a larger one only the digest is. Bounds what is
-# stored. Chosen, not measured.
-RECORDED_BODY_BYTES = 65536
+# Largest answer body stored with a claim; of a larger one only the digest is stored. Bounds the
+# size of the store.
+MAX_RECORDED_BODY_BYTES = 65536
 
-# How long one lease takes new claims; it lasts that much longer than a claim must be remembered, so
-# that claims share leases. Chosen, not measured.
-RETENTION_STEP_S = 600.0
+# How long new claims are attached to the same lease, so that claims share leases. The lease lasts
+# this much longer than the retention of a claim.
+LEASE_SHARING_S = 600.0
 
-# How often a claim without an answer is read back, and the pause between. Chosen, not measured.
-READ_BACK_TRIES = 6
-READ_BACK_PAUSE_S = 0.05
+# Attempts to write a claim. After an attempt without a confirmed outcome the claim is read back; if
+# it is not found, the next attempt follows after the pause.
+WRITE_ATTEMPTS = 6
+WRITE_RETRY_PAUSE_S = 0.05
 
-# How long to look for an abandoned claim that may still be written. Chosen, not measured.
-ABANDONED_FOR_S = 120.0
+# How long the store is checked for an abandoned claim whose write may still arrive.
+ABANDONED_CLAIM_CHECK_S = 120.0
 
 
 def claim_key(team: str, key: str) -> str:
-    """Return the store key of a claim; the caller's key is kept as a digest."""
+    """Return the store key of a claim; it contains the caller's key as a digest."""
     return f"/ferrydock/claim/{team}/{hashlib.sha256(key.encode()).hexdigest()[:40]}"
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A claim that this daemon has created: only it may send the request, once."""
+    """A claim created by this daemon, which alone may send the request, once."""
 
     key: str
     nonce: str
@@ -71,18 +75,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimEnd:
-    """The recorded end of a claim that was run.
+    """The recorded end of a claimed request that ran.
 
     Attributes
     ----------
     status : int
         HTTP status of the answer.
     content_type : str
-        Its type.
+        Content type of the answer.
     digest : str
-        SHA-256 of its body.
+        SHA-256 of the body; empty if the body is unknown.
     body : bytes or None
-        The body itself; None if it was larger than `RECORDED_BODY_BYTES`.
+        The body; None if it is unknown or larger than `MAX_RECORDED_BODY_BYTES`.
     """
 
     status: int
@@ -93,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimUnfinished:
-    """Another daemon created the claim, or this one before; no end of it is recorded."""
+    """The claim was created for an earlier request, and its end is not recorded."""
 
     reason: str = "the request was taken before and no end of it is recorded"
 
@@ -106,20 +110,20 @@
 
 
 class ClaimStore:
-    """Creates, reads back and ends claims.
+    """Creates claims, reads them back, and records how their requests ended.
 
     Parameters
     ----------
     store : Store
         The platform's key-value service.
     writer : WritesClaims
-        Writes to it; claims that come close together share a call.
+        Writes to the store; concurrent claims share a call.
     clock : Clock
-        For deadlines and retention.
+        Clock of deadlines and retention.
     retention_s : float
-        How long a claim is remembered at least.
+        Minimum time that a claim stays in the store.
     daemon : str
-        Name of this daemon, for people who look into the store.
+        Name of this daemon, stored for operators who inspect the store.
     """
 
     __slots__ = (
@@ -150,53 +154,53 @@
     async def open(
         self, team: str, key: str, deadline_s: float
     ) -> Claim | ClaimEnd | ClaimUnfinished | ClaimUnwritten:
-        """Create the claim for a caller's key, or return the one that is there already."""
+        """Create the claim for a caller's key, or return the state of an existing one."""
         lease_id = await self._retention_lease()
         if lease_id is None:
             return ClaimUnwritten("the platform's store cannot be reached")
-        name = claim_key(team, key)
+        store_key = claim_key(team, key)
         nonce = uuid.uuid4().hex
         value = orjson.dumps({"nonce": nonce, "daemon": self.daemon, "state": "open"})
-        absent = Compare(name, 0, CompareField.CREATE_REVISION)
-        txn = Txn((absent,), (Put(name, value, lease_id),), (name,))
-        for _ in range(READ_BACK_TRIES):
+        absent = Compare(store_key, 0, CompareField.CREATE_REVISION)
+        txn = Txn((absent,), (Put(store_key, value, lease_id),), (store_key,))
+        for _ in range(WRITE_ATTEMPTS):
             done = await self.writer.write(txn)
             if isinstance(done, TxnDone):
-                return self._settle(name, nonce, done)
+                return self._parse_outcome(store_key, nonce, done)
             if self.clock.now_s() >= deadline_s:
                 break
-            found = await self.store.range(name)
+            found = await self.store.range(store_key)
             if isinstance(found, RangeDone) and found.items:
-                return _read(found.items[0], nonce)
-            await asyncio.sleep(READ_BACK_PAUSE_S)
-        self._abandoned[name] = (nonce, self.clock.now_s())
+                return _parse_claim(found.items[0], nonce)
+            await asyncio.sleep(WRITE_RETRY_PAUSE_S)
+        self._abandoned[store_key] = (nonce, self.clock.now_s())
         return ClaimUnwritten("the platform's store did not confirm the claim")
 
-    def _settle(self, name: str, nonce: str, done: TxnDone):
+    def _parse_outcome(self, store_key: str, nonce: str, done: TxnDone):
         if done.succeeded:
-            return Claim(name, nonce, done.revision)
-        standing = done.reads[0]
-        if standing is None:
+            return Claim(store_key, nonce, done.revision)
+        existing_claim = done.reads[0]
+        if existing_claim is None:
             return ClaimUnfinished()
-        return _read(standing, nonce)
+        return _parse_claim(existing_claim, nonce)
 
     async def _retention_lease(self) -> int | None:
-        """Return the lease of new claims; None if there is no store (the caller reports it)."""
+        """Return the lease of new claims; None if the store grants none (the caller reports it)."""
         async with self._lease_lock:
             now_s = self.clock.now_s()
             if self._lease is not None and now_s < self._lease[1]:
                 return self._lease[0]
-            granted = await self.store.grant_lease(self.retention_s + RETENTION_STEP_S)
+            granted = await self.store.grant_lease(self.retention_s + LEASE_SHARING_S)
             if not isinstance(granted, LeaseGranted):
                 return None
-            self._lease = (granted.lease_id, now_s + RETENTION_STEP_S)
+            self._lease = (granted.lease_id, now_s + LEASE_SHARING_S)
             return granted.lease_id
 
     # Ending -------------------------------------------------------------------------------
 
     async def end(self, claim: Claim, status: int, content_type: str, body: bytes | None) -> bool:
-        """Record how the request ended; return whether the record was certainly written."""
-        kept = body if body is not None and len(body) <= RECORDED_BODY_BYTES else None
+        """Record how the request ended; return True only if the store confirmed the record."""
+        recorded_body = body if body is not None and len(body) <= MAX_RECORDED_BODY_BYTES else None
         fields = {
             "nonce": claim.nonce,
             "daemon": self.daemon,
@@ -204,7 +208,7 @@
             "status": status,
             "content_type": content_type,
             "digest": hashlib.sha256(body).hexdigest() if body is not None else "",
-            "body": base64.b64encode(kept).decode() if kept is not None else None,
+            "body": base64.b64encode(recorded_body).decode() if recorded_body is not None else None,
         }
         lease_id = await self._retention_lease()
         if lease_id is None:
@@ -214,7 +218,10 @@
         return isinstance(done, TxnDone) and done.succeeded
 
     async def withdraw(self, claim: Claim) -> bool:
-        """Remove the claim of a request that was certainly not run: it can be sent again."""
+        """Remove the claim of a request that certainly did not run, so that it can be sent again.
+
+        Returns whether the store confirmed the removal.
+        """
         done = await self.writer.write(
             Txn((Compare(claim.key, claim.mod_revision),), (Delete(claim.key),))
         )
@@ -224,21 +231,23 @@
         return False
 
     async def tidy(self) -> None:
-        """Remove claims that were abandoned before they were used but were written after all."""
+        """Remove abandoned claims from the store whose write arrived after all."""
         now_s = self.clock.now_s()
-        for name, (nonce, since_s) in list(self._abandoned.items()):
-            found = await self.store.range(name)
+        for store_key, (nonce, abandoned_s) in list(self._abandoned.items()):
+            found = await self.store.range(store_key)
             if isinstance(found, Unavailable):
                 return
             item = found.items[0] if found.items else None
             if item is not None and orjson.loads(item.value).get("nonce") == nonce:
-                await self.store.transact(Txn((Compare(name, item.mod_revision),), (Delete(name),)))
-                log_event(_LOG, logging.INFO, "claim_withdrawn", key=name)
-            if item is not None or now_s - since_s > ABANDONED_FOR_S:
-                self._abandoned.pop(name, None)
+                await self.store.transact(
+                    Txn((Compare(store_key, item.mod_revision),), (Delete(store_key),))
+                )
+                log_event(_LOG, logging.INFO, "claim_withdrawn", key=store_key)
+            if item is not None or now_s - abandoned_s > ABANDONED_CLAIM_CHECK_S:
+                self._abandoned.pop(store_key, None)
 
 
-def _read(item: KeyValue, nonce: str) -> Claim | ClaimEnd | ClaimUnfinished:
+def _parse_claim(item: KeyValue, nonce: str) -> Claim | ClaimEnd | ClaimUnfinished:
     fields = orjson.loads(item.value)
     if fields["nonce"] == nonce:
         return Claim(item.key, nonce, item.mod_revision)
--- a/ferrydock/requests/_events.py
+++ b/ferrydock/requests/_events.py
@@ -1,33 +1,31 @@
-"""Relaying server-sent events whole: counted, kept for a continuation, and known to have ended.
+"""Relaying of complete server-sent events, with their count and text kept for a continuation.
 
-Owns what of one stream was relayed. Events of this API have no ids; those of routes do, and have a
-class of their own (`forwarding.NumberedEvents`).
+Owns the record of what was relayed of one stream. Events of the model API have no ids; for events
+of routes, which have ids, see `forwarding.NumberedEvents`.
 """
 
 import orjson
 
 __all__ = ["EventRelay", "error_event", "text_so_far"]
 
-END_OF_EVENT = b"\n\n"
-DONE = b"data: [DONE]\n\n"
-DATA = b"data: "
+EVENT_END = b"\n\n"
+DONE_EVENT = b"data: [DONE]\n\n"
+DATA_PREFIX = b"data: "
 
-# Bytes of a stream that are kept for a continuation; a longer one cannot go on at another engine.
-# Chosen, not measured.
-KEPT_BYTES = 1 << 20
+# A stream longer than this is not kept, so it cannot be continued on another engine.
+MAX_KEPT_BYTES = 1 << 20
 
-# Pieces that gather before their events are counted: only a stream that breaks needs the count.
-# Chosen, not measured.
-RECENT_PIECES = 256
+# Chunks collected before their events are counted; the count is needed only if a stream breaks.
+MAX_RECENT_CHUNKS = 256
 
 
 class EventRelay:
-    """Cuts a byte stream into whole events.
+    """Splits a byte stream at event boundaries and records the events relayed.
 
     Parameters
     ----------
     keep : bool
-        Whether to keep what was relayed, for a continuation or a claim.
+        Whether to keep the relayed bytes, for a continuation on another engine.
 
     Examples
     --------
@@ -38,7 +36,15 @@
     (b'data: 2\\n\\ndata: [DONE]\\n\\n', 3, True)
     """
 
-    __slots__ = ("_counted", "_kept", "_recent", "_rest", "_run_start", "keep", "whole")
+    __slots__ = (
+        "_counted",
+        "_kept",
+        "_recent",
+        "_incomplete",
+        "_events_before_run",
+        "keep",
+        "whole",
+    )
 
     def __init__(self, keep: bool):
         self.keep = keep
@@ -46,70 +52,72 @@
         self._counted = 0
         self._kept = b""
         self._recent: list[bytes] = []
-        self._rest = b""
-        self._run_start = 0
-
-    def feed(self, piece: bytes) -> bytes:
-        """Take bytes and return those that complete events."""
-        if self._rest or not piece.endswith(END_OF_EVENT):
-            piece = self._cut(piece)
-            if not piece:
-                return piece
-        self._recent.append(piece)
-        if len(self._recent) >= RECENT_PIECES:
-            self._fold()
-        if piece.endswith(DONE):
+        self._incomplete = b""
+        self._events_before_run = 0
+
+    def feed(self, chunk: bytes) -> bytes:
+        """Return the bytes up to the last complete event; buffer the rest."""
+        if self._incomplete or not chunk.endswith(EVENT_END):
+            chunk = self._take_complete(chunk)
+            if not chunk:
+                return chunk
+        self._recent.append(chunk)
+        if len(self._recent) >= MAX_RECENT_CHUNKS:
+            self._count_recent()
+        if chunk.endswith(DONE_EVENT):
             self.whole = True
-        return piece
+        return chunk
 
-    def _cut(self, piece: bytes) -> bytes:
-        """Return what completes events, and hold the rest back."""
-        data = self._rest + piece
-        cut = data.rfind(END_OF_EVENT)
+    def _take_complete(self, chunk: bytes) -> bytes:
+        """Split buffered and new bytes after the last complete event; buffer the rest."""
+        data = self._incomplete + chunk
+        cut = data.rfind(EVENT_END)
         if cut < 0:
-            self._rest = data
+            self._incomplete = data
             return b""
-        cut += len(END_OF_EVENT)
-        self._rest = data[cut:]
+        cut += len(EVENT_END)
+        self._incomplete = data[cut:]
         return data[:cut]
 
-    def _fold(self) -> None:
-        """Count the recent pieces, and keep their bytes if wanted. Not done for each piece: it
-        is needed only where a stream breaks."""
+    def _count_recent(self) -> None:
+        """Count the events of the recent chunks, and keep their bytes if `keep` is set.
+
+        Deferred to save time for each chunk: the count is needed only if a stream breaks.
+        """
         recent = b"".join(self._recent)
         self._recent.clear()
-        self._counted += recent.count(END_OF_EVENT)
+        self._counted += recent.count(EVENT_END)
         if self.keep:
             self._kept += recent
-            self.keep = len(self._kept) <= KEPT_BYTES
+            self.keep = len(self._kept) <= MAX_KEPT_BYTES
 
     @property
     def events(self) -> int:
-        """How many events were relayed."""
-        self._fold()
+        """Number of events relayed, over all runs."""
+        self._count_recent()
         return self._counted
 
     @property
-    def events_of_run(self) -> int:
-        """How many events of the present run were relayed: the offset to resume it at."""
-        return self.events - self._run_start
+    def events_in_run(self) -> int:
+        """Number of events relayed of the current run: the offset at which to resume it."""
+        return self.events - self._events_before_run
 
     def start_run(self) -> None:
-        """Note that another engine goes on after what was relayed."""
-        self._run_start = self.events
+        """Start counting a new run: another engine continues after the events relayed."""
+        self._events_before_run = self.events
 
-    def drop_rest(self) -> None:
-        """Forget an event of which only a part came."""
-        self._rest = b""
+    def drop_incomplete_event(self) -> None:
+        """Discard an event that was received only in part."""
+        self._incomplete = b""
 
     def relayed(self) -> bytes | None:
-        """Return all that was relayed, or None if it was too much to keep."""
-        self._fold()
+        """Return all relayed bytes, or None if they were not kept or exceed the limit."""
+        self._count_recent()
         return self._kept if self.keep else None
 
 
 def text_so_far(relayed: bytes) -> str:
-    """Return the text of the answer within relayed events.
+    """Return the text that relayed events of an answer contain.
 
     Examples
     --------
@@ -117,14 +125,14 @@
     'Dear'
     """
     parts = []
-    for event in relayed.split(END_OF_EVENT):
-        if not event.startswith(DATA) or event + END_OF_EVENT == DONE:
+    for event in relayed.split(EVENT_END):
+        if not event.startswith(DATA_PREFIX) or event + EVENT_END == DONE_EVENT:
             continue
-        for choice in orjson.loads(event[len(DATA) :]).get("choices", ()):
+        for choice in orjson.loads(event[len(DATA_PREFIX) :]).get("choices", ()):
             parts.append(choice.get("delta", {}).get("content") or choice.get("text") or "")
     return "".join(parts)
 
 
 def error_event(error: dict) -> bytes:
-    """Return the event that ends a stream which cannot be completed."""
-    return DATA + orjson.dumps({"error": error}) + END_OF_EVENT
+    """Return the event that reports the error of a stream that cannot be completed."""
+    return DATA_PREFIX + orjson.dumps({"error": error}) + EVENT_END
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -1,7 +1,8 @@
-"""Runs a model request to its end: choose a replica, send, resume, retry, give up.
+"""Runs a model request to its end: choose a replica, send, resume, retry or fail.
 
-Owns the attempts under way, which are abandoned when their replica has not been whole for too long.
-Relies on the gate for replicas, on `RequestLife` for what is allowed, on the budget for how often.
+Owns the running attempts, and abandons those whose replica has been incomplete for too long. The
+gate chooses replicas, `RequestLife` decides which steps are allowed, and the retry budget limits
+the number of attempts.
 """
 
 import asyncio
@@ -32,33 +33,32 @@
 
 _LOG = logging.getLogger("ferrydock.requests")
 
-# Replicas that one request may be sent to. The budget limits retries sooner under load. Chosen, not
-# measured.
+# Attempts per request, each on a chosen replica. Under load the retry budget allows fewer.
 MAX_ATTEMPTS = 6
 
-# How often a stream that broke is resumed at the same engine. Chosen, not measured.
+# How often a broken stream is resumed on the same engine.
 MAX_RESUMES = 2
 
-# How long a broken attempt waits until it is known whether its engine's process has ended: as long
-# as one look takes. A pause follows in any case. Chosen, not measured.
-LOOK_WITHIN_S = 0.15
+# How long a broken attempt waits for the check whether its engine's process has ended: as long as
+# one check takes. A retry is delayed by its back-off in any case.
+CRASH_CHECK_TIMEOUT_S = 0.15
 
-# Pause between two looks whether the replicas of all attempts are whole. Chosen, not measured.
-WATCH_S = 0.25
+# How often the replicas of all running attempts are checked for missing members.
+REPLICA_CHECK_INTERVAL_S = 0.25
 
-# How long a replica may be without a member before its attempts are abandoned: briefly if the
-# request may run again, long if not, since the member may return. Chosen, not measured.
-BROKEN_REPEATABLE_S = 3.0
-BROKEN_ONCE_S = 60.0
+# How long a replica may lack a member before its attempts are abandoned: short if the request may
+# run again, long if it may not, since the member may return.
+ABANDON_REPEATABLE_AFTER_S = 3.0
+ABANDON_UNREPEATABLE_AFTER_S = 60.0
 
-# How long a request whose stream was cut waits for another replica, at least: the caller has half
-# an answer, and a repair takes some seconds. Chosen, not measured.
-CONTINUE_WAIT_S = 30.0
+# Minimum queue time limit for a request whose stream was interrupted: the caller has part of the
+# answer, and repairing a replica takes some seconds.
+MIN_CONTINUATION_WAIT_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The caller has, or will get, the whole answer."""
+    """The request ended with a complete answer, which was or will be sent to the caller."""
 
     answer: Answered | Streamed
     replica_id: str
@@ -66,36 +66,36 @@
 
 @dataclass(frozen=True, slots=True)
 class GaveUp:
-    """There is no whole answer; `run` says whether the request ran, as far as known."""
+    """The request ended without a complete answer; `run` says whether it ran."""
 
     reason: str
     run: Run
 
 
 @dataclass(eq=False, slots=True)
-class _Watched:
-    """An attempt, and since when its replica has not been whole."""
+class _WatchedAttempt:
+    """A running attempt, and the time since which its replica is incomplete (None: complete)."""
 
     attempt: Attempt
-    patience_s: float
-    broken_since_s: float | None = None
+    abandon_after_s: float
+    incomplete_since_s: float | None = None
 
 
 class RequestExecutor:
-    """Runs model requests on this hall's replicas.
+    """Runs model requests on the replicas of this hall.
 
     Parameters
     ----------
     gate : ReplicaGate
-        Chooses replicas; knows placement, attestations, the table and the replicas' loads.
+        Chooses replicas; provides placement, attestations, the table and the replicas' loads.
     client : EngineClient
-        Data side of the engines.
+        Sends requests to engines.
     control : EngineControl
-        Cancels.
+        Cancels requests at engines.
     random_source : random.Random
-        For the jitter of retries.
+        Source of the jitter of retries.
     stop_limit : StopLimit
-        Ends the requests that are left once the daemon's time to stop is over.
+        Ends the requests that still run at the time limit of the daemon's stop.
     """
 
     __slots__ = (
@@ -133,7 +133,7 @@
         self.budget = RetryBudget(DEFAULT_RETRY_RATIO)
         self.crashes = CrashHistory(self.clock)
         self.probe = TargetProbe()
-        self._watched: set[_Watched] = set()
+        self._watched: set[_WatchedAttempt] = set()
         self._tasks: set[asyncio.Task] = set()
 
     async def run(
@@ -148,77 +148,77 @@
         Parameters
         ----------
         request : ModelRequest
-            What to run.
+            The request to run.
         caller : Caller
-            Gets the stream.
+            Receives the stream.
         life : RequestLife
-            Keeps whether it may run again and what its caller may be told.
+            Tracks whether the request may run again, and whether it ran.
         weight : float
-            The team's weight in queues.
+            Weight of the team in the queues.
 
         Returns
         -------
         Ended or NotRun or GaveUp
         """
-        run = _Run(self, request, caller, life, weight)
+        run = _RequestRun(self, request, caller, life, weight)
         try:
             async with self.stop_limit.hold():
-                return await run.to_end()
+                return await run.run_to_end()
         except DaemonStopping:
             return run.end_by_stop()
         except (asyncio.CancelledError, CallerLeft):
             run.cancel_at_engine()
             raise
 
-    # The watchdog -------------------------------------------------------------------------
+    # Abandoning attempts ------------------------------------------------------------------
 
     async def watch(self) -> None:
-        """Abandon attempts whose replica has not been whole for too long, until the daemon ends."""
+        """Periodically abandon attempts whose replica has been incomplete for too long."""
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(REPLICA_CHECK_INTERVAL_S)
             self.crashes.tidy()
-            self.look_after(self.clock.now_s())
+            self.check_attempts(self.clock.now_s())
 
-    def look_after(self, now_s: float) -> None:
-        """Check every attempt once."""
+    def check_attempts(self, now_s: float) -> None:
+        """Abandon each attempt whose replica has been incomplete for too long at `now_s`."""
         for watched in list(self._watched):
             replica = watched.attempt.replica
             if self.state.attestations.whole(replica, now_s):
-                watched.broken_since_s = None
-            elif watched.broken_since_s is None:
-                watched.broken_since_s = now_s
-            elif now_s - watched.broken_since_s > watched.patience_s:
+                watched.incomplete_since_s = None
+            elif watched.incomplete_since_s is None:
+                watched.incomplete_since_s = now_s
+            elif now_s - watched.incomplete_since_s > watched.abandon_after_s:
                 watched.attempt.abandon("a member of the replica is missing")
 
-    def watch_attempt(self, attempt: Attempt, patience_s: float) -> _Watched:
-        """Watch an attempt's replica from now on."""
-        watched = _Watched(attempt, patience_s)
+    def watch_attempt(self, attempt: Attempt, abandon_after_s: float) -> _WatchedAttempt:
+        """Start checking the replica of an attempt."""
+        watched = _WatchedAttempt(attempt, abandon_after_s)
         self._watched.add(watched)
         return watched
 
-    def unwatch(self, watched: _Watched) -> None:
-        """Stop watching an attempt's replica."""
+    def unwatch_attempt(self, watched: _WatchedAttempt) -> None:
+        """Stop checking the replica of an attempt."""
         self._watched.discard(watched)
 
-    def cancel_later(self, replica: Replica, request_id: str) -> None:
-        """Tell an engine that the caller has left, without waiting for the answer."""
+    def cancel_in_background(self, replica: Replica, request_id: str) -> None:
+        """Cancel a request at its engine in a background task."""
         self.spawn(self.control.cancel(replica.head.url, request_id))
 
     def spawn(self, coroutine) -> asyncio.Task:
-        """Run a coroutine beside the requests."""
+        """Run a coroutine in a background task, which `close` waits for."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def close(self) -> None:
-        """Wait for cancellations that are under way."""
+        """Close the probe and wait for the background tasks."""
         await self.probe.close()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-class _Run:
-    """One request on its way."""
+class _RequestRun:
+    """The execution of one request, over all its attempts."""
 
     __slots__ = (
         "admitted_s",
@@ -251,23 +251,25 @@
         self.admitted_s = self.started_s
         self.identity = request_identity("POST", "", request.path, request.team, request.body)
 
-    async def to_end(self) -> Ended | NotRun | GaveUp:
-        """Attempt until there is a whole answer, or no further attempt is allowed."""
-        again_s = self.executor.crashes.admit(self.identity)
-        if again_s > 0:
-            return self._no_replica(NotRun(CRASHES_TARGETS, "it crashed its engines", again_s))
+    async def run_to_end(self) -> Ended | NotRun | GaveUp:
+        """Make attempts until one gives a complete answer or no further attempt is allowed."""
+        retry_after_s = self.executor.crashes.admit(self.identity)
+        if retry_after_s > 0:
+            return self._end_without_replica(
+                NotRun(CRASHES_TARGETS, "it crashed its engines", retry_after_s)
+            )
         self.executor.budget.first_attempt()
         while True:
             self.life.queue()
             chosen = await self._choose()
             if isinstance(chosen, NotRun):
-                return self._no_replica(chosen)
+                return self._end_without_replica(chosen)
             sent_s = self.executor.clock.now_s()
             outcome = await self._attempt(chosen)
             if isinstance(outcome, Answered | Streamed):
-                return self._finished(outcome, chosen)
+                return self._record_success(outcome, chosen)
             if isinstance(outcome, Refused):
-                self._take_back(outcome, chosen)
+                self._undo_dispatch(outcome, chosen)
             else:
                 self.life.lose_contact()
                 log_event(
@@ -278,54 +280,54 @@
                     replica=chosen.replica.replica_id,
                     why=outcome.reason,
                 )
-                await self._look_for_a_crash(chosen.replica, sent_s)
+                await self._check_for_crash(chosen.replica, sent_s)
                 if self.executor.crashes.is_known_since(self.identity, self.admitted_s):
                     return GaveUp(CRASHES_TARGETS, self.life.give_up())
-            stop = await self._before_retry(outcome)
-            if stop is not None:
-                return stop
+            final_outcome = await self._prepare_retry(outcome)
+            if final_outcome is not None:
+                return final_outcome
 
-    async def _look_for_a_crash(self, replica: Replica, sent_s: float) -> None:
-        """Note a crash if the process of a replica's head has ended under this request.
+    async def _check_for_crash(self, replica: Replica, sent_s: float) -> None:
+        """Record a crash if the process of the replica's head ended during this request.
 
-        Only what this daemon sees counts here: daemons do not tell each other.
+        Only crashes that this daemon observes count; daemons do not exchange them.
         """
         executor = self.executor
         ended_s = executor.clock.now_s()
         address = replica.head.url.split("://", 1)[1].split("/", 1)[0]
-        look = executor.probe.look(replica.head.url, address)
-        await asyncio.wait({look}, timeout=LOOK_WITHIN_S)
-        if look.done() and not look.cancelled() and look.result() is TargetPresence.GONE:
+        check = executor.probe.look(replica.head.url, address)
+        await asyncio.wait({check}, timeout=CRASH_CHECK_TIMEOUT_S)
+        if check.done() and not check.cancelled() and check.result() is TargetPresence.GONE:
             executor.crashes.note_crash(self.identity, replica.head.url, sent_s, ended_s)
 
     async def _choose(self) -> Candidate | NotRun:
         wait_s = existing(self.executor.state.keeper.view, "the table in force").site.queue_wait_s
         if self.relay.events:
-            wait_s = max(wait_s, CONTINUE_WAIT_S)
+            wait_s = max(wait_s, MIN_CONTINUATION_WAIT_S)
         return await self.executor.gate.choose(self.request, self.excluded, self.weight, wait_s)
 
-    def _no_replica(self, refusal: NotRun) -> NotRun | GaveUp:
+    def _end_without_replica(self, refusal: NotRun) -> NotRun | GaveUp:
         run = self.life.give_up()
         if run is Run.NOT_RUN and not self.relay.events:
             return refusal
         return GaveUp(f"lost contact, and then {refusal.reason}", Run.UNKNOWN)
 
     def end_by_stop(self) -> NotRun | GaveUp:
-        """End a request that is left when this daemon's time to stop is over."""
+        """End a request that still runs at the time limit of the daemon's stop."""
         if self.life.give_up() is Run.NOT_RUN and not self.relay.events:
             return NotRun(STOPPING)
         self.cancel_at_engine()
         return GaveUp(STOPPING, Run.UNKNOWN)
 
-    # One replica --------------------------------------------------------------------------
+    # One attempt --------------------------------------------------------------------------
 
     async def _attempt(self, chosen: Candidate) -> Answered | Streamed | Refused | Broken:
-        """Send to one replica; resume there as long as the engine goes on."""
+        """Send the request to one replica; resume a broken stream on the same engine."""
         executor = self.executor
         self.attempts += 1
         self.replica = chosen.replica
-        flight = executor.loads.sent(chosen.replica, self.request.blocks, executor.clock.now_s())
-        self.caller.on_first = lambda: self._first_event(flight)
+        in_flight = executor.loads.sent(chosen.replica, self.request.blocks, executor.clock.now_s())
+        self.caller.on_first = lambda: self._note_first_event(in_flight)
         try:
             self.life.dispatch()
             outcome = await self._send(chosen.replica, resume=False)
@@ -341,34 +343,36 @@
                 outcome = resumed
             return outcome
         finally:
-            executor.loads.ended(flight)
+            executor.loads.ended(in_flight)
             executor.gate.wake(self.request.model)
 
-    def _first_event(self, flight: Flight) -> None:
+    def _note_first_event(self, in_flight: Flight) -> None:
         self.life.first_byte()
-        self.executor.loads.first_token(flight, self.executor.clock.now_s())
+        self.executor.loads.first_token(in_flight, self.executor.clock.now_s())
 
     async def _send(self, replica: Replica, resume: bool):
         executor = self.executor
         attempt = Attempt(replica)
-        patience_s = BROKEN_REPEATABLE_S if self.request.repeatable else BROKEN_ONCE_S
-        watched = executor.watch_attempt(attempt, patience_s)
+        abandon_after_s = (
+            ABANDON_REPEATABLE_AFTER_S if self.request.repeatable else ABANDON_UNREPEATABLE_AFTER_S
+        )
+        watched = executor.watch_attempt(attempt, abandon_after_s)
         body = None if resume else self.body
         try:
             return await executor.client.send(
                 self.request, attempt, self.relay, self.caller, resume, body
             )
         finally:
-            executor.unwatch(watched)
+            executor.unwatch_attempt(watched)
 
-    def _finished(self, outcome: Answered | Streamed, chosen: Candidate) -> Ended:
+    def _record_success(self, outcome: Answered | Streamed, chosen: Candidate) -> Ended:
         self.life.finish()
         self.executor.crashes.note_answer(self.identity)
         took_s = self.executor.clock.now_s() - self.started_s
-        self.executor.gate.note_service(self.request.model, took_s)
+        self.executor.gate.update_service_time(self.request.model, took_s)
         return Ended(outcome, chosen.replica.replica_id)
 
-    def _take_back(self, refused: Refused, chosen: Candidate) -> None:
+    def _undo_dispatch(self, refused: Refused, chosen: Candidate) -> None:
         self.life.take_back()
         self.excluded.add(chosen.replica.generation)
         if refused.stale or not refused.connected:
@@ -376,32 +380,33 @@
                 chosen.replica.replica_id, chosen.replica.generation
             )
 
-    async def _before_retry(self, outcome: Refused | Broken) -> NotRun | GaveUp | None:
+    async def _prepare_retry(self, outcome: Refused | Broken) -> NotRun | GaveUp | None:
         """Return the final outcome, or None once another attempt may begin.
 
-        Rule: not if it may have run and must not run twice; not if the caller has part of a stream
-        that cannot go on elsewhere; not after the deadline, beyond `MAX_ATTEMPTS` or without
-        budget. After contact was lost, and from the second attempt on, there is a random pause.
+        No further attempt is made if the request may have run and must not run twice, if the caller
+        has part of a stream that cannot be continued on another engine, after the deadline, beyond
+        `MAX_ATTEMPTS`, or without retry budget. After a broken attempt, and from the second attempt
+        on, a back-off with jitter precedes the retry.
         """
         if not self.life.may_run_again:
             return GaveUp(outcome.reason, self.life.give_up())
-        if isinstance(outcome, Broken) and self.relay.events and not self._continue_elsewhere():
+        if isinstance(outcome, Broken) and self.relay.events and not self._prepare_continuation():
             return GaveUp(outcome.reason, self.life.give_up())
-        late = self.executor.clock.now_s() >= self.request.deadline_s
-        if late or self.attempts >= MAX_ATTEMPTS or not self.executor.budget.spend():
+        deadline_passed = self.executor.clock.now_s() >= self.request.deadline_s
+        if deadline_passed or self.attempts >= MAX_ATTEMPTS or not self.executor.budget.spend():
             run = self.life.give_up()
             if run is Run.NOT_RUN:
-                after_s = self.executor.gate.retry_after_s(
+                retry_after_s = self.executor.gate.retry_after_s(
                     self.request.model, self.request.priority
                 )
-                return NotRun("refused_by_target", outcome.reason, after_s)
+                return NotRun("refused_by_target", outcome.reason, retry_after_s)
             return GaveUp(outcome.reason, run)
         if isinstance(outcome, Broken) or self.attempts > 1:
             await asyncio.sleep(backoff_s(self.attempts, self.executor.random_source))
         return None
 
-    def _continue_elsewhere(self) -> bool:
-        """Let the next engine go on after the text that the caller already has, if it was kept."""
+    def _prepare_continuation(self) -> bool:
+        """Have the next engine continue the text that the caller has; return False if not kept."""
         relayed = self.relay.relayed()
         if relayed is None:
             return False
@@ -412,6 +417,6 @@
         return True
 
     def cancel_at_engine(self) -> None:
-        """Free the engine's slot: nobody takes the answer any more."""
+        """Cancel the request at its engine to free the slot, as no caller waits for the answer."""
         if self.replica is not None:
-            self.executor.cancel_later(self.replica, self.request.request_id)
+            self.executor.cancel_in_background(self.replica, self.request.request_id)
--- a/ferrydock/requests/_lifecycle.py
+++ b/ferrydock/requests/_lifecycle.py
@@ -1,7 +1,7 @@
-"""Rule: whether a request may be sent again, and what its caller may be told about whether it ran.
+"""Lifecycle of one request: whether it may be sent again, and whether it ran.
 
-A state machine of one request; owns its phase. A step that the machine does not allow is a broken
-invariant.
+A state machine that owns the phase of the request. A transition that is not allowed raises
+AssertionError: it is a fault of the calling code.
 """
 
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class RequestPhase(StrEnum):
-    """Where a request is."""
+    """Phase of a request."""
 
     ACCEPTED = "accepted"
     QUEUED = "queued"
@@ -21,7 +21,7 @@
     ENDED = "ended"
 
 
-_NEXT = {
+_ALLOWED_NEXT = {
     RequestPhase.ACCEPTED: {RequestPhase.QUEUED, RequestPhase.ENDED},
     RequestPhase.QUEUED: {RequestPhase.DISPATCHED, RequestPhase.ENDED},
     RequestPhase.DISPATCHED: {RequestPhase.QUEUED, RequestPhase.FIRST_BYTE, RequestPhase.ENDED},
@@ -31,18 +31,18 @@
 
 
 class RequestLife:
-    """Phase of a request, and whether it ran as far as can be known.
+    """Phase of a request, and whether it ran, may have run or did not run.
 
     Parameters
     ----------
     repeatable : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
 
     Notes
     -----
-    A request is `not_run` as long as no byte of it has left towards a target, and again after a
-    target has stated that it did not run it. From the first byte sent without such a statement it
-    is `unknown`; with the target's whole answer it has `ran`.
+    A request is `not_run` until a byte of it is sent to a target, and again once the target states
+    that it did not run the request. After a byte was sent without such a statement it is
+    `unknown`; after the target's complete answer it is `ran`.
 
     Examples
     --------
@@ -52,12 +52,12 @@
     (<Run.UNKNOWN: 'unknown'>, False)
     """
 
-    __slots__ = ("_doubt", "_ran", "phase", "repeatable")
+    __slots__ = ("_may_have_run", "_ran", "phase", "repeatable")
 
     def __init__(self, repeatable: bool):
         self.repeatable = repeatable
         self.phase = RequestPhase.ACCEPTED
-        self._doubt = False
+        self._may_have_run = False
         self._ran = False
 
     @property
@@ -65,62 +65,65 @@
         """Whether the request ran."""
         if self._ran:
             return Run.RAN
-        in_doubt = self._doubt or self.phase in (RequestPhase.DISPATCHED, RequestPhase.FIRST_BYTE)
-        return Run.UNKNOWN if in_doubt else Run.NOT_RUN
+        is_unknown = self._may_have_run or self.phase in (
+            RequestPhase.DISPATCHED,
+            RequestPhase.FIRST_BYTE,
+        )
+        return Run.UNKNOWN if is_unknown else Run.NOT_RUN
 
     @property
     def may_run_again(self) -> bool:
-        """Whether it may be sent to a target now: it is repeatable, or certainly did not run."""
+        """Whether it may be sent to a target: it is repeatable, or certainly did not run."""
         return self.repeatable or self.run is Run.NOT_RUN
 
-    def _move(self, phase: RequestPhase) -> None:
-        if phase not in _NEXT[self.phase]:
-            raise AssertionError(f"a request cannot go from {self.phase} to {phase}")
+    def _move_to(self, phase: RequestPhase) -> None:
+        if phase not in _ALLOWED_NEXT[self.phase]:
+            raise AssertionError(f"invalid transition of a request: {self.phase} to {phase}")
         self.phase = phase
 
     def queue(self) -> None:
-        """Begin to wait for a target."""
+        """Enter the queue for a target; no change if it is there already."""
         if self.phase is not RequestPhase.QUEUED:
-            self._move(RequestPhase.QUEUED)
+            self._move_to(RequestPhase.QUEUED)
 
     def dispatch(self) -> None:
-        """Bytes are about to leave towards a target."""
+        """Note that the request is about to be sent to a target."""
         if not self.may_run_again:
-            raise AssertionError("a request that is not repeatable would be sent twice")
-        self._move(RequestPhase.DISPATCHED)
+            raise AssertionError("a request that is not repeatable may not be sent twice")
+        self._move_to(RequestPhase.DISPATCHED)
 
     def take_back(self) -> None:
-        """The target said that it did not run it, or no byte had left."""
+        """Undo a dispatch: the target did not run the request, or no byte was sent."""
         if self.phase is not RequestPhase.DISPATCHED:
-            raise AssertionError(f"a request that is {self.phase} cannot be taken back")
-        self._move(RequestPhase.QUEUED)
+            raise AssertionError(f"the dispatch of a request that is {self.phase} cannot be undone")
+        self._move_to(RequestPhase.QUEUED)
 
     def lose_contact(self) -> None:
-        """The target may have run it, or may still."""
-        self._doubt = True
+        """Note that contact was lost: the target may have run the request or still run it."""
+        self._may_have_run = True
         if self.phase is RequestPhase.DISPATCHED:
-            self._move(RequestPhase.QUEUED)
+            self._move_to(RequestPhase.QUEUED)
 
     def resume(self) -> None:
-        """Ask the same engine for the rest of the same run."""
+        """Return to the dispatched phase to continue the same run on the same engine."""
         if self.phase is RequestPhase.FIRST_BYTE:
-            self._move(RequestPhase.DISPATCHED)
+            self._move_to(RequestPhase.DISPATCHED)
 
     def first_byte(self) -> None:
-        """The target has begun to answer."""
+        """Note that the target has begun to answer."""
         if self.phase is RequestPhase.DISPATCHED:
-            self._move(RequestPhase.FIRST_BYTE)
+            self._move_to(RequestPhase.FIRST_BYTE)
 
     def finish(self) -> None:
-        """The target's whole answer is there."""
-        self._move(RequestPhase.ENDED)
+        """End the request: the target's complete answer was received."""
+        self._move_to(RequestPhase.ENDED)
         self._ran = True
-        self._doubt = False
+        self._may_have_run = False
 
     def give_up(self) -> Run:
-        """End without a whole answer; return what the caller may be told."""
+        """End the request without a complete answer; return whether it ran."""
         run = self.run
-        self._doubt = run is Run.UNKNOWN
+        self._may_have_run = run is Run.UNKNOWN
         if self.phase is not RequestPhase.ENDED:
-            self._move(RequestPhase.ENDED)
+            self._move_to(RequestPhase.ENDED)
         return run
--- a/ferrydock/requests/_model_request.py
+++ b/ferrydock/requests/_model_request.py
@@ -1,6 +1,6 @@
-"""A caller's request for a model in the OpenAI shape, checked and typed.
+"""Parsing and validation of model requests in the format of the OpenAI API.
 
-Stateless. Every fault of a body is named with its field.
+Stateless. Every fault found in a request body is reported with the name of its field.
 """
 
 from dataclasses import dataclass
@@ -12,41 +12,41 @@
 
 __all__ = ["ModelRequest", "parse_model_request"]
 
-# Largest number of tokens that a caller may ask for; no engine writes more. Chosen, not measured.
-LARGEST_TOKENS = 1_000_000
+# Largest token limit that a caller may set; no engine generates more.
+MAX_TOKENS = 1_000_000
 
-# Tokens assumed of a caller who does not say how many it wants, and tokens counted for a block of
-# the prompt, for sharing between teams. Chosen, not measured.
-ASSUMED_TOKENS = 256
+# Cost estimate for sharing between teams: output tokens assumed for a request without a token
+# limit, and tokens counted for each block of its prompt.
+ASSUMED_OUTPUT_TOKENS = 256
 TOKENS_PER_BLOCK = 16.0
 
 
 @dataclass(slots=True)
 class ModelRequest:
-    """A checked request.
+    """A validated model request.
 
     Attributes
     ----------
     request_id : str
-        Follows the request through logs and targets.
+        Identifies the request in logs and at targets.
     path : str
         ``/v1/chat/completions`` or ``/v1/completions``.
     body : bytes
-        The JSON body as it came.
+        The JSON body as received.
     fields : dict
-        The same, parsed.
+        The parsed body.
     stream : bool
-        Whether the answer shall come as server-sent events.
+        Whether the caller wants the answer as server-sent events.
     blocks : tuple of int
         Chained hashes of the prompt's blocks.
     repeatable : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     key : str
         Idempotency key; empty without one.
     deadline_s : float
-        Local time after which the caller no longer wants an answer.
+        Time on the local clock after which the caller does not need the answer.
     hops : int
-        How often the request was handed on to another hall.
+        How often the request was forwarded to another hall.
     """
 
     request_id: str
@@ -65,13 +65,13 @@
 
     @property
     def cost(self) -> float:
-        """Expected work, in tokens, for sharing."""
-        named = self.fields.get("max_tokens") or self.fields.get("max_completion_tokens")
-        return float(named or ASSUMED_TOKENS) + TOKENS_PER_BLOCK * len(self.blocks)
+        """Estimated work in tokens, for sharing between teams."""
+        output_tokens = self.fields.get("max_tokens") or self.fields.get("max_completion_tokens")
+        return float(output_tokens or ASSUMED_OUTPUT_TOKENS) + TOKENS_PER_BLOCK * len(self.blocks)
 
 
 def parse_model_request(raw: bytes, chat: bool) -> dict | Invalid:
-    """Return the fields of a request body, or every fault found in it."""
+    """Return the fields of a request body, or all faults found in it."""
     try:
         fields = orjson.loads(raw)
     except orjson.JSONDecodeError as error:
@@ -85,13 +85,13 @@
         faults.append(Fault("stream", "must be true or false"))
     for name in ("max_tokens", "max_completion_tokens"):
         value = fields.get(name)
-        if value is not None and not (type(value) is int and 1 <= value <= LARGEST_TOKENS):
-            faults.append(Fault(name, f"must be a whole number from 1 to {LARGEST_TOKENS}"))
-    faults += _chat_faults(fields) if chat else _prompt_faults(fields)
+        if value is not None and not (type(value) is int and 1 <= value <= MAX_TOKENS):
+            faults.append(Fault(name, f"must be a whole number from 1 to {MAX_TOKENS}"))
+    faults += _find_message_faults(fields) if chat else _find_prompt_faults(fields)
     return Invalid(tuple(faults)) if faults else fields
 
 
-def _chat_faults(fields: dict) -> list[Fault]:
+def _find_message_faults(fields: dict) -> list[Fault]:
     messages = fields.get("messages")
     if not isinstance(messages, list) or not messages:
         return [Fault("messages", "must be a list with at least one message")]
@@ -103,7 +103,7 @@
     return faults
 
 
-def _prompt_faults(fields: dict) -> list[Fault]:
+def _find_prompt_faults(fields: dict) -> list[Fault]:
     prompt = fields.get("prompt")
     texts = prompt if isinstance(prompt, list) else [prompt]
     if not texts or not all(isinstance(text, str) for text in texts):
@@ -112,7 +112,7 @@
 
 
 def prompt_blocks(fields: dict) -> tuple[int, ...]:
-    """Return the blocks of the prompt within checked fields."""
+    """Return the chained block hashes of the prompt in validated fields."""
     if "messages" not in fields:
         prompt = fields["prompt"]
         return prefix_blocks(prompt if isinstance(prompt, str) else "\n".join(prompt))
--- a/ferrydock/requests/tests/test_attempt.py
+++ b/ferrydock/requests/tests/test_attempt.py
@@ -1,4 +1,4 @@
-"""Ending one attempt from outside."""
+"""Abandoning an attempt from another task."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 LIMIT_S = 10.0
 
 
-def test_an_attempt_that_is_abandoned_at_the_moment_of_the_daemons_end_does_not_go_on():
-    """Taken for abandoned, it would go on without a limit and be cut by the listener's end."""
+def test_a_request_ends_if_the_daemon_stops_while_its_attempt_is_abandoned():
+    """If the stop were mistaken for an abandoned attempt, the request would run without a limit."""
     limit, attempt = StopLimit(), Attempt(None)
 
     async def attempt_once():
@@ -39,7 +39,7 @@
     asyncio.run(check())
 
 
-def test_an_attempt_that_is_only_abandoned_lets_its_request_go_on():
+def test_a_request_continues_after_its_attempt_was_abandoned():
     attempt = Attempt(None)
 
     async def request():
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A model request that crashes its engines costs three of them, however often it comes."""
+"""A model request that crashes its engines is refused after three crashes."""
 
 import asyncio
 import random
@@ -14,8 +14,8 @@
 from .._attempt import Broken
 
 
-class Clock(ManualClock):
-    """A clock that moves a little with every look."""
+class AdvancingClock(ManualClock):
+    """A clock that advances by 10 ms at each reading."""
 
     def now_s(self):
         self.advance(0.01)
@@ -23,10 +23,10 @@
 
 
 class Engines:
-    """Fakes of the gate and the client, before engines whose processes end under a request."""
+    """Fakes of the gate and the client; the engines' processes end during a request."""
 
     def __init__(self, port, is_gone=True):
-        self.clock = Clock(100.0)
+        self.clock = AdvancingClock(100.0)
         self.port = port
         self.sent = 0
         self.answers = False
@@ -53,27 +53,27 @@
     def wake(self, model):
         return None
 
-    def note_service(self, model, took_s):
+    def update_service_time(self, model, took_s):
         return None
 
 
-def executor_before(engines):
+def make_executor(engines):
     executor = RequestExecutor(engines, engines, EngineControl, random.Random(1), StopLimit())
     executor.budget.limit(1000)
     executor.budget._saved = 1000
     return executor
 
 
-def request(body=b"hi", repeatable=True):
+def make_request(body=b"hi", repeatable=True):
     return ModelRequest(
         "id", "acme", "m", "/v1/completions", body, {}, False, (), 5, repeatable, "", 1e9
     )
 
 
 async def run(executor, **options):
-    wanted = request(**options)
-    life = RequestLife(wanted.repeatable)
-    return await executor.run(wanted, SimpleNamespace(on_first=None), life, 1.0)
+    request = make_request(**options)
+    life = RequestLife(request.repeatable)
+    return await executor.run(request, SimpleNamespace(on_first=None), life, 1.0)
 
 
 @pytest.fixture
@@ -92,10 +92,10 @@
     return asyncio.run(open_and_close())
 
 
-def test_after_three_engines_it_is_refused_and_others_run(no_pause, closed_port):
+def test_a_request_is_refused_after_three_crashes_and_others_run(no_pause, closed_port):
     async def check():
         engines = Engines(closed_port)
-        executor = executor_before(engines)
+        executor = make_executor(engines)
         outcome = await run(executor)
         assert isinstance(outcome, GaveUp) and outcome.reason == "crashes_targets"
         assert engines.sent == 3
@@ -110,10 +110,10 @@
     asyncio.run(check())
 
 
-def test_one_that_may_run_once_is_refused_at_its_fourth_try(no_pause, closed_port):
+def test_a_request_that_is_not_repeatable_is_refused_after_three_crashes(no_pause, closed_port):
     async def check():
         engines = Engines(closed_port)
-        executor = executor_before(engines)
+        executor = make_executor(engines)
         for _ in range(3):
             assert isinstance(await run(executor, repeatable=False), GaveUp)
         assert isinstance(await run(executor, repeatable=False), NotRun)
@@ -123,11 +123,11 @@
     asyncio.run(check())
 
 
-def test_engines_that_go_on_are_no_crash(no_pause):
+def test_a_broken_answer_of_a_running_engine_is_no_crash(no_pause):
     async def check():
         server = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1", 0)
         engines = Engines(server.sockets[0].getsockname()[1])
-        executor = executor_before(engines)
+        executor = make_executor(engines)
         for _ in range(2):
             outcome = await run(executor)
             assert isinstance(outcome, GaveUp) and outcome.reason == "reset"
--- a/ferrydock/requests/tests/test_life_and_claims.py
+++ b/ferrydock/requests/tests/test_life_and_claims.py
@@ -1,4 +1,4 @@
-"""The life of a request against its rules, and claims against a naive reference."""
+"""Request lifecycle, relayed events, and claims against a reference implementation."""
 
 import asyncio
 import random
@@ -47,7 +47,7 @@
 @given(st.booleans(), st.lists(st.sampled_from(STEPS), max_size=12))
 def test_not_run_is_only_said_when_every_dispatch_was_taken_back(repeatable, steps):
     life = RequestLife(repeatable)
-    open_dispatches, ended_whole = 0, False
+    open_dispatches, finished = 0, False
     for step in steps:
         may_run_again = life.may_run_again
         try:
@@ -60,15 +60,15 @@
         elif step == "take_back":
             open_dispatches -= 1
         elif step == "finish":
-            ended_whole = True
+            finished = True
     if life.run is Run.NOT_RUN:
         assert open_dispatches == 0
-        assert not ended_whole
+        assert not finished
     if life.run is Run.RAN:
-        assert ended_whole
+        assert finished
 
 
-def test_a_not_repeatable_request_is_never_dispatched_into_doubt():
+def test_a_request_that_is_not_repeatable_is_not_sent_again_if_it_may_have_run():
     life = RequestLife(repeatable=False)
     life.queue()
     life.dispatch()
@@ -80,7 +80,7 @@
     assert life.phase is RequestPhase.ENDED
 
 
-def test_a_request_refused_by_its_target_may_go_elsewhere():
+def test_a_request_refused_by_its_target_may_be_sent_to_another():
     life = RequestLife(repeatable=False)
     life.queue()
     life.dispatch()
@@ -99,30 +99,30 @@
 
 
 @given(st.integers(0, 40), st.lists(st.integers(1, 60), max_size=60))
-def test_however_a_stream_is_cut_the_same_whole_events_come_out(count, sizes):
+def test_complete_events_are_relayed_for_any_chunk_sizes(count, sizes):
     whole = stream(count)
-    relay, out, at = EventRelay(keep=True), b"", 0
+    relay, relayed, offset = EventRelay(keep=True), b"", 0
     for size in [*sizes, len(whole)]:
-        ready = relay.feed(whole[at : at + size]) if at < len(whole) else b""
+        ready = relay.feed(whole[offset : offset + size]) if offset < len(whole) else b""
         assert not ready or ready.endswith(b"\n\n")
-        out += ready
-        at += size
-    assert out == whole
+        relayed += ready
+        offset += size
+    assert relayed == whole
     assert relay.whole
     assert relay.events == count + 1
     assert relay.relayed() == whole
     assert text_so_far(whole) == "".join(f"t{i} " for i in range(count))
 
 
-def test_a_cut_event_is_neither_relayed_nor_counted():
+def test_an_incomplete_event_is_neither_relayed_nor_counted():
     relay = EventRelay(keep=False)
     relay.feed(stream(2)[:70])
-    relay.drop_rest()
+    relay.drop_incomplete_event()
     assert relay.events == 1
     assert not relay.whole
 
 
-def test_an_error_event_does_not_look_like_the_end():
+def test_an_error_event_does_not_complete_a_stream():
     relay = EventRelay(keep=False)
     relay.feed(error_event({"message": "gone"}))
     assert not relay.whole
@@ -131,7 +131,7 @@
 # Claims ---------------------------------------------------------------------------------------
 
 
-def loads(store, name="d"):
+def claim_store(store, name="d"):
     return ClaimStore(store, ClaimWriter(store), ManualClock(), 3600.0, name)
 
 
@@ -139,132 +139,134 @@
     asyncio.run(check())
 
 
-def test_the_second_try_gets_the_recorded_end():
+def test_a_repeated_request_gets_the_recorded_answer():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
-        claim = await loads(store).open("t", "k", 9.0)
+        claim = await claim_store(store).open("t", "k", 9.0)
         assert isinstance(claim, Claim)
-        assert isinstance(await loads(store).open("t", "k", 9.0), ClaimUnfinished)
-        assert await loads(store).end(claim, 201, "text/plain", b"filed")
-        again = await loads(store).open("t", "k", 9.0)
-        assert isinstance(again, ClaimEnd)
-        assert (again.status, again.body) == (201, b"filed")
+        assert isinstance(await claim_store(store).open("t", "k", 9.0), ClaimUnfinished)
+        assert await claim_store(store).end(claim, 201, "text/plain", b"filed")
+        second = await claim_store(store).open("t", "k", 9.0)
+        assert isinstance(second, ClaimEnd)
+        assert (second.status, second.body) == (201, b"filed")
 
     run(check)
 
 
-def test_two_daemons_with_the_same_key_at_once_give_one_claim():
+def test_concurrent_daemons_with_the_same_key_create_one_claim():
     async def check():
         store = MemoryStore(ManualClock())
-        books = [loads(FaultyStore(store), f"d{i}") for i in range(5)]
-        found = await asyncio.gather(*(b.open("t", "k", 9.0) for b in books))
+        claim_stores = [claim_store(FaultyStore(store), f"d{i}") for i in range(5)]
+        found = await asyncio.gather(*(b.open("t", "k", 9.0) for b in claim_stores))
         assert sum(isinstance(f, Claim) for f in found) == 1
 
     run(check)
 
 
-def test_a_claim_with_a_lost_answer_is_read_back_as_ones_own():
+def test_a_claim_is_read_back_after_the_stores_reply_was_lost():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
         store.lose_answers = 1
-        assert isinstance(await loads(store).open("t", "k", 9.0), Claim)
+        assert isinstance(await claim_store(store).open("t", "k", 9.0), Claim)
 
     run(check)
 
 
-def test_without_the_store_nothing_is_claimed():
+def test_no_claim_is_created_while_the_store_is_unreachable():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
         store.down = True
-        assert isinstance(await loads(store).open("t", "k", 9.0), ClaimUnwritten)
+        assert isinstance(await claim_store(store).open("t", "k", 9.0), ClaimUnwritten)
 
     run(check)
 
 
-def test_a_claim_that_lands_after_it_was_given_up_is_withdrawn():
+def test_a_claim_written_after_it_was_abandoned_is_removed():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
-        mine = loads(store)
+        own_store = claim_store(store)
         store.lose_writes = 100
-        assert isinstance(await mine.open("t", "k", 9.0), ClaimUnwritten)
+        assert isinstance(await own_store.open("t", "k", 9.0), ClaimUnwritten)
         store.lose_writes = 0
         await store.deliver_late()
-        assert isinstance(await loads(store).open("t", "k", 9.0), ClaimUnfinished)
-        await mine.tidy()
-        assert isinstance(await loads(store).open("t", "k", 9.0), Claim)
+        assert isinstance(await claim_store(store).open("t", "k", 9.0), ClaimUnfinished)
+        await own_store.tidy()
+        assert isinstance(await claim_store(store).open("t", "k", 9.0), Claim)
 
     run(check)
 
 
-def test_claims_that_come_together_share_a_write():
+def test_concurrent_claims_share_a_transaction():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
-        mine = loads(store)
-        found = await asyncio.gather(*(mine.open("t", f"k{i}", 9.0) for i in range(40)))
+        own_store = claim_store(store)
+        found = await asyncio.gather(*(own_store.open("t", f"k{i}", 9.0) for i in range(40)))
         assert all(isinstance(f, Claim) for f in found)
-        assert mine.writer.groups <= 2
+        assert own_store.writer.groups <= 2
 
     run(check)
 
 
 def relaying(store, hall_writer, send=None):
-    async def hand_over(address, txn):
+    async def relay_claim(address, txn):
         return unpack_written(
             pack_written(await hall_writer.write(unpack_claim(pack_claim(txn)))), txn
         )
 
-    writer = RelayingClaimWriter(ClaimWriter(store), lambda: "hall", send or hand_over)
+    writer = RelayingClaimWriter(ClaimWriter(store), lambda: "hall", send or relay_claim)
     return ClaimStore(store, writer, ManualClock(), 3600.0, "d")
 
 
-def test_daemons_of_a_hall_share_writes_through_one_of_them():
+def test_daemons_of_a_hall_share_transactions_through_its_writer():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
         hall_writer = ClaimWriter(store)
-        books = [relaying(store, hall_writer) for _ in range(30)]
-        found = await asyncio.gather(*(b.open("t", f"k{i}", 9.0) for i, b in enumerate(books)))
+        claim_stores = [relaying(store, hall_writer) for _ in range(30)]
+        found = await asyncio.gather(
+            *(b.open("t", f"k{i}", 9.0) for i, b in enumerate(claim_stores))
+        )
         assert all(isinstance(f, Claim) for f in found)
         assert hall_writer.groups <= 3
         ended = await asyncio.gather(
-            *(b.end(f, 200, "text/plain", b"x") for b, f in zip(books, found, strict=True))
+            *(b.end(f, 200, "text/plain", b"x") for b, f in zip(claim_stores, found, strict=True))
         )
         assert all(ended)
-        again = await asyncio.gather(*(b.open("t", "k3", 9.0) for b in books))
-        assert all(isinstance(f, ClaimEnd) and f.body == b"x" for f in again)
+        second = await asyncio.gather(*(b.open("t", "k3", 9.0) for b in claim_stores))
+        assert all(isinstance(f, ClaimEnd) and f.body == b"x" for f in second)
 
     run(check)
 
 
-def test_a_claim_whose_relayed_answer_is_lost_is_read_back_as_ones_own():
+def test_a_relayed_claim_is_read_back_after_the_writers_reply_was_lost():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
         hall_writer = ClaimWriter(store)
 
-        async def losing(address, txn):
+        async def lose_reply(address, txn):
             await hall_writer.write(txn)
             return Unknown("the writer died before it answered")
 
-        assert isinstance(await relaying(store, hall_writer, losing).open("t", "k", 9.0), Claim)
+        assert isinstance(await relaying(store, hall_writer, lose_reply).open("t", "k", 9.0), Claim)
         assert isinstance(await relaying(store, hall_writer).open("t", "k", 9.0), ClaimUnfinished)
 
     run(check)
 
 
-def test_without_the_halls_writer_a_daemon_writes_itself():
+def test_a_daemon_writes_its_claims_if_the_halls_writer_is_unavailable():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
 
-        async def away(address, txn):
+        async def unavailable(address, txn):
             return Unavailable("it writes no claims")
 
-        claim = await relaying(store, ClaimWriter(store), away).open("t", "k", 9.0)
+        claim = await relaying(store, ClaimWriter(store), unavailable).open("t", "k", 9.0)
         assert isinstance(claim, Claim)
 
     run(check)
 
 
 class NaiveTarget:
-    """Counts runs; the reference says that no key may run twice."""
+    """Reference target: counts the runs of each key, none of which may run twice."""
 
     def __init__(self):
         self.runs = {}
@@ -274,38 +276,38 @@
 
 
 async def history(seed):
-    """One seeded history of callers who retry over daemons that crash and stores that fail."""
+    """Simulate callers that retry while daemons crash and the store fails; seeded."""
     source = random.Random(seed)
     memory = MemoryStore(ManualClock())
-    target, told = NaiveTarget(), {}
+    target, outcomes = NaiveTarget(), {}
     for _ in range(12):
         key = f"k{source.randrange(3)}"
         store = FaultyStore(memory)
         store.down = source.random() < 0.15
         store.lose_answers = source.choice((0, 0, 0, 1))
         store.lose_writes = source.choice((0, 0, 0, 1, 9))
-        daemon = loads(store)
+        daemon = claim_store(store)
         found = await daemon.open("t", key, 0.0)
         crash = source.random()
         if isinstance(found, Claim) and crash > 0.1:
             target.run(key)
             if crash > 0.25:
                 await daemon.end(found, 200, "text/plain", key.encode())
-                told.setdefault(key, []).append("ran")
+                outcomes.setdefault(key, []).append("ran")
         elif isinstance(found, ClaimEnd):
             assert found.body == key.encode(), "an answer of another request"
-            told.setdefault(key, []).append("ran")
+            outcomes.setdefault(key, []).append("ran")
         elif isinstance(found, ClaimUnwritten):
-            told.setdefault(key, []).append("not_run")
+            outcomes.setdefault(key, []).append("not_run")
         if source.random() < 0.5:
             await store.deliver_late()
-    return target, told
+    return target, outcomes
 
 
-def test_over_many_histories_nothing_runs_twice_and_ran_means_ran():
+def test_no_claimed_request_runs_twice_and_reported_runs_took_place():
     for seed in range(300):
-        target, told = asyncio.run(history(seed))
+        target, outcomes = asyncio.run(history(seed))
         assert all(count == 1 for count in target.runs.values()), seed
-        for key, words in told.items():
-            if "ran" in words:
+        for key, key_outcomes in outcomes.items():
+            if "ran" in key_outcomes:
                 assert target.runs.get(key) == 1, seed
