--- a/ferrydock/membership/__init__.py
+++ b/ferrydock/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Daemons among themselves: membership, digests, relay of table and placement."""
+"""Gossip between daemons: membership, digests, and replication of table and placement."""
 
 from ._burn import BurnGatherer, Gathered
 from ._digest import Needs, apply_digest, build_digest
--- a/ferrydock/membership/_burn.py
+++ b/ferrydock/membership/_burn.py
@@ -1,4 +1,4 @@
-"""Gathering what the daemons counted: over a hall, and over all halls through one daemon each."""
+"""Collects burn counts from the daemons of a hall, and of other halls through one daemon each."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountedDaemon:
-    """A daemon that counted, and since when; what is before its start is a gap."""
+    """A daemon that reported counts, and its start time; it has no counts from before its start."""
 
     name: str
     hall: str
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Gathered:
-    """What was gathered, and from whom not."""
+    """Collected counts, the daemons that reported them, and those that could not be reached."""
 
     minutes: list[CountedMinute] = field(default_factory=list)
     daemons: list[CountedDaemon] = field(default_factory=list)
@@ -34,16 +34,17 @@
 
 
 class BurnGatherer:
-    """Fills and reads the replies.
+    """Collects the burn counts of daemons.
 
     Parameters
     ----------
     state : SharedState
-        Whom to ask.
+        Provides the daemons of the hall and contacts in other halls.
     recorder : Recorder
-        What this daemon counted.
+        Counts of this daemon.
     shortage : callable
-        Returns replica-seconds short and box-seconds stranded that this daemon saw as controller.
+        Returns the missing replica-seconds and stranded box-seconds that this daemon observed as
+        controller.
     """
 
     __slots__ = ("client", "recorder", "shortage", "state")
@@ -55,27 +56,27 @@
         self.shortage = shortage
 
     async def reply(self, since_minute: int, whole_hall: bool) -> BurnReply:
-        """Return what this daemon counted, and its hall if that is wanted."""
+        """Return the counts of this daemon, or with `whole_hall` of all daemons of its hall."""
         reply = BurnReply()
-        self._add_own(reply, since_minute)
+        self._add_own_counts(reply, since_minute)
         if whole_hall:
             own = self.state.members.own.name
             others = {m.name: m.peer_address for m in self.state.members.live() if m.name != own}
-            await self._add_others(reply, others, since_minute, whole_hall=False)
+            await self._fetch_counts(reply, others, since_minute, whole_hall=False)
         return reply
 
     async def gather(self, since_minute: int) -> Gathered:
-        """Return what all daemons that can be reached counted."""
+        """Return the counts of all reachable daemons of all halls."""
         reply = await self.reply(since_minute, whole_hall=True)
         contacts = {
             f"{s.hall}/{s.contacts[-1].name}": s.contacts[-1].peer_address
             for s in self.state.halls.values()
             if s.contacts
         }
-        await self._add_others(reply, contacts, since_minute, whole_hall=True)
+        await self._fetch_counts(reply, contacts, since_minute, whole_hall=True)
         return _unpack(reply)
 
-    async def _add_others(
+    async def _fetch_counts(
         self, reply: BurnReply, addresses: dict[str, str], since_minute: int, whole_hall: bool
     ) -> None:
         calls = [self.client.fetch_burn(a, since_minute, whole_hall) for a in addresses.values()]
@@ -85,7 +86,7 @@
             else:
                 reply.MergeFrom(answer)
 
-    def _add_own(self, reply: BurnReply, since_minute: int) -> None:
+    def _add_own_counts(self, reply: BurnReply, since_minute: int) -> None:
         own = self.state.members.own
         short_s, stranded_s = self.shortage()
         reply.daemons.add(
--- a/ferrydock/membership/_claim_relay.py
+++ b/ferrydock/membership/_claim_relay.py
@@ -1,4 +1,4 @@
-"""Claims' transactions as messages between daemons."""
+"""Conversion of claim transactions and their outcomes to messages between daemons."""
 
 from ..invariants import BrokenInvariant
 from ..outcomes import Unavailable, Unknown
@@ -7,11 +7,11 @@
 
 __all__ = ["pack_claim", "pack_written", "unpack_claim", "unpack_written"]
 
-UNKNOWN, DONE, NOT_WRITTEN = 0, 1, 2
+OUTCOME_UNKNOWN, OUTCOME_DONE, OUTCOME_NOT_WRITTEN = 0, 1, 2
 
 
 def pack_claim(txn: Txn) -> ClaimWrite:
-    """Return the message for a transaction with one condition and one write."""
+    """Return the message for a transaction that has one condition and one write."""
     (compare,), (write,) = txn.compares, txn.success
     packed = ClaimWrite(
         key=compare.key,
@@ -25,12 +25,12 @@
         packed.value = write.value
         packed.lease_id = write.lease_id
     else:
-        raise BrokenInvariant(f"a claim is written by a {type(write).__name__}")
+        raise BrokenInvariant(f"a claim transaction cannot contain a {type(write).__name__}")
     return packed
 
 
 def unpack_claim(packed: ClaimWrite) -> Txn:
-    """Return the transaction within a message."""
+    """Return the transaction that a message describes."""
     field = CompareField.CREATE_REVISION if packed.compare_create else CompareField.MOD_REVISION
     compare = Compare(packed.key, packed.compare_revision, field)
     write = Delete(packed.key) if packed.remove else Put(packed.key, packed.value, packed.lease_id)
@@ -39,12 +39,14 @@
 
 
 def pack_written(outcome: TxnDone | Unavailable | Unknown) -> ClaimWritten:
-    """Return the message for an outcome."""
+    """Return the message for the outcome of a transaction."""
     if isinstance(outcome, Unavailable):
-        return ClaimWritten(outcome=NOT_WRITTEN, reason=outcome.reason)
+        return ClaimWritten(outcome=OUTCOME_NOT_WRITTEN, reason=outcome.reason)
     if isinstance(outcome, Unknown):
-        return ClaimWritten(outcome=UNKNOWN, reason=outcome.reason)
-    packed = ClaimWritten(outcome=DONE, succeeded=outcome.succeeded, revision=outcome.revision)
+        return ClaimWritten(outcome=OUTCOME_UNKNOWN, reason=outcome.reason)
+    packed = ClaimWritten(
+        outcome=OUTCOME_DONE, succeeded=outcome.succeeded, revision=outcome.revision
+    )
     found = outcome.reads[0] if outcome.reads else None
     if found is not None:
         packed.found = True
@@ -55,10 +57,10 @@
 
 
 def unpack_written(packed: ClaimWritten, txn: Txn) -> TxnDone | Unavailable | Unknown:
-    """Return the outcome of `txn` within a message."""
-    if packed.outcome == NOT_WRITTEN:
+    """Return the outcome of `txn` that a message describes."""
+    if packed.outcome == OUTCOME_NOT_WRITTEN:
         return Unavailable(packed.reason)
-    if packed.outcome != DONE:
+    if packed.outcome != OUTCOME_DONE:
         return Unknown(packed.reason)
     found = None
     if packed.found:
--- a/ferrydock/membership/_digest.py
+++ b/ferrydock/membership/_digest.py
@@ -1,4 +1,4 @@
-"""Digests: what two daemons tell each other in one exchange, packed and unpacked."""
+"""Digests: the messages that two daemons send each other in one exchange."""
 
 from dataclasses import dataclass
 
@@ -11,31 +11,32 @@
 __all__ = ["Needs", "apply_digest", "build_digest"]
 
 AGE_STEP_S = 0.01
-NO_STATEMENT = 255
-MOST_IN_BYTE = 255
+NO_ATTESTATION_BYTE = 255
+MAX_BYTE = 255
 
 
 @dataclass(frozen=True, slots=True)
 class Needs:
-    """What the other side has that this one lacks."""
+    """Whether the peer has a newer table or a newer placement record."""
 
     table: bool
     placement: bool
 
 
 def build_digest(state: SharedState, now_s: float, to_hall: str, everything: bool) -> Digest:
-    """Return what to tell a daemon of `to_hall`.
+    """Return the digest for a daemon of `to_hall`.
 
     Parameters
     ----------
     state : SharedState
-        What this daemon knows.
+        State to send.
     now_s : float
-        Turns times into ages: clocks of different boxes are not compared.
+        Current time, to convert times to ages: clocks of different boxes are not compared.
     to_hall : str
-        Hall of the other daemon. Members, attestations and the placement record stay at home.
+        Hall of the peer. Members, attestations and the placement record are sent only to peers of
+        the own hall.
     everything : bool
-        Whether to tell of all members, not only of late changes.
+        Whether to send all members and summaries, not only recent changes.
     """
     own = state.members.own
     digest = Digest(
@@ -44,51 +45,51 @@
         table_revision=state.keeper.revision,
     )
     if to_hall == own.hall:
-        _add_home_news(digest, state, now_s, everything)
+        _pack_hall_state(digest, state, now_s, everything)
     else:
         _pack_hall(digest.halls.add(), state.own_summary(now_s), now_s)
-    for summary in state.summaries_to_tell(now_s, to_hall, everything):
+    for summary in state.summaries_to_send(now_s, to_hall, everything):
         _pack_hall(digest.halls.add(), summary, now_s)
     return digest
 
 
-def _add_home_news(digest: Digest, state: SharedState, now_s: float, everything: bool) -> None:
+def _pack_hall_state(digest: Digest, state: SharedState, now_s: float, everything: bool) -> None:
     members = state.members
-    for info in members.everyone() if everything else members.rumours(now_s):
+    for info in members.everyone() if everything else members.recent_changes(now_s):
         _pack_member(digest.members.add(), info)
-    digest.member_set = members.set_hash()
+    digest.member_set = members.live_set_hash()
     members.note_revision(members.own.name, state.keeper.revision)
-    digest.reached = members.reached_bitmap(state.keeper.revision)
+    digest.reached = members.revision_bitmap(state.keeper.revision)
     _pack_fence(digest.placement, state.placement.fence)
     _pack_attestations(digest, state, now_s)
     if state.controller is not None:
         digest.controller.name = state.controller.name
         digest.controller.term = state.controller.term
         digest.controller.age_ms = _age_ms(state.controller.renewed_s, now_s)
-    for news in state.demands_to_tell():
-        packed = digest.demands.add(name=news.name, age_ms=_age_ms(news.made_s, now_s))
-        for share, rate_per_s in news.rates_per_s.items():
+    for demand in state.demands_to_send():
+        packed = digest.demands.add(name=demand.name, age_ms=_age_ms(demand.made_s, now_s))
+        for share, rate_per_s in demand.rates_per_s.items():
             packed.demands.add(share=share, rate_per_s=rate_per_s)
 
 
 def apply_digest(state: SharedState, digest: Digest, now_s: float, transit_s: float) -> Needs:
-    """Take what another daemon told.
+    """Apply the digest of a peer; return what the peer has newer.
 
     Parameters
     ----------
     state : SharedState
-        What this daemon knows.
+        State to update.
     digest : Digest
-        What the other one knows.
+        Digest of the peer.
     now_s : float
-        When it arrived.
+        Time of arrival.
     transit_s : float
-        Longest time that it can have been under way; it is added to all ages, so that nothing
-        looks fresher than it is.
+        Upper bound of the transit time; it is added to all ages, so that no data appears more
+        recent than it is.
     """
     sent_s = now_s - transit_s
     if digest.hall == state.hall:
-        _apply_home_news(state, digest, now_s, sent_s)
+        _apply_hall_state(state, digest, now_s, sent_s)
     for packed in digest.halls:
         state.offer_summary(_unpack_hall(packed, sent_s), now_s)
     newer_table = digest.table_revision > state.keeper.revision or (
@@ -100,14 +101,14 @@
     return Needs(newer_table, newer_record)
 
 
-def _apply_home_news(state: SharedState, digest: Digest, now_s: float, sent_s: float) -> None:
+def _apply_hall_state(state: SharedState, digest: Digest, now_s: float, sent_s: float) -> None:
     members = state.members
     for packed in digest.members:
         members.merge(_unpack_member(packed, digest.hall), now_s)
-    members.heard_from(digest.sender, now_s)
+    members.clear_suspicion(digest.sender, now_s)
     members.note_revision(digest.sender, digest.table_revision)
-    if digest.member_set == members.set_hash():
-        members.merge_bitmap(digest.reached, digest.table_revision)
+    if digest.member_set == members.live_set_hash():
+        members.merge_revision_bitmap(digest.reached, digest.table_revision)
     state.offer_attestations(_unpack_attestations(state, digest, sent_s))
     if digest.controller.name:
         renewed_s = sent_s - digest.controller.age_ms / 1000
@@ -159,30 +160,30 @@
 
 
 def _pack_attestations(digest: Digest, state: SharedState, now_s: float) -> None:
-    """Pack one byte a replica for the age, and one each for its load."""
+    """Pack three bytes for each replica: age of its attestation, running and waiting requests."""
     ages, running, waiting = bytearray(), bytearray(), bytearray()
     for replica_id in sorted(state.placement.replicas):
         replica = state.placement.replicas[replica_id]
-        statement = state.attestations.get(replica_id)
-        if statement is None or statement.generation != replica.generation:
-            ages.append(NO_STATEMENT)
+        attestation = state.attestations.get(replica_id)
+        if attestation is None or attestation.generation != replica.generation:
+            ages.append(NO_ATTESTATION_BYTE)
             running.append(0)
             waiting.append(0)
             continue
-        ages.append(_age_steps(now_s - statement.probed_s))
-        running.append(min(statement.running, MOST_IN_BYTE))
-        waiting.append(min(statement.waiting, MOST_IN_BYTE))
-    if any(age != NO_STATEMENT for age in ages):
+        ages.append(_pack_age(now_s - attestation.probed_s))
+        running.append(min(attestation.running, MAX_BYTE))
+        waiting.append(min(attestation.waiting, MAX_BYTE))
+    if any(age != NO_ATTESTATION_BYTE for age in ages):
         _pack_fence(digest.attestations.record, state.placement.fence)
         digest.attestations.ages = bytes(ages)
         digest.attestations.running = bytes(running)
         digest.attestations.waiting = bytes(waiting)
 
 
-def _age_steps(age_s: float) -> int:
-    """Return the age in whole steps, rounded up so that nothing grows younger on its way."""
+def _pack_age(age_s: float) -> int:
+    """Return the age in steps of `AGE_STEP_S`, rounded up: never less than the actual age."""
     steps = int(age_s / AGE_STEP_S) + 1
-    return steps if steps < NO_STATEMENT else NO_STATEMENT
+    return steps if steps < NO_ATTESTATION_BYTE else NO_ATTESTATION_BYTE
 
 
 def _unpack_attestations(
@@ -196,7 +197,7 @@
         sorted(state.placement.replicas), packed.ages, packed.running, packed.waiting, strict=False
     )
     for replica_id, age, running, waiting in rows:
-        if age != NO_STATEMENT:
+        if age != NO_ATTESTATION_BYTE:
             generation = state.placement.replicas[replica_id].generation
             probed_s = sent_s - age * AGE_STEP_S
             found.append(Attestation(replica_id, generation, probed_s, running, waiting))
--- a/ferrydock/membership/_exchange.py
+++ b/ferrydock/membership/_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges between daemons over gRPC: digests, and pulls of the table and of the placement."""
+"""gRPC calls between daemons: digests, table, placement, claims and burn reports."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -30,7 +30,7 @@
 )
 from ._state import SharedState
 
-__all__ = ["ExchangeClient", "ExchangeServer", "PeerSecurity", "Told"]
+__all__ = ["ExchangeClient", "ExchangeServer", "PeerSecurity", "DigestReply"]
 
 Reply = TypeVar("Reply", bound=Message)
 
@@ -38,10 +38,10 @@
 CALL_TIMEOUT_S = 0.5
 PULL_TIMEOUT_S = 5.0
 CLAIM_TIMEOUT_S = 3.0
-MOST_MESSAGE_BYTES = 16 * 2**20
+MAX_MESSAGE_BYTES = 16 * 2**20
 _OPTIONS = (
-    ("grpc.max_receive_message_length", MOST_MESSAGE_BYTES),
-    ("grpc.max_send_message_length", MOST_MESSAGE_BYTES),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
+    ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.so_reuseport", 0),
     ("grpc.enable_http_proxy", 0),
 )
@@ -55,7 +55,7 @@
 
 
 class PeerSecurity:
-    """Certificates for mutual TLS between daemons; read anew for each new connection.
+    """Certificates for mutual TLS between daemons, read again for each new connection.
 
     Parameters
     ----------
@@ -78,9 +78,9 @@
         return key, certificate, authority
 
     def server_credentials(self) -> grpc.ServerCredentials:
-        """Return credentials that admit only peers with a certificate of the authority."""
+        """Return credentials that accept only peers with a certificate of the authority."""
         key, certificate, authority = self._read()
-        first = grpc.ssl_server_certificate_configuration([(key, certificate)], authority)
+        initial = grpc.ssl_server_certificate_configuration([(key, certificate)], authority)
 
         def fetch():
             try:
@@ -89,7 +89,7 @@
                 return None
             return grpc.ssl_server_certificate_configuration([(key, certificate)], authority)
 
-        return grpc.dynamic_ssl_server_credentials(first, fetch, True)
+        return grpc.dynamic_ssl_server_credentials(initial, fetch, True)
 
     def channel_credentials(self) -> grpc.ChannelCredentials:
         """Return credentials for a new connection to a peer."""
@@ -98,8 +98,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """Who answered an exchange, and what it has that this daemon lacks."""
+class DigestReply:
+    """The daemon that replied to a digest, and what it has newer than this daemon."""
 
     name: str
     hall: str
@@ -114,16 +114,16 @@
 
 
 class ExchangeServer:
-    """Answers other daemons.
+    """Serves calls of other daemons.
 
     Parameters
     ----------
     state : SharedState
-        What is told and taken.
+        State that is sent to peers and updated from them.
     clock : Clock
-        Turns ages into times.
+        Converts ages to times.
     on_needs : callable
-        Is given the address of a peer and what it has that this daemon lacks.
+        Called with the name of a peer and what it has newer than this daemon.
     """
 
     __slots__ = (
@@ -150,7 +150,7 @@
         self._server: grpc.aio.Server | None = None
 
     async def start(self, listen: str, security: PeerSecurity | None = None) -> int:
-        """Begin to listen on ``IP:PORT``; return the port that was bound."""
+        """Listen on ``IP:PORT``; return the bound port."""
         self._server = grpc.aio.server(options=_OPTIONS)
         self._server.add_generic_rpc_handlers((self._handlers(),))
         if security is None:
@@ -161,7 +161,7 @@
         return self.port
 
     async def close(self) -> None:
-        """Stop answering."""
+        """Stop the server."""
         if self._server is not None:
             await self._server.stop(0.1)
 
@@ -176,7 +176,7 @@
         return grpc.method_handlers_generic_handler(
             SERVICE,
             {
-                "Tell": unary(self._tell, Digest),
+                "Tell": unary(self._exchange_digests, Digest),
                 "FetchTable": unary(self._fetch_table, TableRequest),
                 "FetchPlacement": unary(self._fetch_placement, PlacementRequest),
                 "FetchBurn": unary(self._fetch_burn, BurnRequest),
@@ -184,7 +184,7 @@
             },
         )
 
-    async def _tell(self, digest: Digest, context) -> Digest:
+    async def _exchange_digests(self, digest: Digest, context) -> Digest:
         now_s = self.clock.now_s()
         self.received_bytes += digest.ByteSize()
         known_before = self.state.members.get(digest.sender) is not None
@@ -199,12 +199,12 @@
 
     async def _fetch_table(self, request: TableRequest, context) -> TableReply:
         keeper = self.state.keeper
-        newer = None if request.whole else keeper.history.since(request.after_revision)
+        newer_edits = None if request.whole else keeper.history.since(request.after_revision)
         reply = TableReply()
-        if newer is None or (not newer and request.after_revision < keeper.revision):
+        if newer_edits is None or (not newer_edits and request.after_revision < keeper.revision):
             reply.copy = keeper.copy().to_json()
         else:
-            reply.edits.extend(edit.to_json() for edit in newer)
+            reply.edits.extend(edit.to_json() for edit in newer_edits)
         reply.checksum = _checksum((*reply.edits, reply.copy))
         self.sent_bytes += reply.ByteSize()
         return reply
@@ -226,16 +226,16 @@
 
 
 class ExchangeClient:
-    """Calls other daemons.
+    """Client for calls to other daemons.
 
     Parameters
     ----------
     state : SharedState
-        What is told and taken.
+        State that is sent to peers and updated from them.
     clock : Clock
-        Turns ages into times.
+        Converts ages to times.
     security : PeerSecurity, optional
-        Certificates; without them connections are plain.
+        Certificates; without them connections are not encrypted.
     """
 
     __slots__ = ("_channels", "clock", "received_bytes", "security", "sent_bytes", "state")
@@ -248,8 +248,8 @@
         self.received_bytes = 0
         self._channels: dict[str, grpc.aio.Channel] = {}
 
-    async def tell(self, address: str, hall: str, wants_all: bool) -> Told | Unavailable:
-        """Exchange digests with the daemon at `address`; return who it is and what it has more."""
+    async def tell(self, address: str, hall: str, wants_all: bool) -> DigestReply | Unavailable:
+        """Exchange digests with the daemon at `address`; return its name, hall and newer data."""
         digest = build_digest(self.state, self.clock.now_s(), hall, wants_all)
         digest.wants_all = wants_all
         started_s = self.clock.now_s()
@@ -258,10 +258,10 @@
             return reply
         now_s = self.clock.now_s()
         needs = apply_digest(self.state, reply, now_s, now_s - started_s)
-        return Told(reply.sender, reply.hall, needs)
+        return DigestReply(reply.sender, reply.hall, needs)
 
     async def pull_table(self, address: str) -> Offer | Unavailable:
-        """Fetch what the daemon at `address` has of the table beyond this one's revision."""
+        """Fetch table edits after this daemon's revision, or the full table, from `address`."""
         keeper = self.state.keeper
         outcome = await self._pull_table(address, keeper.revision, whole=not keeper.loaded)
         if outcome is Offer.GAP:
@@ -280,7 +280,7 @@
         return self.state.keeper.offer_edits(AcceptedEdit.from_json(raw) for raw in reply.edits)
 
     async def pull_placement(self, address: str) -> bool | Unavailable:
-        """Fetch the placement record of the daemon at `address`."""
+        """Fetch the placement record of the daemon at `address`; return whether it was newer."""
         reply = await self._call(
             address, "FetchPlacement", PlacementRequest(), PlacementReply, PULL_TIMEOUT_S
         )
@@ -293,7 +293,7 @@
     async def write_claim(self, address: str, txn: Txn) -> TxnDone | Unavailable | Unknown:
         """Have the daemon at `address` write a claim.
 
-        A call that fails may have reached it, so that its outcome is unknown, not unavailable.
+        A failed call gives `Unknown`, not `Unavailable`: it may have reached the daemon.
         """
         reply = await self._call(
             address, "WriteClaim", pack_claim(txn), ClaimWritten, CLAIM_TIMEOUT_S
@@ -305,17 +305,17 @@
     async def fetch_burn(
         self, address: str, since_minute: int, whole_hall: bool
     ) -> BurnReply | Unavailable:
-        """Fetch what the daemon at `address`, or its whole hall, counted."""
+        """Fetch the burn counts of the daemon at `address`, or of its entire hall."""
         request = BurnRequest(since_minute=since_minute, whole_hall=whole_hall)
         return await self._call(address, "FetchBurn", request, BurnReply, PULL_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Give up all connections."""
+        """Close all connections."""
         for channel in self._channels.values():
             await channel.close()
 
     async def forget(self, address: str) -> None:
-        """Give up the connection to an address that is no longer used."""
+        """Close the connection to an address."""
         channel = self._channels.pop(address, None)
         if channel is not None:
             await channel.close()
--- a/ferrydock/membership/_state.py
+++ b/ferrydock/membership/_state.py
@@ -1,4 +1,4 @@
-"""What a daemon knows together with its peers, and the summaries of the other halls."""
+"""State that a daemon shares with the peers of its hall, and summaries of the other halls."""
 
 import random
 from collections.abc import Callable
@@ -19,17 +19,17 @@
     "SharedState",
 ]
 
-SUMMARY_CONTACTS = 4
-LARGE_HALL_CONTACTS = 2
-SUMMARY_RENEWED_S = 6.0
-RUMOUR_S = 1.0
+MAX_SUMMARY_CONTACTS = 4
+MAX_LARGE_HALL_CONTACTS = 2
+SUMMARY_RENEWAL_S = 6.0
+RECENT_SUMMARY_S = 1.0
 DEMAND_TTL_S = 30.0
-DEMANDS_IN_DIGEST = 5
+MAX_SAMPLED_DEMANDS = 5
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerNews:
-    """Which daemon held the hall's lease, and when it last renewed it (local clock)."""
+    """The daemon that held the hall's lease, and its last renewal on the local clock."""
 
     name: str
     term: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contact:
-    """A daemon of another hall, as it is reached from outside."""
+    """Addresses of a daemon for daemons and callers of other halls."""
 
     name: str
     peer_address: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelLoad:
-    """What a hall has of a model."""
+    """Capacity and load of a model in a hall: replicas, slots, and running or waiting requests."""
 
     model: str
     replicas: int
@@ -58,22 +58,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HallSummary:
-    """What one hall tells the others.
+    """Summary of one hall for the others.
 
     Attributes
     ----------
     made_s : float
-        When it was made, on the local clock.
+        When the summary was made, on the local clock.
     daemons : int
-        How many are alive.
+        Number of live daemons.
     lowest_revision : int
-        Table revision that all of them have in force.
+        Table revision that all live daemons have in force.
     contacts : tuple of Contact
-        Some of them, those that are behind first.
+        Some of the live daemons, those with the lowest table revision first.
     wanted, serving : int
-        Replicas that the table asks for, and that are attested.
+        Number of replicas that the table wants, and of those with a valid attestation.
     demands : mapping of str to float
-        Requests a second that callers bring there, by row of ``shares``.
+        Requests per second from callers of the hall, by row of ``shares``.
     """
 
     hall: str
@@ -88,8 +88,8 @@
     serving: int
     demands: dict[str, float] = field(default_factory=dict)
 
-    def same_news(self, other: "HallSummary") -> bool:
-        """Return whether both say the same, but for load, demand and the daemons they name."""
+    def equals_ignoring_load(self, other: "HallSummary") -> bool:
+        """Return whether both are equal apart from age, models, demand and contacts."""
         return (
             self.daemons == other.daemons
             and self.lowest_revision == other.lowest_revision
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandNews:
-    """Requests a second that callers bring to one daemon, by row of ``shares``."""
+    """Requests per second from callers of one daemon, by row of ``shares``."""
 
     name: str
     made_s: float
@@ -109,23 +109,23 @@
 
 
 class SharedState:
-    """Everything that digests carry, as this daemon knows it.
+    """The state that digests carry, as known to this daemon.
 
     Parameters
     ----------
     own : DaemonInfo
-        This daemon.
+        Record of this daemon.
     keeper : TableKeeper
         The table in force.
     attestations : Attestations
-        Which replicas are whole.
+        Attestations that replicas are complete.
     random_source : random.Random
-        Draws what of the neighbours' demand goes into a digest.
+        Selects the demands of other daemons that go into a digest.
     """
 
     __slots__ = (
         "_placement_listeners",
-        "_summary_taken_s",
+        "_summary_updated_s",
         "attestations",
         "controller",
         "demands",
@@ -151,7 +151,7 @@
         self.placement = HallPlacement(own.hall)
         self.controller: ControllerNews | None = None
         self.halls: dict[str, HallSummary] = {}
-        self._summary_taken_s: dict[str, float] = {}
+        self._summary_updated_s: dict[str, float] = {}
         self.demands: dict[str, DemandNews] = {}
         self.store_away = False
         self._placement_listeners: list[Callable[[HallPlacement], None]] = []
@@ -162,11 +162,11 @@
         return self.members.own.hall
 
     def listen_placement(self, listener) -> None:
-        """Have `listener` called with every newer placement record."""
+        """Register a listener that is called with each newer placement record."""
         self._placement_listeners.append(listener)
 
     def offer_placement(self, placement: HallPlacement) -> bool:
-        """Take a record with a higher fence; return whether it was taken."""
+        """Apply a record if its fence is higher than the known one; return whether it is."""
         if placement.fence <= self.placement.fence:
             return False
         self.placement = placement
@@ -175,69 +175,78 @@
             listener(placement)
         return True
 
-    def offer_controller(self, news: ControllerNews) -> None:
-        """Take news of who holds the lease."""
+    def offer_controller(self, update: ControllerNews) -> None:
+        """Update the holder of the hall's lease if the term or the renewal is newer."""
         known = self.controller
-        if known is None or (news.term, news.renewed_s) > (known.term, known.renewed_s):
-            self.controller = news
+        if known is None or (update.term, update.renewed_s) > (known.term, known.renewed_s):
+            self.controller = update
 
     def offer_summary(self, summary: HallSummary, now_s: float) -> None:
-        """Take the summary of another hall if it says something new, or is much newer."""
+        """Keep another hall's summary if it is newer and differs beyond load, or is much newer.
+
+        Much newer means by `SUMMARY_RENEWAL_S` or more.
+        """
         known = self.halls.get(summary.hall)
         if summary.hall == self.hall:
             return
         if known is not None:
             if summary.made_s <= known.made_s:
                 return
-            if summary.same_news(known) and summary.made_s - known.made_s < SUMMARY_RENEWED_S:
+            if (
+                summary.equals_ignoring_load(known)
+                and summary.made_s - known.made_s < SUMMARY_RENEWAL_S
+            ):
                 return
         self.halls[summary.hall] = summary
-        self._summary_taken_s[summary.hall] = now_s
+        self._summary_updated_s[summary.hall] = now_s
 
-    def summaries_to_tell(self, now_s: float, to_hall: str, everything: bool) -> list[HallSummary]:
-        """Return the summaries of other halls that were taken lately, or all."""
+    def summaries_to_send(self, now_s: float, to_hall: str, everything: bool) -> list[HallSummary]:
+        """Return the other halls' summaries updated within `RECENT_SUMMARY_S`, or all of them."""
         return [
             summary
             for hall, summary in self.halls.items()
-            if hall != to_hall and (everything or now_s - self._summary_taken_s[hall] <= RUMOUR_S)
+            if hall != to_hall
+            and (everything or now_s - self._summary_updated_s[hall] <= RECENT_SUMMARY_S)
         ]
 
-    def offer_demand(self, news: DemandNews) -> None:
-        """Take a neighbour's demand if it is newer."""
-        known = self.demands.get(news.name)
-        if known is None or news.made_s > known.made_s:
-            self.demands[news.name] = news
+    def offer_demand(self, demand: DemandNews) -> None:
+        """Store the demand of a daemon if it is newer than the known one."""
+        known = self.demands.get(demand.name)
+        if known is None or demand.made_s > known.made_s:
+            self.demands[demand.name] = demand
 
-    def demands_to_tell(self) -> list[DemandNews]:
-        """Return this daemon's own demand and a sample of its neighbours'.
+    def demands_to_send(self) -> list[DemandNews]:
+        """Return this daemon's own demand and a random sample of those of others.
 
-        A sample keeps digests small in a large hall; news then takes some rounds longer.
+        The sample keeps digests small in a large hall; updates then take more rounds to spread.
         """
         own = self.demands.get(self.members.own.name)
         others = [n for n in self.demands.values() if n.rates_per_s and n is not own]
-        if len(others) > DEMANDS_IN_DIGEST:
-            others = self.random_source.sample(others, DEMANDS_IN_DIGEST)
+        if len(others) > MAX_SAMPLED_DEMANDS:
+            others = self.random_source.sample(others, MAX_SAMPLED_DEMANDS)
         return [own, *others] if own is not None and own.rates_per_s else others
 
-    def offer_attestations(self, statements: tuple[Attestation, ...]) -> None:
-        """Take statements that replicas are whole."""
-        for statement in statements:
-            self.attestations.accept(statement)
+    def offer_attestations(self, attestations: tuple[Attestation, ...]) -> None:
+        """Apply attestations that replicas are complete."""
+        for attestation in attestations:
+            self.attestations.accept(attestation)
 
     def tick(self, now_s: float) -> None:
-        """Forget demands that nobody renews."""
-        for name, news in list(self.demands.items()):
-            if now_s - news.made_s > DEMAND_TTL_S:
+        """Remove demands that were not renewed within `DEMAND_TTL_S`."""
+        for name, demand in list(self.demands.items()):
+            if now_s - demand.made_s > DEMAND_TTL_S:
                 del self.demands[name]
 
     def own_summary(self, now_s: float) -> HallSummary:
-        """Return what this daemon would tell other halls of its own."""
+        """Return the summary of this daemon's hall for the other halls."""
         live = self.members.live()
         revisions = {m.name: self.members.revision_of(m.name) for m in live}
         revisions[self.members.own.name] = self.keeper.revision
         ordered = sorted(live, key=lambda m: (revisions[m.name], m.name))
-        named = SUMMARY_CONTACTS if len(live) <= SUMMARY_CONTACTS else LARGE_HALL_CONTACTS
-        contacts = [_contact(m, revisions[m.name]) for m in ordered[:named]]
+        contact_count = (
+            MAX_SUMMARY_CONTACTS if len(live) <= MAX_SUMMARY_CONTACTS else MAX_LARGE_HALL_CONTACTS
+        )
+        contacts = [_make_contact(m, revisions[m.name]) for m in ordered[:contact_count]]
         view = self.keeper.view
         controller = self.controller.name if self.controller is not None else ""
         return HallSummary(
@@ -249,7 +258,7 @@
             models=self._model_loads(now_s),
             controller=controller,
             store_away=self.store_away,
-            wanted=_wanted(view, self.hall),
+            wanted=_count_wanted_replicas(view, self.hall),
             serving=sum(
                 1 for r in self.placement.replicas.values() if self.attestations.whole(r, now_s)
             ),
@@ -262,22 +271,22 @@
             serving = replica.phase is ReplicaPhase.SERVING
             if not serving or not self.attestations.whole(replica, now_s):
                 continue
-            statement = existing(self.attestations.get(replica.replica_id), "its attestation")
+            attestation = existing(self.attestations.get(replica.replica_id), "its attestation")
             load = loads.setdefault(replica.model, [0, 0, 0])
             load[0] += 1
             load[1] += replica.slots
-            load[2] += statement.running + statement.waiting
+            load[2] += attestation.running + attestation.waiting
         return tuple(ModelLoad(model, *load) for model, load in sorted(loads.items()))
 
     def _hall_demands(self) -> dict[str, float]:
-        total: dict[str, float] = {}
-        for news in self.demands.values():
-            for share, rate_per_s in news.rates_per_s.items():
-                total[share] = total.get(share, 0.0) + rate_per_s
-        return total
+        totals: dict[str, float] = {}
+        for demand in self.demands.values():
+            for share, rate_per_s in demand.rates_per_s.items():
+                totals[share] = totals.get(share, 0.0) + rate_per_s
+        return totals
 
 
-def _contact(member: DaemonInfo, revision: int) -> Contact:
+def _make_contact(member: DaemonInfo, revision: int) -> Contact:
     return Contact(
         member.name,
         member.outside_peer_address or member.peer_address,
@@ -286,5 +295,5 @@
     )
 
 
-def _wanted(view: TableView | None, hall: str) -> int:
+def _count_wanted_replicas(view: TableView | None, hall: str) -> int:
     return sum(m.replicas_in(hall) for m in view.models.values()) if view is not None else 0
--- a/ferrydock/membership/tests/test_membership.py
+++ b/ferrydock/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Members, digests and pulls: suspicion, refutation, and revisions that only rise."""
+"""Membership, digests and pulls: suspicion, refutation, and monotonic revisions."""
 
 import asyncio
 import random
@@ -29,18 +29,18 @@
 )
 
 
-def info(name, **fields):
+def daemon_info(name, **fields):
     return DaemonInfo(name, "hall-a", f"{name}:1", f"http://{name}", **fields)
 
 
-def state(name, hall="hall-a"):
+def make_state(name, hall="hall-a"):
     own = DaemonInfo(name, hall, f"{name}:1", f"http://{name}")
     return SharedState(own, TableKeeper(), Attestations(2.0), random.Random(name))
 
 
-def test_suspicion_comes_before_death_and_can_be_refuted():
-    table, other = MemberTable(info("a")), MemberTable(info("b"))
-    table.merge(info("b"), 0.0)
+def test_a_daemon_is_suspected_before_it_is_dead_and_can_refute_that():
+    table, other = MemberTable(daemon_info("a")), MemberTable(daemon_info("b"))
+    table.merge(daemon_info("b"), 0.0)
     table.suspect("b", 1.0)
     assert [m.name for m in table.live()] == ["a", "b"]
     assert table.working() == ["a"]
@@ -52,7 +52,7 @@
     assert table.working() == ["a", "b"]
 
 
-def test_remembered_responsibilities_follow_the_names():
+def test_cached_responsibilities_follow_the_names():
     known, source = Responsibilities(), random.Random(4)
     for _ in range(200):
         names = sorted(source.sample("abcdefgh", source.randint(1, 8)))
@@ -60,35 +60,35 @@
         assert known.order(names, key) == rendezvous_rank(names, key)
 
 
-def test_an_unrefuted_suspicion_becomes_death_and_old_news_does_not_revive():
-    table = MemberTable(info("a"))
-    table.merge(info("b"), 0.0)
+def test_a_suspected_daemon_becomes_dead_and_a_stale_record_does_not_revive_it():
+    table = MemberTable(daemon_info("a"))
+    table.merge(daemon_info("b"), 0.0)
     table.suspect("b", 1.0)
     assert table.tick(4.5) == ["b"]
-    assert not table.merge(info("b"), 5.0)
+    assert not table.merge(daemon_info("b"), 5.0)
     assert table.get("b").status is MemberStatus.DEAD
     table.tick(1000.0)
     assert table.get("b") is None
 
 
-def test_after_a_pause_of_its_own_a_daemon_blames_nobody():
+def test_a_daemon_suspects_no_peer_after_a_pause_of_its_own():
     async def check():
         clock = ManualClock(100.0)
-        mine = state("a")
-        mine.members.merge(info("b"), 100.0)
-        gossip = Gossip(mine, FailingClient(), clock, random.Random(1), ())
+        own_state = make_state("a")
+        own_state.members.merge(daemon_info("b"), 100.0)
+        gossip = Gossip(own_state, FailingClient(), clock, random.Random(1), ())
         await gossip.round()
         await gossip.round()
-        assert mine.members.get("b").status is MemberStatus.SUSPECT
+        assert own_state.members.get("b").status is MemberStatus.SUSPECT
         clock.advance(60.0)
         await gossip.round()
-        assert mine.members.get("b").status is not MemberStatus.DEAD
+        assert own_state.members.get("b").status is not MemberStatus.DEAD
 
     asyncio.run(check())
 
 
 class FailingClient:
-    """Reaches nobody."""
+    """A client whose calls all fail."""
 
     async def tell(self, address, hall, wants_all):
         return Unavailable("nobody there")
@@ -98,26 +98,26 @@
 
 
 @given(st.permutations(range(6)))
-def test_news_in_any_order_leads_to_the_same_end(order):
-    news = [
-        info("b"),
-        info("b", status=MemberStatus.SUSPECT),
-        info("b", incarnation=2),
-        info("b", incarnation=2, update=1, stopping=True),
-        info("b", incarnation=2, update=2, status=MemberStatus.LEFT),
-        info("b", incarnation=1, status=MemberStatus.DEAD),
+def test_records_merged_in_any_order_give_the_same_status(order):
+    records = [
+        daemon_info("b"),
+        daemon_info("b", status=MemberStatus.SUSPECT),
+        daemon_info("b", incarnation=2),
+        daemon_info("b", incarnation=2, update=1, stopping=True),
+        daemon_info("b", incarnation=2, update=2, status=MemberStatus.LEFT),
+        daemon_info("b", incarnation=1, status=MemberStatus.DEAD),
     ]
-    table = MemberTable(info("a"))
-    table.merge(info("b"), 0.0)
+    table = MemberTable(daemon_info("a"))
+    table.merge(daemon_info("b"), 0.0)
     for index in order:
-        table.merge(news[index], 0.0)
+        table.merge(records[index], 0.0)
     assert table.get("b").status is MemberStatus.LEFT
 
 
 # Digests --------------------------------------------------------------------------------------
 
 
-def placement():
+def make_placement():
     members = tuple(Member(f"b{i}", f"b{i}", "x") for i in range(4))
     replica = Replica("r", "draft", "1", Fence(1, 0, 2), members, 8, ReplicaPhase.SERVING)
     return HallPlacement("hall-a", Fence(1, 0, 3), {"r": replica})
@@ -129,10 +129,10 @@
     return apply_digest(receiver, digest, now_s, transit_s)
 
 
-def test_a_statement_never_grows_younger_on_its_way():
-    one, two = state("a"), state("b")
+def test_an_attestation_does_not_appear_more_recent_after_transit():
+    one, two = make_state("a"), make_state("b")
     for each in (one, two):
-        each.offer_placement(placement())
+        each.offer_placement(make_placement())
     one.attestations.accept(Attestation("r", Fence(1, 0, 2), 9.0, 3, 1))
     exchange(one, two, 10.0, transit_s=0.25)
     got = two.attestations.get("r")
@@ -142,19 +142,19 @@
     assert one.attestations.get("r").probed_s == 9.0
 
 
-def test_statements_on_another_record_are_not_taken():
-    one, two = state("a"), state("b")
-    one.offer_placement(placement())
+def test_attestations_of_another_placement_record_are_ignored():
+    one, two = make_state("a"), make_state("b")
+    one.offer_placement(make_placement())
     one.attestations.accept(Attestation("r", Fence(1, 0, 2), 9.0))
     needs = exchange(one, two)
     assert needs.placement
     assert two.attestations.get("r") is None
 
 
-def test_controller_demand_and_revisions_travel():
-    one, two = state("a"), state("b")
-    one.members.merge(info("b"), 0.0)
-    two.members.merge(info("a"), 0.0)
+def test_a_digest_carries_controller_demand_and_revisions():
+    one, two = make_state("a"), make_state("b")
+    one.members.merge(daemon_info("b"), 0.0)
+    two.members.merge(daemon_info("a"), 0.0)
     one.offer_controller(ControllerNews("a", 7, 8.0))
     one.offer_demand(DemandNews("a", 9.5, {"s": 12.0}))
     one.keeper.offer_copy(TableCopy(Table({}, 4), "f" * 16, ()))
@@ -165,9 +165,9 @@
     assert two.members.revision_of("a") == 4
 
 
-def test_other_halls_get_a_summary_and_nothing_else():
-    one, two = state("a"), state("z", "hall-b")
-    one.offer_placement(placement())
+def test_other_halls_get_only_a_summary():
+    one, two = make_state("a"), make_state("z", "hall-b")
+    one.offer_placement(make_placement())
     one.attestations.accept(Attestation("r", Fence(1, 0, 2), 9.0))
     digest = build_digest(one, 10.0, "hall-b", True)
     assert len(digest.members) == 0
@@ -177,9 +177,9 @@
 
 
 def test_a_digest_of_a_large_hall_stays_small():
-    one = state("a")
+    one = make_state("a")
     for number in range(75):
-        one.members.merge(info(f"daemon-{number:04d}"), 0.0)
+        one.members.merge(daemon_info(f"daemon-{number:04d}"), 0.0)
     replicas = {}
     for number in range(36):
         members = tuple(Member(f"{number}-{i}", "u", "x") for i in range(4))
@@ -197,7 +197,7 @@
 # Propagation ----------------------------------------------------------------------------------
 
 
-def edits(count):
+def make_edits(count):
     found, lineage = [], "0" * 16
     key = RowKey("halls", "hall-a")
     for number in range(count):
@@ -208,19 +208,19 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 3), st.booleans()), max_size=60))
-def test_in_any_order_of_loss_no_revision_falls_and_the_reachable_reach_the_last(steps):
-    states = [state(f"d{i}") for i in range(4)]
+def test_revisions_never_fall_and_reach_the_latest_for_any_losses(steps):
+    states = [make_state(f"d{i}") for i in range(4)]
     for each in states:
         each.keeper.offer_copy(TableCopy(Table({}), "0" * 16, ()))
-    accepted = edits(5)
+    accepted = make_edits(5)
     revisions = [0, 0, 0, 0]
 
-    def pull(taker, giver):
-        newer = giver.keeper.history.since(taker.keeper.revision)
+    def pull(receiver, sender):
+        newer = sender.keeper.history.since(receiver.keeper.revision)
         if newer is None:
-            taker.keeper.offer_copy(giver.keeper.copy())
+            receiver.keeper.offer_copy(sender.keeper.copy())
         else:
-            taker.keeper.offer_edits(newer)
+            receiver.keeper.offer_edits(newer)
 
     for number, (one, two, lost) in enumerate(steps):
         if number % 7 == 0 and accepted:
@@ -239,21 +239,21 @@
     assert {s.keeper.revision for s in states} == {highest.keeper.revision}
 
 
-def test_over_grpc_a_newcomer_gets_the_whole_table_and_then_only_what_is_new():
+def test_a_new_daemon_pulls_the_full_table_over_grpc_and_then_only_newer_edits():
     async def check():
         clock = ManualClock(10.0)
-        old, new = state("a"), state("b")
+        old, new = make_state("a"), make_state("b")
         old.keeper.offer_copy(TableCopy(Table({}), "0" * 16, ()))
-        accepted = edits(3)
+        accepted = make_edits(3)
         old.keeper.offer_edits(accepted[:2])
-        old.offer_placement(placement())
+        old.offer_placement(make_placement())
         server = ExchangeServer(old, clock, lambda sender, needs: None)
         port = await server.start("127.0.0.1:0")
         client = ExchangeClient(new, clock)
         address = f"127.0.0.1:{port}"
-        told = await client.tell(address, "hall-a", True)
-        assert (told.name, told.hall) == ("a", "hall-a")
-        assert (told.needs.table, told.needs.placement) == (True, True)
+        reply = await client.tell(address, "hall-a", True)
+        assert (reply.name, reply.hall) == ("a", "hall-a")
+        assert (reply.needs.table, reply.needs.placement) == (True, True)
         await client.pull_table(address)
         assert new.keeper.revision == 2
         old.keeper.offer_edits(accepted)
