--- a/ferrydock/membership/__init__.py
+++ b/ferrydock/membership/__init__.py
@@ -1,7 +1,7 @@
 """Gossip between daemons: membership, digests, and replication of table and placement."""
 
-from ._burn import BurnGatherer, Gathered
-from ._digest import Needs, apply_digest, build_digest
+from ._burn import BurnGatherer, CollectedCounts
+from ._digest import NewerData, apply_digest, build_digest
 from ._exchange import ExchangeClient, ExchangeServer, PeerSecurity
 from ._gossip import Gossip
 from ._members import DaemonInfo, MemberStatus, MemberTable, Responsibilities, rendezvous_rank
@@ -22,13 +22,13 @@
     "DemandNews",
     "ExchangeClient",
     "ExchangeServer",
-    "Gathered",
+    "CollectedCounts",
     "Gossip",
     "HallSummary",
     "MemberStatus",
     "MemberTable",
     "ModelLoad",
-    "Needs",
+    "NewerData",
     "PeerSecurity",
     "Responsibilities",
     "SharedState",
--- a/ferrydock/membership/_burn.py
+++ b/ferrydock/membership/_burn.py
@@ -10,7 +10,7 @@
 from ._exchange_pb2 import BurnReply
 from ._state import SharedState
 
-__all__ = ["BurnGatherer", "CountedDaemon", "Gathered"]
+__all__ = ["BurnGatherer", "CountedDaemon", "CollectedCounts"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Gathered:
+class CollectedCounts:
     """Collected counts, the daemons that reported them, and those that could not be reached."""
 
     minutes: list[CountedMinute] = field(default_factory=list)
@@ -65,7 +65,7 @@
             await self._fetch_counts(reply, others, since_minute, whole_hall=False)
         return reply
 
-    async def gather(self, since_minute: int) -> Gathered:
+    async def gather(self, since_minute: int) -> CollectedCounts:
         """Return the counts of all reachable daemons of all halls."""
         reply = await self.reply(since_minute, whole_hall=True)
         contacts = {
@@ -109,8 +109,8 @@
                 )
 
 
-def _unpack(reply: BurnReply) -> Gathered:
-    gathered = Gathered(not_reached=list(reply.not_reached))
+def _unpack(reply: BurnReply) -> CollectedCounts:
+    collected = CollectedCounts(not_reached=list(reply.not_reached))
     for packed in reply.minutes:
         counted = BurnMinute(
             packed.minute,
@@ -119,9 +119,9 @@
             HdrHistogram.decode(packed.first_token),
             HdrHistogram.decode(packed.between_tokens),
         )
-        gathered.minutes.append(CountedMinute(packed.team, packed.model, counted))
+        collected.minutes.append(CountedMinute(packed.team, packed.model, counted))
     for daemon in reply.daemons:
-        gathered.daemons.append(
+        collected.daemons.append(
             CountedDaemon(
                 daemon.name,
                 daemon.hall,
@@ -130,4 +130,4 @@
                 daemon.stranded_box_s,
             )
         )
-    return gathered
+    return collected
--- a/ferrydock/membership/_digest.py
+++ b/ferrydock/membership/_digest.py
@@ -8,7 +8,7 @@
 from ._members import DaemonInfo, MemberStatus
 from ._state import Contact, ControllerNews, DemandNews, HallSummary, ModelLoad, SharedState
 
-__all__ = ["Needs", "apply_digest", "build_digest"]
+__all__ = ["NewerData", "apply_digest", "build_digest"]
 
 AGE_STEP_S = 0.01
 NO_ATTESTATION_BYTE = 255
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Needs:
+class NewerData:
     """Whether the peer has a newer table or a newer placement record."""
 
     table: bool
@@ -58,7 +58,7 @@
     for info in members.everyone() if everything else members.recent_changes(now_s):
         _pack_member(digest.members.add(), info)
     digest.member_set = members.live_set_hash()
-    members.note_revision(members.own.name, state.keeper.revision)
+    members.record_revision(members.own.name, state.keeper.revision)
     digest.reached = members.revision_bitmap(state.keeper.revision)
     _pack_fence(digest.placement, state.placement.fence)
     _pack_attestations(digest, state, now_s)
@@ -72,7 +72,7 @@
             packed.demands.add(share=share, rate_per_s=rate_per_s)
 
 
-def apply_digest(state: SharedState, digest: Digest, now_s: float, transit_s: float) -> Needs:
+def apply_digest(state: SharedState, digest: Digest, now_s: float, transit_s: float) -> NewerData:
     """Apply the digest of a peer; return what the peer has newer.
 
     Parameters
@@ -98,7 +98,7 @@
     newer_record = (
         digest.hall == state.hall and _unpack_fence(digest.placement) > state.placement.fence
     )
-    return Needs(newer_table, newer_record)
+    return NewerData(newer_table, newer_record)
 
 
 def _apply_hall_state(state: SharedState, digest: Digest, now_s: float, sent_s: float) -> None:
@@ -106,7 +106,7 @@
     for packed in digest.members:
         members.merge(_unpack_member(packed, digest.hall), now_s)
     members.clear_suspicion(digest.sender, now_s)
-    members.note_revision(digest.sender, digest.table_revision)
+    members.record_revision(digest.sender, digest.table_revision)
     if digest.member_set == members.live_set_hash():
         members.merge_revision_bitmap(digest.reached, digest.table_revision)
     state.offer_attestations(_unpack_attestations(state, digest, sent_s))
--- a/ferrydock/membership/_exchange.py
+++ b/ferrydock/membership/_exchange.py
@@ -16,7 +16,7 @@
 from ..store import Txn, TxnDone
 from ..table import AcceptedEdit, Offer, TableCopy
 from ._claim_relay import pack_claim, pack_written, unpack_claim, unpack_written
-from ._digest import Needs, apply_digest, build_digest
+from ._digest import NewerData, apply_digest, build_digest
 from ._exchange_pb2 import (
     BurnReply,
     BurnRequest,
@@ -103,7 +103,7 @@
 
     name: str
     hall: str
-    needs: Needs
+    newer_data: NewerData
 
 
 def _checksum(parts) -> int:
@@ -188,9 +188,9 @@
         now_s = self.clock.now_s()
         self.received_bytes += digest.ByteSize()
         known_before = self.state.members.get(digest.sender) is not None
-        needs = apply_digest(self.state, digest, now_s, CALL_TIMEOUT_S / 2)
-        if needs.table or needs.placement:
-            self.on_needs(digest.sender, needs)
+        newer_data = apply_digest(self.state, digest, now_s, CALL_TIMEOUT_S / 2)
+        if newer_data.table or newer_data.placement:
+            self.on_needs(digest.sender, newer_data)
         everything = digest.wants_all or not known_before
         reply = build_digest(self.state, now_s, digest.hall, everything)
         reply.wants_all = not known_before
@@ -257,8 +257,8 @@
         if isinstance(reply, Unavailable):
             return reply
         now_s = self.clock.now_s()
-        needs = apply_digest(self.state, reply, now_s, now_s - started_s)
-        return DigestReply(reply.sender, reply.hall, needs)
+        newer_data = apply_digest(self.state, reply, now_s, now_s - started_s)
+        return DigestReply(reply.sender, reply.hall, newer_data)
 
     async def pull_table(self, address: str) -> Offer | Unavailable:
         """Fetch table edits after this daemon's revision, or the full table, from `address`."""
--- a/ferrydock/membership/_gossip.py
+++ b/ferrydock/membership/_gossip.py
@@ -9,7 +9,7 @@
 from ..logs import log_event
 from ..outcomes import Unavailable
 from ..table import Offer
-from ._digest import Needs
+from ._digest import NewerData
 from ._exchange import ExchangeClient
 from ._members import DaemonInfo, MemberStatus, rendezvous_rank
 from ._state import SharedState
@@ -153,7 +153,7 @@
             await self._record_failure(peer, now_s)
             return
         self._failures.pop(peer.name, None)
-        self._pull_missing(peer.peer_address, outcome.needs)
+        self._pull_missing(peer.peer_address, outcome.newer_data)
 
     async def _record_failure(self, peer: DaemonInfo, now_s: float) -> None:
         consecutive_failures = self._failures.get(peer.name, 0) + 1
@@ -184,7 +184,7 @@
         self._seed_names[address] = outcome.name
         if outcome.hall != self.state.hall:
             self.outside[address] = outcome.hall
-        self._pull_missing(address, outcome.needs)
+        self._pull_missing(address, outcome.newer_data)
 
     def _is_bridge(self) -> bool:
         ranked = rendezvous_rank(self.state.members.working(), "bridge/" + self.state.hall)
@@ -207,22 +207,22 @@
 
     # Pulls --------------------------------------------------------------------------------
 
-    def on_needs(self, sender: str, needs: Needs) -> None:
+    def on_needs(self, sender: str, newer_data: NewerData) -> None:
         """Pull from a daemon whose digest shows newer data than this one has."""
         member = self.state.members.get(sender)
         if member is not None:
-            self._pull_missing(member.peer_address, needs)
+            self._pull_missing(member.peer_address, newer_data)
             return
         for summary in self.state.halls.values():
             for contact in summary.contacts:
                 if contact.name == sender:
-                    self._pull_missing(contact.peer_address, needs)
+                    self._pull_missing(contact.peer_address, newer_data)
                     return
 
-    def _pull_missing(self, address: str, needs: Needs) -> None:
-        if needs.table:
+    def _pull_missing(self, address: str, newer_data: NewerData) -> None:
+        if newer_data.table:
             self._start_pull("table", self._pull_table(address))
-        if needs.placement:
+        if newer_data.placement:
             self._start_pull("placement", self._pull_placement(address))
 
     def _start_pull(self, kind: str, pull) -> None:
--- a/ferrydock/membership/_members.py
+++ b/ferrydock/membership/_members.py
@@ -242,7 +242,7 @@
 
     # Table revisions ----------------------------------------------------------------------
 
-    def note_revision(self, name: str, revision: int) -> None:
+    def record_revision(self, name: str, revision: int) -> None:
         """Record that a daemon has a table revision in force; lower ones are ignored."""
         self._revisions[name] = max(revision, self._revisions.get(name, 0))
 
@@ -267,4 +267,4 @@
         bits = int.from_bytes(bitmap, "little")
         for index, member in enumerate(self.live()):
             if bits >> index & 1:
-                self.note_revision(member.name, revision)
+                self.record_revision(member.name, revision)
--- a/ferrydock/membership/tests/test_membership.py
+++ b/ferrydock/membership/tests/test_membership.py
@@ -146,8 +146,8 @@
     one, two = make_state("a"), make_state("b")
     one.offer_placement(make_placement())
     one.attestations.accept(Attestation("r", Fence(1, 0, 2), 9.0))
-    needs = exchange(one, two)
-    assert needs.placement
+    newer_data = exchange(one, two)
+    assert newer_data.placement
     assert two.attestations.get("r") is None
 
 
@@ -158,8 +158,8 @@
     one.offer_controller(ControllerNews("a", 7, 8.0))
     one.offer_demand(DemandNews("a", 9.5, {"s": 12.0}))
     one.keeper.offer_copy(TableCopy(Table({}, 4), "f" * 16, ()))
-    needs = exchange(one, two)
-    assert needs.table
+    newer_data = exchange(one, two)
+    assert newer_data.table
     assert two.controller == ControllerNews("a", 7, 8.0)
     assert two.demands["a"].rates_per_s == {"s": 12.0}
     assert two.members.revision_of("a") == 4
@@ -247,13 +247,13 @@
         accepted = make_edits(3)
         old.keeper.offer_edits(accepted[:2])
         old.offer_placement(make_placement())
-        server = ExchangeServer(old, clock, lambda sender, needs: None)
+        server = ExchangeServer(old, clock, lambda sender, newer_data: None)
         port = await server.start("127.0.0.1:0")
         client = ExchangeClient(new, clock)
         address = f"127.0.0.1:{port}"
         reply = await client.tell(address, "hall-a", True)
         assert (reply.name, reply.hall) == ("a", "hall-a")
-        assert (reply.needs.table, reply.needs.placement) == (True, True)
+        assert (reply.newer_data.table, reply.newer_data.placement) == (True, True)
         await client.pull_table(address)
         assert new.keeper.revision == 2
         old.keeper.offer_edits(accepted)
