--- a/ferrydock/membership/tests/test_membership.py
+++ b/ferrydock/membership/tests/test_membership.py
@@ -71,7 +71,7 @@
     assert table.get("b") is None
 
 
-def test_a_daemon_suspects_no_peer_after_a_pause_of_its_own():
+def test_a_daemon_declares_no_peer_dead_after_a_pause_of_its_own():
     async def check():
         clock = ManualClock(100.0)
         own_state = make_state("a")
--- a/ferrydock/requests/_admission.py
+++ b/ferrydock/requests/_admission.py
@@ -195,7 +195,7 @@
         mean_s = self.service_times_s.get(model, took_s)
         self.service_times_s[model] = mean_s + SERVICE_TIME_WEIGHT * (took_s - mean_s)
 
-    def wake(self, model: str) -> None:
+    def assign_first_queued(self, model: str) -> None:
         """Assign a replica to the first queued request if a replica with room exists."""
         queue = self._queues.get(model)
         if queue is None:
@@ -216,7 +216,7 @@
         """Assign replicas to queued requests periodically until all queues are empty."""
         while any(len(queue) for queue in self._queues.values()):
             for model in list(self._queues):
-                self.wake(model)
+                self.assign_first_queued(model)
             await asyncio.sleep(QUEUE_CHECK_INTERVAL_S)
 
 
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -344,7 +344,7 @@
             return outcome
         finally:
             executor.loads.ended(in_flight)
-            executor.gate.wake(self.request.model)
+            executor.gate.assign_first_queued(self.request.model)
 
     def _note_first_event(self, in_flight: Flight) -> None:
         self.life.first_byte()
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -50,7 +50,7 @@
         self.sent += 1
         return Answered(200, "text/plain", b"ok") if self.answers else Broken("reset")
 
-    def wake(self, model):
+    def assign_first_queued(self, model):
         return None
 
     def update_service_time(self, model, took_s):
--- a/ferrydock/requests/tests/test_life_and_claims.py
+++ b/ferrydock/requests/tests/test_life_and_claims.py
@@ -131,7 +131,7 @@
 # Claims ---------------------------------------------------------------------------------------
 
 
-def claim_store(store, name="d"):
+def make_claim_store(store, name="d"):
     return ClaimStore(store, ClaimWriter(store), ManualClock(), 3600.0, name)
 
 
@@ -142,11 +142,11 @@
 def test_a_repeated_request_gets_the_recorded_answer():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
-        claim = await claim_store(store).open("t", "k", 9.0)
+        claim = await make_claim_store(store).open("t", "k", 9.0)
         assert isinstance(claim, Claim)
-        assert isinstance(await claim_store(store).open("t", "k", 9.0), ClaimUnfinished)
-        assert await claim_store(store).end(claim, 201, "text/plain", b"filed")
-        second = await claim_store(store).open("t", "k", 9.0)
+        assert isinstance(await make_claim_store(store).open("t", "k", 9.0), ClaimUnfinished)
+        assert await make_claim_store(store).end(claim, 201, "text/plain", b"filed")
+        second = await make_claim_store(store).open("t", "k", 9.0)
         assert isinstance(second, ClaimEnd)
         assert (second.status, second.body) == (201, b"filed")
 
@@ -156,7 +156,7 @@
 def test_concurrent_daemons_with_the_same_key_create_one_claim():
     async def check():
         store = MemoryStore(ManualClock())
-        claim_stores = [claim_store(FaultyStore(store), f"d{i}") for i in range(5)]
+        claim_stores = [make_claim_store(FaultyStore(store), f"d{i}") for i in range(5)]
         found = await asyncio.gather(*(b.open("t", "k", 9.0) for b in claim_stores))
         assert sum(isinstance(f, Claim) for f in found) == 1
 
@@ -167,7 +167,7 @@
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
         store.lose_answers = 1
-        assert isinstance(await claim_store(store).open("t", "k", 9.0), Claim)
+        assert isinstance(await make_claim_store(store).open("t", "k", 9.0), Claim)
 
     run(check)
 
@@ -176,7 +176,7 @@
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
         store.down = True
-        assert isinstance(await claim_store(store).open("t", "k", 9.0), ClaimUnwritten)
+        assert isinstance(await make_claim_store(store).open("t", "k", 9.0), ClaimUnwritten)
 
     run(check)
 
@@ -184,14 +184,14 @@
 def test_a_claim_written_after_it_was_abandoned_is_removed():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
-        own_store = claim_store(store)
+        own_store = make_claim_store(store)
         store.lose_writes = 100
         assert isinstance(await own_store.open("t", "k", 9.0), ClaimUnwritten)
         store.lose_writes = 0
         await store.deliver_late()
-        assert isinstance(await claim_store(store).open("t", "k", 9.0), ClaimUnfinished)
+        assert isinstance(await make_claim_store(store).open("t", "k", 9.0), ClaimUnfinished)
         await own_store.tidy()
-        assert isinstance(await claim_store(store).open("t", "k", 9.0), Claim)
+        assert isinstance(await make_claim_store(store).open("t", "k", 9.0), Claim)
 
     run(check)
 
@@ -199,7 +199,7 @@
 def test_concurrent_claims_share_a_transaction():
     async def check():
         store = FaultyStore(MemoryStore(ManualClock()))
-        own_store = claim_store(store)
+        own_store = make_claim_store(store)
         found = await asyncio.gather(*(own_store.open("t", f"k{i}", 9.0) for i in range(40)))
         assert all(isinstance(f, Claim) for f in found)
         assert own_store.writer.groups <= 2
@@ -286,7 +286,7 @@
         store.down = source.random() < 0.15
         store.lose_answers = source.choice((0, 0, 0, 1))
         store.lose_writes = source.choice((0, 0, 0, 1, 9))
-        daemon = claim_store(store)
+        daemon = make_claim_store(store)
         found = await daemon.open("t", key, 0.0)
         crash = source.random()
         if isinstance(found, Claim) and crash > 0.1:
