--- a/ferrydock/table/__init__.py
+++ b/ferrydock/table/__init__.py
@@ -1,8 +1,8 @@
-"""The operators' table: declaration, validation, edits, merge, and its home in the store."""
+"""The operators' table: declaration, validation, edits and their merge, and storage."""
 
 from ._columns import SHEETS, Column, Sheet, is_row_name
 from ._csv import changes_between, read_sheets, write_sheet
-from ._history import FIRST_LINEAGE, AcceptedEdit, Edit, History, merge, next_lineage
+from ._history import LINEAGE_WITHOUT_EDITS, AcceptedEdit, Edit, History, merge, next_lineage
 from ._keeper import Offer, TableCopy, TableKeeper
 from ._keys import digest_key, is_operator_key, team_of_key
 from ._repository import (
@@ -14,10 +14,10 @@
 )
 from ._table import SCHEMA_VERSION, Change, RowKey, Table
 from ._view import Hall, Model, Share, Site, TableView, Target, Team
-from ._watcher import StoreSight, TableWatcher
+from ._watcher import StoreComparison, TableWatcher
 
 __all__ = [
-    "FIRST_LINEAGE",
+    "LINEAGE_WITHOUT_EDITS",
     "HEAD_KEY",
     "SCHEMA_VERSION",
     "SHEETS",
@@ -35,7 +35,7 @@
     "Share",
     "Sheet",
     "Site",
-    "StoreSight",
+    "StoreComparison",
     "StoredTable",
     "Table",
     "TableCopy",
--- a/ferrydock/table/_columns.py
+++ b/ferrydock/table/_columns.py
@@ -1,4 +1,4 @@
-"""The one declaration of the operators' table: sheets, columns, types, units, ranges, defaults."""
+"""Declares the operators' table: sheets and columns with types, units, ranges and defaults."""
 
 import re
 from collections.abc import Callable
@@ -9,12 +9,12 @@
 __all__ = ["SHEETS", "Column", "Sheet", "is_row_name"]
 
 _ROW_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,62}")
-_DIGEST = re.compile(r"[0-9a-f]{64}")
-_URL = re.compile(r"https?://(\d{1,3}\.){3}\d{1,3}:\d{1,5}(/[A-Za-z0-9._/-]*)?")
-_WEIGHTED = re.compile(r"([A-Za-z0-9][A-Za-z0-9._:-]{0,62})(?:=(\d{1,9}(?:\.\d{1,6})?))?")
-_PREFIX = re.compile(r"/(?:[!-~]*/)?")
-_TRUE_WORDS = {"true": True, "yes": True, "1": True, "false": False, "no": False, "0": False}
-_LONGEST_TEXT = 4096
+_SHA256_HEX = re.compile(r"[0-9a-f]{64}")
+_URL_WITH_IP = re.compile(r"https?://(\d{1,3}\.){3}\d{1,3}:\d{1,5}(/[A-Za-z0-9._/-]*)?")
+_WEIGHTED_NAME = re.compile(r"([A-Za-z0-9][A-Za-z0-9._:-]{0,62})(?:=(\d{1,9}(?:\.\d{1,6})?))?")
+_PATH_PREFIX = re.compile(r"/(?:[!-~]*/)?")
+_BOOL_WORDS = {"true": True, "yes": True, "1": True, "false": False, "no": False, "0": False}
+_MAX_CELL_CHARACTERS = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,17 +26,17 @@
     name : str
         Name, with its unit as a suffix.
     kind : str
-        ``int``, ``float``, ``bool``, ``text``, ``names`` (words set apart by blanks),
-        ``digests`` (SHA-256 in hexadecimal), ``urls`` (by IP number), ``weights`` (services with
-        their weights) or ``prefix`` (of a path).
+        ``int``, ``float``, ``bool``, ``text``, ``names`` (separated by whitespace),
+        ``digests`` (SHA-256 in hexadecimal), ``urls`` (with IP addresses), ``weights`` (services
+        with their weights) or ``prefix`` (of a path).
     default : str or None
-        Text that stands in an absent cell; None where the cell must be filled.
+        Text assumed for an absent cell; None if the cell is mandatory.
     doc : str
-        What the cell means.
+        Meaning of the cell, for the operators' page.
     minimum, maximum : float or None
         Range of a number, both ends included.
     choices : tuple of str
-        Words that a text may be; empty allows any.
+        Permitted values of a text cell; empty permits any text.
     """
 
     name: str
@@ -48,24 +48,24 @@
     choices: tuple[str, ...] = ()
 
     def parse(self, text: str):
-        """Return the value of a cell, or raise ValueError that says what is allowed."""
+        """Return the value of a cell; raise ValueError with the permitted values otherwise."""
         text = text.strip()
-        if len(text) > _LONGEST_TEXT:
-            raise ValueError(f"is longer than {_LONGEST_TEXT} characters")
+        if len(text) > _MAX_CELL_CHARACTERS:
+            raise ValueError(f"is longer than {_MAX_CELL_CHARACTERS} characters")
         return _PARSERS[self.kind](self, text)
 
     @property
     def allowed(self) -> str:
-        """What a cell may hold, in words."""
+        """Description of the permitted values, for error messages and the operators' page."""
         if self.choices:
             return " or ".join(self.choices)
         if self.kind in ("int", "float"):
             noun = "a whole number" if self.kind == "int" else "a number"
             return f"{noun} from {self.minimum:g} to {self.maximum:g}"
-        return _ALLOWED[self.kind]
+        return _ALLOWED_VALUES[self.kind]
 
 
-_ALLOWED = {
+_ALLOWED_VALUES = {
     "weights": "names of services, each with =WEIGHT or alone, set apart by blanks",
     "prefix": "a path that begins and ends with a slash",
     "bool": "true or false",
@@ -88,9 +88,9 @@
 
 
 def _parse_bool(column: Column, text: str) -> bool:
-    if text.lower() not in _TRUE_WORDS:
+    if text.lower() not in _BOOL_WORDS:
         raise ValueError(f"{text!r} is not {column.allowed}")
-    return _TRUE_WORDS[text.lower()]
+    return _BOOL_WORDS[text.lower()]
 
 
 def _parse_text(column: Column, text: str) -> str:
@@ -115,17 +115,17 @@
 def _parse_weights(column: Column, text: str) -> tuple[tuple[str, float], ...]:
     pairs = []
     for word in text.split():
-        found = _WEIGHTED.fullmatch(word)
-        if not found or (found[2] is not None and not float(found[2]) > 0):
+        match = _WEIGHTED_NAME.fullmatch(word)
+        if not match or (match[2] is not None and not float(match[2]) > 0):
             raise ValueError(f"{word!r} does not fit: {column.allowed}, weights above 0")
-        pairs.append((found[1], float(found[2] or 1)))
+        pairs.append((match[1], float(match[2] or 1)))
     if not pairs:
         raise ValueError(f"must be filled: {column.allowed}")
     return tuple(pairs)
 
 
 def _parse_prefix(column: Column, text: str) -> str:
-    if not _PREFIX.fullmatch(text):
+    if not _PATH_PREFIX.fullmatch(text):
         raise ValueError(f"{text!r} is not {column.allowed}")
     return text
 
@@ -136,16 +136,24 @@
     "bool": _parse_bool,
     "text": _parse_text,
     "names": _words_matching(re.compile(r"[A-Za-z0-9._:*?-]{1,63}")),
-    "digests": _words_matching(_DIGEST),
+    "digests": _words_matching(_SHA256_HEX),
     "prefix": _parse_prefix,
     "weights": _parse_weights,
-    "urls": _words_matching(_URL),
+    "urls": _words_matching(_URL_WITH_IP),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Sheet:
-    """One sheet: its columns, and what a row of it stands for."""
+    """One sheet of the table.
+
+    Attributes
+    ----------
+    row_doc : str
+        What a row stands for; completes "A row is ..." on the operators' page.
+    only_row : str or None
+        Name of the only row that the sheet may have; None allows any row.
+    """
 
     name: str
     row_doc: str
@@ -158,7 +166,9 @@
 
 
 def is_row_name(name: str) -> bool:
-    """Return whether `name` may name a row: letters, digits and ``._:-``, at most 63.
+    """Return whether `name` is a valid row name.
+
+    A row name has 1 to 63 letters, digits and ``._:-`` and begins with a letter or digit.
 
     Examples
     --------
--- a/ferrydock/table/_csv.py
+++ b/ferrydock/table/_csv.py
@@ -1,4 +1,4 @@
-"""The table as CSV, one file a sheet, so that any spreadsheet opens it."""
+"""Reads and writes the table as CSV, one file per sheet, for editing in a spreadsheet."""
 
 import csv
 import io
@@ -14,7 +14,7 @@
 
 
 def write_sheet(table: Table, sheet: str) -> str:
-    """Return the CSV text of one sheet; columns unknown to this version come last."""
+    """Return the CSV text of one sheet; columns that this version does not declare come last."""
     declared = [column.name for column in SHEETS[sheet].columns]
     rows = {key.row: cells for key, cells in sorted(table.rows.items()) if key.sheet == sheet}
     unknown = sorted({c for cells in rows.values() for c in cells} - set(declared))
@@ -27,12 +27,12 @@
 
 
 def read_sheets(texts: Mapping[str, str]) -> Table | Invalid:
-    """Read sheets by name; an empty cell counts as not filled.
+    """Parse the CSV texts of sheets, keyed by sheet name; empty cells are left out.
 
     Returns
     -------
     Table or Invalid
-        A table at revision 0 with the sheets that were given, or every fault of the files.
+        A table at revision 0 with the given sheets, or every fault found in the texts.
     """
     rows: dict[RowKey, dict[str, str]] = {}
     faults: list[Fault] = []
@@ -70,7 +70,7 @@
 
 
 def changes_between(before: Table, after: Table, sheets: set[str]) -> tuple[Change, ...]:
-    """Return the changes that lead from `before` to `after` within `sheets`."""
+    """Return the changes that turn `before` into `after`, limited to the given sheets."""
     changes: list[Change] = []
     for key in sorted(before.rows.keys() | after.rows.keys()):
         if key.sheet not in sheets:
--- a/ferrydock/table/_history.py
+++ b/ferrydock/table/_history.py
@@ -1,4 +1,4 @@
-"""Accepted edits in their order, and the merge of a new edit with those it did not see."""
+"""The log of accepted edits, and the merge of an edit with those accepted since its base."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,23 +11,23 @@
 
 __all__ = ["AcceptedEdit", "Edit", "History", "merge", "next_lineage"]
 
-FIRST_LINEAGE = "0" * 16
+LINEAGE_WITHOUT_EDITS = "0" * 16
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A wish of an operator.
+    """A change of the table that an operator requests.
 
     Attributes
     ----------
     edit_id : str
-        Drawn by the operator's side; the same wish sent again carries the same id.
+        Unique id drawn by the client; a retry of the same edit carries the same id.
     base_revision : int
-        Revision of the table that the operator looked at.
+        Revision of the table that the edit was made against.
     changes : tuple of Change
-        What shall change.
+        Cells and rows to change.
     operator : str
-        Who asks, for the log.
+        Name of the operator, shown in the edit log.
     """
 
     edit_id: str
@@ -38,16 +38,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedEdit:
-    """An edit in force, with what undoes it.
+    """An edit that was accepted into the table.
 
     Attributes
     ----------
     revision : int
-        The table's revision after it.
+        Revision of the table after the edit.
     lineage : str
-        Digest over this edit and all before it; tells two histories apart.
+        Digest over this edit and all edits before it. Two tables at the same revision with
+        different lineages result from different edits.
     wall_s : float
-        When it was accepted, for people.
+        Wall-clock time of acceptance, shown to operators.
+    undo : tuple of Change
+        Changes that revert the edit.
     """
 
     revision: int
@@ -59,7 +62,7 @@
     undo: tuple[Change, ...]
 
     def to_json(self) -> bytes:
-        """Return the form that is stored and relayed."""
+        """Return the JSON that is written to the store and sent to other daemons."""
         return orjson.dumps(
             {
                 "revision": self.revision,
@@ -74,7 +77,7 @@
 
     @classmethod
     def from_json(cls, raw: bytes) -> "AcceptedEdit":
-        """Read what `to_json` wrote."""
+        """Parse the JSON that `to_json` returns."""
         fields = orjson.loads(raw)
         return cls(
             revision=fields["revision"],
@@ -97,7 +100,7 @@
 
 
 def next_lineage(lineage: str, edit_id: str, changes: Sequence[Change]) -> str:
-    """Return the digest of a history that ends with this edit."""
+    """Return the lineage after an edit is applied to a table with `lineage`."""
     digest = xxhash.xxh3_64(lineage.encode())
     digest.update(edit_id.encode())
     digest.update(orjson.dumps([_change_to_list(c) for c in changes]))
@@ -105,12 +108,12 @@
 
 
 class History:
-    """The last accepted edits, oldest first, without gaps.
+    """The most recent accepted edits, oldest first, with consecutive revisions.
 
     Parameters
     ----------
     limit : int, default=512
-        How many edits are kept.
+        Maximum number of edits kept.
     """
 
     __slots__ = ("_edits", "limit")
@@ -120,33 +123,33 @@
         self._edits: list[AcceptedEdit] = []
 
     def append(self, edit: AcceptedEdit) -> None:
-        """Add the newest edit; a history with a gap starts anew."""
+        """Append an edit; if its revision does not follow the last one, drop all earlier edits."""
         if self._edits and self._edits[-1].revision + 1 != edit.revision:
             self._edits.clear()
         self._edits.append(edit)
         del self._edits[: -self.limit]
 
     def since(self, revision: int) -> tuple[AcceptedEdit, ...] | None:
-        """Return the edits after `revision`, or None if they are not all kept."""
+        """Return the edits accepted after `revision`, or None if not all of them are kept."""
         newer = tuple(edit for edit in self._edits if edit.revision > revision)
         if newer and newer[0].revision != revision + 1:
             return None
         return newer
 
-    def find(self, edit_id: str) -> AcceptedEdit | None:
+    def edit_by_id(self, edit_id: str) -> AcceptedEdit | None:
         """Return the edit with this id, or None."""
         return next((e for e in reversed(self._edits) if e.edit_id == edit_id), None)
 
-    def at(self, revision: int) -> AcceptedEdit | None:
-        """Return the edit that made `revision`, or None."""
+    def edit_by_revision(self, revision: int) -> AcceptedEdit | None:
+        """Return the edit that produced `revision`, or None."""
         return next((e for e in reversed(self._edits) if e.revision == revision), None)
 
     def latest(self, count: int) -> tuple[AcceptedEdit, ...]:
-        """Return the newest `count` edits, oldest first."""
+        """Return the last `count` edits, oldest first."""
         return tuple(self._edits[-count:])
 
     def table_at(self, table: Table, revision: int) -> Table | None:
-        """Return an earlier revision of `table`, or None if it lies too far back."""
+        """Return `table` as of `revision`, or None if not all edits since then are kept."""
         newer = self.since(revision)
         if newer is None or (not newer and revision != table.revision):
             return None
@@ -156,34 +159,35 @@
 
 
 def merge(table: Table, history: History, edit: Edit) -> Table | Conflict | Invalid:
-    """Apply `edit` to `table`, which may have moved on since the edit's base.
+    """Apply `edit` to `table`, whose revision may be higher than the edit's base.
 
-    Cells that others changed meanwhile stay as they are. A cell that both changed is a conflict,
-    as is a row that one changed and the other removed.
+    Cells that only other edits changed since the base keep their text. A cell that `edit` and
+    another edit set to different texts is a conflict, as is a row that one of them removed and
+    the other changed.
 
     Returns
     -------
     Table or Conflict or Invalid
-        The table after the edit, valid as a whole; or what stands against it.
+        The valid table after the edit; otherwise the conflict or every fault.
     """
     if edit.base_revision > table.revision:
         return Conflict(
             f"revision {edit.base_revision} does not exist; the newest is {table.revision}"
         )
-    missed = history.since(edit.base_revision) if edit.base_revision < table.revision else ()
-    if missed is None:
+    newer = history.since(edit.base_revision) if edit.base_revision < table.revision else ()
+    if newer is None:
         return Conflict(
             f"revision {edit.base_revision} is too old to merge from; read the table again"
         )
-    contested = _contested(edit.changes, [c for m in missed for c in m.changes])
-    if contested:
-        return Conflict("changed by another operator since the base revision", contested)
+    conflicting = _conflicting_places(edit.changes, [c for e in newer for c in e.changes])
+    if conflicting:
+        return Conflict("changed by another operator since the base revision", conflicting)
     merged = table.changed(edit.changes, table.revision + 1)
     view = merged.view()
     return view if isinstance(view, Invalid) else merged
 
 
-def _contested(mine: Sequence[Change], theirs: Sequence[Change]) -> tuple[str, ...]:
+def _conflicting_places(mine: Sequence[Change], theirs: Sequence[Change]) -> tuple[str, ...]:
     theirs_by_row: dict[RowKey, list[Change]] = {}
     for change in theirs:
         theirs_by_row.setdefault(change.key, []).append(change)
--- a/ferrydock/table/_keeper.py
+++ b/ferrydock/table/_keeper.py
@@ -1,4 +1,4 @@
-"""The table in force on one daemon. Its revision only rises."""
+"""Holds the table in force on one daemon, whose revision never decreases."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -9,7 +9,7 @@
 from ..invariants import BrokenInvariant
 from ..logs import log_event
 from ..outcomes import Invalid
-from ._history import FIRST_LINEAGE, AcceptedEdit, History, next_lineage
+from ._history import LINEAGE_WITHOUT_EDITS, AcceptedEdit, History, next_lineage
 from ._table import RowKey, Table
 from ._view import TableView
 
@@ -19,7 +19,23 @@
 
 
 class Offer(StrEnum):
-    """What became of a table or of edits that were offered."""
+    """Result of offering a complete table or edits to a `TableKeeper`.
+
+    Attributes
+    ----------
+    TAKEN
+        The offered table or edits are in force.
+    KNOWN
+        They were already in force.
+    GAP
+        Edits between the revision in force and the offered ones are missing.
+    OLDER
+        The offered table has a lower revision than the one in force.
+    DIVERGED
+        The offered table or edits belong to another history than the table in force.
+    INVALID
+        This version cannot read the offered rows.
+    """
 
     TAKEN = "taken"
     KNOWN = "known"
@@ -30,7 +46,7 @@
 
 
 class TableCopy:
-    """A whole table with its lineage and newest edits, as it is relayed to a newcomer."""
+    """A complete table with its lineage and last edits, as sent to a daemon that lacks edits."""
 
     __slots__ = ("edits", "lineage", "table")
 
@@ -40,7 +56,7 @@
         self.edits = edits
 
     def to_json(self) -> bytes:
-        """Return the form that is relayed."""
+        """Return the JSON that is sent to other daemons."""
         rows = [[k.sheet, k.row, dict(cells)] for k, cells in self.table.rows.items()]
         edits = [e.to_json().decode() for e in self.edits]
         return orjson.dumps(
@@ -49,7 +65,7 @@
 
     @classmethod
     def from_json(cls, raw: bytes) -> "TableCopy":
-        """Read what `to_json` wrote."""
+        """Parse the JSON that `to_json` returns."""
         fields = orjson.loads(raw)
         rows = {RowKey(sheet, row): cells for sheet, row, cells in fields["rows"]}
         edits = tuple(AcceptedEdit.from_json(e.encode()) for e in fields["edits"])
@@ -57,19 +73,19 @@
 
 
 class TableKeeper:
-    """Holds the newest table this daemon has seen, and refuses everything older.
+    """Holds the most recent table that this daemon received, and refuses older ones.
 
     Parameters
     ----------
     on_change : callable, optional
-        Is given the typed rows after each change.
+        Called with the typed rows after each change.
     """
 
     __slots__ = ("_listeners", "history", "lineage", "loaded", "table", "view")
 
     def __init__(self, on_change: Callable[[TableView], None] | None = None):
         self.table = Table({})
-        self.lineage = FIRST_LINEAGE
+        self.lineage = LINEAGE_WITHOUT_EDITS
         self.history = History()
         self.view: TableView | None = None
         self.loaded = False
@@ -77,35 +93,40 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force."""
+        """Revision of the table in force."""
         return self.table.revision
 
     def listen(self, on_change: Callable[[TableView], None]) -> None:
-        """Have `on_change` called with the typed rows after each change."""
+        """Register `on_change`, which is called with the typed rows after each change."""
         self._listeners.append(on_change)
 
     def copy(self) -> TableCopy:
-        """Return the whole table for a newcomer."""
+        """Return the complete table, for a daemon that lacks edits."""
         return TableCopy(self.table, self.lineage, self.history.latest(self.history.limit))
 
     def offer_copy(self, copy: TableCopy) -> Offer:
-        """Take a whole table if it continues the one in force."""
+        """Put a complete table in force unless it is older than, or diverged from, the current one.
+
+        If the copy holds all edits since the revision in force, only these are applied.
+        """
         if not self.loaded:
-            return self._take(copy)
+            return self._replace_table(copy)
         if copy.table.revision < self.revision:
             return Offer.OLDER
         if copy.table.revision == self.revision:
-            return Offer.KNOWN if copy.lineage == self.lineage else self._diverged(copy.lineage)
+            return (
+                Offer.KNOWN if copy.lineage == self.lineage else self._refuse_diverged(copy.lineage)
+            )
         known = next((e for e in copy.edits if e.revision == self.revision), None)
         if known is not None and known.lineage != self.lineage:
-            return self._diverged(known.lineage)
+            return self._refuse_diverged(known.lineage)
         newer = [e for e in copy.edits if e.revision > self.revision]
         if newer and newer[0].revision == self.revision + 1:
             return self.offer_edits(newer)
-        return self._take(copy)
+        return self._replace_table(copy)
 
     def offer_edits(self, edits: Iterable[AcceptedEdit]) -> Offer:
-        """Take accepted edits, oldest first; those already in force are passed over."""
+        """Apply accepted edits, oldest first; skip those that are already in force."""
         outcome = Offer.KNOWN
         for edit in edits:
             if edit.revision <= self.revision:
@@ -114,38 +135,38 @@
                 return Offer.GAP
             lineage = next_lineage(self.lineage, edit.edit_id, edit.changes)
             if lineage != edit.lineage:
-                return self._diverged(edit.lineage)
+                return self._refuse_diverged(edit.lineage)
             changed = self.table.changed(edit.changes, edit.revision)
             if isinstance(changed.view(), Invalid):
-                return self._invalid(changed)
+                return self._refuse_invalid(changed)
             self.table, self.lineage = changed, lineage
             self.history.append(edit)
             outcome = Offer.TAKEN
         if outcome is Offer.TAKEN:
-            self._announce()
+            self._notify_listeners()
         return outcome
 
-    def _take(self, copy: TableCopy) -> Offer:
+    def _replace_table(self, copy: TableCopy) -> Offer:
         if isinstance(copy.table.view(), Invalid):
-            return self._invalid(copy.table)
+            return self._refuse_invalid(copy.table)
         self.table, self.lineage = copy.table, copy.lineage
         self.history = History()
         for edit in copy.edits:
             self.history.append(edit)
         self.loaded = True
-        self._announce()
+        self._notify_listeners()
         return Offer.TAKEN
 
-    def _announce(self) -> None:
+    def _notify_listeners(self) -> None:
         view = self.table.view()
         if isinstance(view, Invalid):
-            raise BrokenInvariant(f"a table was taken unread: {view.reason}")
+            raise BrokenInvariant(f"an invalid table was put in force: {view.reason}")
         self.view = view
         log_event(_LOG, logging.INFO, "table_in_force", revision=self.revision)
         for listener in self._listeners:
             listener(view)
 
-    def _diverged(self, lineage: str) -> Offer:
+    def _refuse_diverged(self, lineage: str) -> Offer:
         log_event(
             _LOG,
             logging.ERROR,
@@ -156,8 +177,8 @@
         )
         return Offer.DIVERGED
 
-    def _invalid(self, table: Table) -> Offer:
-        """Refuse rows that this version cannot read, and stay on the table in force."""
+    def _refuse_invalid(self, table: Table) -> Offer:
+        """Log that this version cannot read the offered rows; the table in force stays."""
         view = table.view()
         why = view.reason if isinstance(view, Invalid) else "readable"
         log_event(_LOG, logging.ERROR, "table_not_readable", revision=table.revision, why=why)
--- a/ferrydock/table/_keys.py
+++ b/ferrydock/table/_keys.py
@@ -1,4 +1,4 @@
-"""Keys of callers and operators. The table holds digests only."""
+"""Verifies the keys of callers and operators, of which the table holds only digests."""
 
 import hashlib
 import hmac
@@ -20,18 +20,22 @@
 
 
 def team_of_key(view: TableView, key: str) -> str | None:
-    """Return the enabled team that `key` belongs to, comparing all digests in constant time."""
+    """Return the name of the enabled team that `key` belongs to, or None.
+
+    Compares each digest in constant time and does not stop at a match, so that the time taken
+    reveals nothing about the digests.
+    """
     digest = digest_key(key)
-    found = None
+    owner = None
     for team in view.teams.values():
         for known in team.key_digests:
             if hmac.compare_digest(known, digest) and team.enabled:
-                found = team.name
-    return found
+                owner = team.name
+    return owner
 
 
 def is_operator_key(view: TableView | None, key: str, bootstrap_digests: tuple[str, ...]) -> bool:
-    """Return whether `key` gives operator rights, by the table or by the daemon's settings."""
+    """Return whether `key` is an operator key of the table or of the daemon's settings."""
     digest = digest_key(key)
     in_table = view.site.operator_key_digests if view is not None else ()
     matches = [hmac.compare_digest(known, digest) for known in (*in_table, *bootstrap_digests)]
--- a/ferrydock/table/_repository.py
+++ b/ferrydock/table/_repository.py
@@ -1,14 +1,14 @@
-"""The table in the platform's store: reading it whole, reading what is new, committing edits.
+"""Reads the table from the platform's store, and commits edits to it.
 
 Keys::
 
-    /ferrydock/table/head          revision, lineage and edit id of the newest edit
+    /ferrydock/table/head          revision, lineage and id of the last accepted edit
     /ferrydock/table/row/SHEET/ROW the cells of one row
-    /ferrydock/table/edit/NUMBER   one accepted edit; the newest `EDITS_KEPT` stay
+    /ferrydock/table/edit/NUMBER   one accepted edit; the last `MAX_STORED_EDITS` are kept
 
-All that one edit changes is written in one transaction, on condition that the head is still the
-one the edit was checked against. So of two writers with the same base one is refused, and an
-edit whose answer was lost can be sent again without running twice.
+An edit is written in one transaction, on condition that the head is unchanged since the table was
+read. So of two concurrent writers one is refused and tries again on the new table, and an edit
+whose answer was lost can be sent again without being applied twice.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from ..clock import Clock
 from ..outcomes import Conflict, Invalid, Unavailable, Unknown
 from ..store import Compare, Delete, KeyValue, Put, RangeDone, Store, Txn, TxnDone, prefix_end
-from ._history import FIRST_LINEAGE, AcceptedEdit, Edit, History, merge, next_lineage
+from ._history import LINEAGE_WITHOUT_EDITS, AcceptedEdit, Edit, History, merge, next_lineage
 from ._table import SCHEMA_VERSION, RowKey, Table
 
 __all__ = ["HEAD_KEY", "TABLE_PREFIX", "Head", "StoredTable", "TableRepository"]
@@ -29,14 +29,22 @@
 HEAD_KEY = TABLE_PREFIX + "head"
 ROW_PREFIX = TABLE_PREFIX + "row/"
 EDIT_PREFIX = TABLE_PREFIX + "edit/"
-EDITS_KEPT = 512
+MAX_STORED_EDITS = 512
 COMMIT_ATTEMPTS = 12
 COMMIT_PAUSE_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """What the store says of the newest edit. `mod_revision` 0 means an empty store."""
+    """The store's record of the last accepted edit.
+
+    Attributes
+    ----------
+    revision : int
+        Revision of the table after the edit; 0 if the store holds no table.
+    mod_revision : int
+        Revision of the store at which the record was written; 0 if the store holds no table.
+    """
 
     revision: int
     lineage: str
@@ -47,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredTable:
-    """The whole table as the store holds it, with its head and the edits kept."""
+    """The complete table in the store, with its head and the stored edits, oldest first."""
 
     table: Table
     head: Head
@@ -55,7 +63,7 @@
 
 
 def edit_key(revision: int) -> str:
-    """Return the key of the edit that made `revision`; keys sort by number."""
+    """Return the key of the edit that produced `revision`; keys sort by revision."""
     return f"{EDIT_PREFIX}{revision:012d}"
 
 
@@ -65,7 +73,7 @@
 
 def _parse_head(item: KeyValue | None) -> Head:
     if item is None:
-        return Head(0, FIRST_LINEAGE, "", 0)
+        return Head(0, LINEAGE_WITHOUT_EDITS, "", 0)
     fields = orjson.loads(item.value)
     return Head(
         fields["revision"],
@@ -84,9 +92,9 @@
     store : Store
         The platform's key-value service.
     clock : Clock
-        For the time that the log shows.
+        Gives the time of acceptance in the edit log, and the time for deadlines.
     random_source : random.Random
-        For the jitter between attempts.
+        Draws the jitter of the pause between two attempts at a commit.
     """
 
     __slots__ = ("clock", "random_source", "store")
@@ -97,21 +105,21 @@
         self.random_source = random_source
 
     async def read_head(self) -> Head | Unavailable:
-        """Read the head alone: one call."""
+        """Read only the head, in one call of the store."""
         found = await self.store.range(HEAD_KEY)
         if isinstance(found, Unavailable):
             return found
         return _parse_head(found.items[0] if found.items else None)
 
     async def read_all(self) -> StoredTable | Unavailable:
-        """Read the whole table at one revision: one call."""
+        """Read the complete table at one revision, in one call of the store."""
         found = await self.store.range(TABLE_PREFIX, prefix_end(TABLE_PREFIX))
         if isinstance(found, Unavailable):
             return found
         return _parse_all(found)
 
     async def read_edits(self, after_revision: int) -> tuple[AcceptedEdit, ...] | Unavailable:
-        """Read the kept edits after a revision, oldest first: one call."""
+        """Read the stored edits after a revision, oldest first, in one call of the store."""
         first = edit_key(after_revision + 1)
         found = await self.store.range(first, prefix_end(EDIT_PREFIX))
         if isinstance(found, Unavailable):
@@ -119,25 +127,25 @@
         return tuple(AcceptedEdit.from_json(item.value) for item in found.items)
 
     async def commit(
-        self, edit: Edit, deadline_s: float, least_revision: int = 0
+        self, edit: Edit, deadline_s: float, min_revision: int = 0
     ) -> AcceptedEdit | Conflict | Invalid | Unavailable | Unknown:
-        """Have `edit` accepted: merged, checked as a whole, and written in one transaction.
+        """Merge `edit` into the stored table, validate the result, and write it in a transaction.
 
         Parameters
         ----------
         edit : Edit
-            The wish; sending it again with the same id does no harm.
+            Edit to commit. If an edit with the same id is already accepted, that one is returned.
         deadline_s : float
             Time on the clock after which no further attempt is made.
-        least_revision : int, default=0
-            A store that is older than this is not written to.
+        min_revision : int, default=0
+            Revision of the table below which the store is not written to.
 
         Returns
         -------
         AcceptedEdit or Conflict or Invalid or Unavailable or Unknown
-            `Unknown` only where a write was sent and the store could not be read back in time.
+            `Unknown` only if a write was sent and later attempts did not find out its result.
         """
-        sent = False
+        may_be_written = False
         reason = "too many other edits at the same time"
         for _ in range(COMMIT_ATTEMPTS):
             if self.clock.now_s() >= deadline_s:
@@ -145,26 +153,26 @@
             stored = await self.read_all()
             if isinstance(stored, Unavailable):
                 reason = stored.reason
-                if not sent:
+                if not may_be_written:
                     return stored
-            elif stored.head.revision < least_revision:
-                reason = f"the store is older than revision {least_revision} in force"
+            elif stored.head.revision < min_revision:
+                reason = f"the store is older than revision {min_revision} in force"
             else:
-                step = await self._attempt(edit, stored)
-                if not isinstance(step, Unavailable | Unknown):
-                    return step
-                sent = sent or isinstance(step, Unknown)
-                reason = step.reason
+                result = await self._attempt_commit(edit, stored)
+                if not isinstance(result, Unavailable | Unknown):
+                    return result
+                may_be_written = may_be_written or isinstance(result, Unknown)
+                reason = result.reason
             await asyncio.sleep(COMMIT_PAUSE_S * (1 + 4 * self.random_source.random()))
-        return Unknown(reason) if sent else Unavailable(reason)
+        return Unknown(reason) if may_be_written else Unavailable(reason)
 
-    async def _attempt(
+    async def _attempt_commit(
         self, edit: Edit, stored: StoredTable
     ) -> AcceptedEdit | Conflict | Invalid | Unavailable | Unknown:
-        history = History(EDITS_KEPT)
-        for kept in stored.edits:
-            history.append(kept)
-        earlier = history.find(edit.edit_id)
+        history = History(MAX_STORED_EDITS)
+        for stored_edit in stored.edits:
+            history.append(stored_edit)
+        earlier = history.edit_by_id(edit.edit_id)
         if earlier is not None:
             return earlier
         merged = merge(stored.table, history, edit)
@@ -186,7 +194,7 @@
 
 
 def head_value(newest: AcceptedEdit) -> bytes:
-    """Return what the head key holds after the edit `newest`."""
+    """Return the value of the head key after the edit `newest`."""
     return orjson.dumps(
         {
             "revision": newest.revision,
@@ -198,12 +206,13 @@
 
 
 def table_writes(table: Table, edits: tuple[AcceptedEdit, ...]) -> tuple[Put | Delete, ...]:
-    """Return the writes, beside the head, that bring `edits` and the rows they touched."""
+    """Return the writes, other than that of the head, that store `edits` and the rows of `table`
+    that they change, and delete edits beyond the newest `MAX_STORED_EDITS`."""
     writes: list[Put | Delete] = []
     for edit in edits:
         writes.append(Put(edit_key(edit.revision), edit.to_json()))
-        if edit.revision > EDITS_KEPT:
-            writes.append(Delete(edit_key(edit.revision - EDITS_KEPT)))
+        if edit.revision > MAX_STORED_EDITS:
+            writes.append(Delete(edit_key(edit.revision - MAX_STORED_EDITS)))
     for key in dict.fromkeys(change.key for edit in edits for change in edit.changes):
         if key in table.rows:
             writes.append(Put(_row_key(key), orjson.dumps(dict(table.rows[key]))))
--- a/ferrydock/table/_table.py
+++ b/ferrydock/table/_table.py
@@ -1,4 +1,4 @@
-"""The table aggregate: rows of text cells under a revision, and the rules a whole table obeys."""
+"""The table as rows of text cells at one revision, and its validation."""
 
 import re
 from collections.abc import Iterable, Mapping
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class RowKey:
-    """Place of a row: its sheet and its name."""
+    """Identifies a row by its sheet and its name."""
 
     sheet: str
     row: str
@@ -28,16 +28,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One cell set, or a whole row removed.
+    """Sets or empties one cell, or creates or removes a row.
 
     Attributes
     ----------
     key : RowKey
-        The row.
+        Row to change.
     column : str or None
-        The cell's column; None stands for the whole row.
+        Column of the cell; None for the row itself.
     text : str or None
-        What the cell shall hold; None empties the cell or removes the row.
+        Text of the cell; None empties it. For a row, None removes it and any text creates it if
+        it is absent.
     """
 
     key: RowKey
@@ -51,14 +52,14 @@
 
 
 class Table:
-    """Rows of text cells at one revision. A table is never changed: edits make a new one.
+    """Rows of text cells at one revision. A table is immutable: an edit produces a new one.
 
     Parameters
     ----------
     rows : mapping of RowKey to mapping of str to str
-        Cells that are filled. Columns this version does not know are kept as they are.
+        Cells that are filled, by column. Columns that this version does not declare are kept.
     revision : int, default=0
-        How many edits were accepted up to this table.
+        Number of edits accepted so far.
 
     Examples
     --------
@@ -76,7 +77,7 @@
         self._view: TableView | None = None
 
     def text(self, key: RowKey, column: str) -> str | None:
-        """Return the text of a cell, its column's default, or None if there is neither."""
+        """Return the text of a cell, or its column's default, or None if there is neither."""
         cells = self.rows.get(key)
         if cells is None:
             return None
@@ -86,11 +87,11 @@
         return declared.default if declared else None
 
     def filled(self, key: RowKey, column: str) -> str:
-        """Return the text of a cell whose column every row fills, itself or by its default."""
+        """Return the text of a cell, or its column's default, one of which must exist."""
         return existing(self.text(key, column), f"{key}/{column}")
 
     def changed(self, changes: Iterable[Change], revision: int) -> "Table":
-        """Return the table after `changes`, under `revision`."""
+        """Return the table after `changes`, with the given revision."""
         rows = {key: dict(cells) for key, cells in self.rows.items()}
         for change in changes:
             if change.column is None:
@@ -105,10 +106,10 @@
         return Table(rows, revision)
 
     def inverse(self, changes: Iterable[Change]) -> tuple[Change, ...]:
-        """Return the changes that would undo `changes` when applied after them."""
+        """Return the changes that revert `changes` when applied after them."""
         undo: list[Change] = []
-        touched = dict.fromkeys(change.key for change in changes)
-        for key in touched:
+        changed_keys = dict.fromkeys(change.key for change in changes)
+        for key in changed_keys:
             undo.append(Change(key, None, None))
             if key in self.rows:
                 undo.append(Change(key, None, ""))
@@ -116,7 +117,10 @@
         return tuple(undo)
 
     def faults(self) -> tuple[Fault, ...]:
-        """Return every fault of the table, each with sheet, row and cell."""
+        """Return every fault of the table, each with its sheet, row and cell.
+
+        References between rows are checked only if each row is valid by itself.
+        """
         found: list[Fault] = []
         for key in sorted(self.rows):
             found += _row_faults(key, self.rows[key])
@@ -125,7 +129,7 @@
         return tuple(found)
 
     def view(self) -> TableView | Invalid:
-        """Return the typed rows, or every fault."""
+        """Return the typed rows, or every fault of the table."""
         if self._view is not None:
             return self._view
         faults = self.faults()
@@ -161,7 +165,11 @@
 
 
 def _reference_faults(table: Table) -> list[Fault]:
-    """Check what one row says of another."""
+    """Return the faults in how rows refer to each other.
+
+    These are names of rows that do not exist, two shares for the same team and model, and targets
+    without the addresses or boxes that their kind needs.
+    """
     faults = []
     pairs: dict[tuple[str, str], str] = {}
     for key in sorted(k for k in table.rows if k.sheet == "shares"):
@@ -187,7 +195,11 @@
 
 
 def _route_faults(table: Table) -> list[Fault]:
-    """Check that routes do not hide each other, and that their back ends can be reached."""
+    """Return the faults of routes.
+
+    These are two routes for the same host and path prefix, and back ends that are not plain
+    services with addresses http://IP:PORT.
+    """
     faults = []
     places: dict[tuple[str, str], str] = {}
     for key in sorted(k for k in table.rows if k.sheet == "routes"):
--- a/ferrydock/table/_view.py
+++ b/ferrydock/table/_view.py
@@ -1,16 +1,17 @@
-"""Typed rows of one revision of the table, as the rest of ferrydock reads them."""
+"""Typed rows of one revision of the table, as the other packages read them."""
 
 import fnmatch
 from dataclasses import dataclass, field
 
-UNLIMITED = 1_000_000
+# Highest value that the table permits for `requests_per_s` and `concurrency`: no limit.
+UNLIMITED_REQUESTS = 1_000_000
 
 __all__ = ["Model", "RouteRow", "Share", "Site", "TableView", "Target", "Team"]
 
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """The row of sheet ``site``; `ferrydock.table.SHEETS` documents each cell."""
+    """The only row of sheet ``site``; `ferrydock.table.SHEETS` documents the cells."""
 
     downtime_weight: float
     stranded_weight: float
@@ -54,7 +55,7 @@
     whole_objective_ratio: float
 
     def replicas_in(self, hall: str) -> int:
-        """Return how many replicas `hall` should hold."""
+        """Return the number of replicas wanted in `hall`."""
         return self.replicas_per_hall if not self.halls or hall in self.halls else 0
 
 
@@ -84,8 +85,8 @@
 
     @property
     def limited(self) -> bool:
-        """Whether any limit is set below the highest that the table allows."""
-        return self.requests_per_s < UNLIMITED or self.concurrency < UNLIMITED
+        """Whether the request rate or the concurrency is limited."""
+        return self.requests_per_s < UNLIMITED_REQUESTS or self.concurrency < UNLIMITED_REQUESTS
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +105,7 @@
     max_attempts: int
 
     def covers(self, box: str) -> bool:
-        """Return whether the box belongs to this group of model engines."""
+        """Return whether `box` matches the `boxes` of this group of model engines."""
         return any(fnmatch.fnmatchcase(box, pattern) for pattern in self.boxes)
 
 
@@ -143,15 +144,15 @@
         return next((s for s in self.shares.values() if s.team == team and s.model == model), None)
 
     def checks_orders(self, box: str) -> bool:
-        """Return whether the engine on `box` refuses orders with an old fence.
+        """Return whether the engine on `box` refuses orders whose fence is outdated.
 
-        A box that no row names is taken to check: `targets` lists those that do not.
+        This is assumed of a box that no row of sheet ``targets`` covers.
         """
         groups = [t for t in self.targets.values() if t.kind == "model_engine" and t.covers(box)]
         return all(group.checks_orders for group in groups)
 
     def box_leaving(self, box: str) -> bool:
-        """Return whether the operators have marked the box as leaving."""
+        """Return whether a row of sheet ``targets`` that covers `box` marks it as leaving."""
         groups = [t for t in self.targets.values() if t.kind == "model_engine" and t.covers(box)]
         return any(group.leaving for group in groups)
 
--- a/ferrydock/table/_watcher.py
+++ b/ferrydock/table/_watcher.py
@@ -1,5 +1,7 @@
-"""Follows the table in the store, for a whole hall: one daemon watches, others only look now and
-then whether the watcher still does."""
+"""Follows the table in the store on behalf of a hall.
+
+One daemon of the hall watches the store; the daemon that would replace it polls the store.
+"""
 
 import asyncio
 import logging
@@ -19,37 +21,51 @@
     table_writes,
 )
 
-__all__ = ["StoreSight", "TableWatcher"]
+__all__ = ["StoreComparison", "TableWatcher"]
 
 _LOG = logging.getLogger("ferrydock.table")
 
 
-class StoreSight(StrEnum):
-    """What the last look at the store showed."""
+class StoreComparison(StrEnum):
+    """Result of comparing the table in the store with the table in force.
+
+    Attributes
+    ----------
+    SAME
+        Both are equal, or the edits that the store lacked are written to it.
+    NEWER
+        The store had further edits, which are read.
+    OLDER
+        The store lacks edits that are in force, and writing them was refused.
+    DIVERGED
+        The tables have different histories.
+    UNREACHABLE
+        The store did not answer.
+    """
 
     SAME = "same"
     NEWER = "newer"
     OLDER = "older"
     DIVERGED = "diverged"
-    AWAY = "away"
+    UNREACHABLE = "away"
 
 
 class TableWatcher:
-    """Brings what the store holds into a `TableKeeper`.
+    """Copies the table and its edits from the store to a `TableKeeper`.
 
     Parameters
     ----------
     repository : TableRepository
         Reads the store.
     keeper : TableKeeper
-        Takes what is new.
+        Receives the table and the edits read.
     clock : Clock
-        Dates the last answer of the store.
+        Gives the time of the store's last answer.
 
     Notes
     -----
-    A watch stream can die without a sign. So the watcher also reads the head now and then, and
-    so does, more seldom, the daemon that would take over.
+    A watch stream can fail without an error. So the watching daemon also polls the head, and so
+    does, less often, the daemon that would replace it.
     """
 
     __slots__ = ("answered_s", "clock", "keeper", "repository", "sight")
@@ -59,57 +75,57 @@
         self.keeper = keeper
         self.clock = clock
         self.answered_s: float | None = None
-        self.sight = StoreSight.AWAY
+        self.sight = StoreComparison.UNREACHABLE
 
     @property
     def store(self) -> Store:
         """The platform's key-value service."""
         return self.repository.store
 
-    async def look(self) -> StoreSight:
-        """Read the head, and whatever is new behind it."""
+    async def look(self) -> StoreComparison:
+        """Read the head, and apply the edits that the store has beyond the table in force."""
         head = await self.repository.read_head()
         if isinstance(head, Unavailable):
-            self.sight = StoreSight.AWAY
+            self.sight = StoreComparison.UNREACHABLE
             return self.sight
         self.answered_s = self.clock.now_s()
         self.sight = await self._compare(head)
         return self.sight
 
-    async def _compare(self, head: Head) -> StoreSight:
+    async def _compare(self, head: Head) -> StoreComparison:
         keeper = self.keeper
         if not keeper.loaded:
             return await self._load()
         if head.revision == keeper.revision:
             if head.lineage == keeper.lineage:
-                return StoreSight.SAME
+                return StoreComparison.SAME
             log_event(_LOG, logging.ERROR, "store_diverged", revision=head.revision)
-            return StoreSight.DIVERGED
+            return StoreComparison.DIVERGED
         if head.revision < keeper.revision:
-            return await self._older(head)
+            return await self._restore_missing_edits(head)
         edits = await self.repository.read_edits(keeper.revision)
         if isinstance(edits, Unavailable):
-            return StoreSight.AWAY
+            return StoreComparison.UNREACHABLE
         offer = keeper.offer_edits(edits)
         if offer is Offer.GAP:
             return await self._load()
-        return StoreSight.DIVERGED if offer is Offer.DIVERGED else StoreSight.NEWER
+        return StoreComparison.DIVERGED if offer is Offer.DIVERGED else StoreComparison.NEWER
 
-    async def _load(self) -> StoreSight:
+    async def _load(self) -> StoreComparison:
         stored = await self.repository.read_all()
         if isinstance(stored, Unavailable):
-            return StoreSight.AWAY
+            return StoreComparison.UNREACHABLE
         offer = self.keeper.offer_copy(TableCopy(stored.table, stored.head.lineage, stored.edits))
-        return StoreSight.DIVERGED if offer is Offer.DIVERGED else StoreSight.NEWER
+        return StoreComparison.DIVERGED if offer is Offer.DIVERGED else StoreComparison.NEWER
 
-    async def _older(self, head: Head) -> StoreSight:
-        """Deal with a store that came back older than the table in force.
+    async def _restore_missing_edits(self, head: Head) -> StoreComparison:
+        """Write the edits that the store lacks after being restored from an older copy.
 
-        If what it holds is the beginning of this daemon's own history, the missing edits are
-        written again: they were accepted, so they must not revert. Otherwise nothing is done.
+        These edits were accepted, so they must not revert. Nothing is written if the table in the
+        store is not an earlier revision of the table in force, or if not all edits since are kept.
         """
         keeper = self.keeper
-        known = keeper.history.at(head.revision)
+        known = keeper.history.edit_by_revision(head.revision)
         missing = keeper.history.since(head.revision)
         lineage = known.lineage if known is not None else head.lineage
         log_event(
@@ -120,17 +136,17 @@
             in_force=keeper.revision,
         )
         if missing is None or lineage != head.lineage:
-            return StoreSight.DIVERGED
-        return await self._write_again(head, missing)
+            return StoreComparison.DIVERGED
+        return await self._write_edits(head, missing)
 
-    async def _write_again(self, head: Head, missing: tuple[AcceptedEdit, ...]) -> StoreSight:
+    async def _write_edits(self, head: Head, missing: tuple[AcceptedEdit, ...]) -> StoreComparison:
         writes = table_writes(self.keeper.table, missing)
         newest = missing[-1]
         put_head = Put(HEAD_KEY, head_value(newest))
         txn = Txn((Compare(HEAD_KEY, head.mod_revision),), (put_head, *writes))
         done = await self.store.transact(txn)
         if isinstance(done, Unavailable | Unknown):
-            return StoreSight.AWAY
+            return StoreComparison.UNREACHABLE
         if isinstance(done, TxnDone) and done.succeeded:
             log_event(
                 _LOG,
@@ -139,14 +155,17 @@
                 revision=newest.revision,
                 edits=len(missing),
             )
-            return StoreSight.SAME
-        return StoreSight.OLDER
+            return StoreComparison.SAME
+        return StoreComparison.OLDER
+
+    async def follow(self, stall_timeout_s: float) -> None:
+        """Watch the store, and poll it once at the start and at each change of the head.
 
-    async def follow(self, stalled_s: float) -> None:
-        """Watch the store until the stream ends, or until it has been silent for `stalled_s`
-        while a look shows that it missed something."""
+        Returns when the stream ends, when it sends nothing for `stall_timeout_s` (after polling
+        the store once more), or when the store is unreachable or has diverged.
+        """
         sight = await self.look()
-        if sight in (StoreSight.AWAY, StoreSight.DIVERGED):
+        if sight in (StoreComparison.UNREACHABLE, StoreComparison.DIVERGED):
             return
         head = await self.repository.read_head()
         if isinstance(head, Unavailable):
@@ -156,13 +175,13 @@
         try:
             while True:
                 pending = asyncio.ensure_future(anext(stream, None))
-                done, _ = await asyncio.wait({pending}, timeout=stalled_s)
+                done, _ = await asyncio.wait({pending}, timeout=stall_timeout_s)
                 if not done:
                     await self.look()
                     return
                 if pending.result() is None:
                     return
-                if await self.look() in (StoreSight.AWAY, StoreSight.DIVERGED):
+                if await self.look() in (StoreComparison.UNREACHABLE, StoreComparison.DIVERGED):
                     return
         finally:
             if pending is not None:
--- a/ferrydock/table/docs.py
+++ b/ferrydock/table/docs.py
@@ -1,4 +1,4 @@
-"""Print the operators' page of the table, made from its declaration."""
+"""Generates the operators' page on the table from its declaration, and prints it as a script."""
 
 from ._columns import SHEETS, Column
 
@@ -14,7 +14,7 @@
 """
 
 
-def _line(column: Column) -> str:
+def _column_line(column: Column) -> str:
     default = "must be filled" if column.default is None else f"`{column.default}`"
     if column.default == "":
         default = "empty"
@@ -28,7 +28,7 @@
     for sheet in SHEETS.values():
         parts.append(f"## `{sheet.name}`\n\nA row is {sheet.row_doc}.\n")
         parts.append("| column | allowed | default | meaning |\n| --- | --- | --- | --- |")
-        parts += [_line(column) for column in sheet.columns]
+        parts += [_column_line(column) for column in sheet.columns]
         parts.append("")
     return "\n".join(parts)
 
--- a/ferrydock/table/tests/test_csv_and_keys.py
+++ b/ferrydock/table/tests/test_csv_and_keys.py
@@ -1,4 +1,4 @@
-"""CSV sheets under fuzzing, the page made from the declaration, and keys."""
+"""CSV sheets with arbitrary text, the page generated from the declaration, and keys."""
 
 from pathlib import Path
 
@@ -53,18 +53,18 @@
             assert all(fault.place.startswith(f"{sheet}/") for fault in view.faults)
 
 
-def test_every_default_is_allowed():
+def test_every_default_is_a_permitted_value():
     for sheet in SHEETS.values():
         for column in sheet.columns:
             if column.default is not None:
                 column.parse(column.default)
 
 
-def test_the_operators_page_is_made_from_the_declaration():
+def test_the_operators_page_matches_the_declaration():
     assert (ROOT / "docs/operators/table.md").read_text() == table_page()
 
 
-def two_key_table():
+def view_with_keys():
     digests = f"{digest_key('old')} {digest_key('new')}"
     return Table(
         {
@@ -75,15 +75,15 @@
     ).view()
 
 
-def test_two_keys_are_valid_at_once_and_a_disabled_team_has_none():
-    view = two_key_table()
+def test_both_keys_of_a_team_are_valid_and_those_of_a_disabled_team_are_not():
+    view = view_with_keys()
     assert team_of_key(view, "old") == team_of_key(view, "new") == "kelenn"
     assert team_of_key(view, "gone") is None
     assert team_of_key(view, "other") is None
 
 
-def test_a_callers_key_never_gives_operator_rights():
-    view = two_key_table()
+def test_a_callers_key_is_no_operator_key_and_the_reverse():
+    view = view_with_keys()
     assert is_operator_key(view, "operator", ())
     assert not is_operator_key(view, "new", ())
     assert team_of_key(view, "operator") is None
--- a/ferrydock/table/tests/test_edits.py
+++ b/ferrydock/table/tests/test_edits.py
@@ -1,4 +1,4 @@
-"""Edits: merge, conflicts, lost answers, races, and tables that only rise."""
+"""Edits: merge, conflicts, lost answers, concurrent commits, and revisions that never decrease."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
     History,
     Offer,
     RowKey,
-    StoreSight,
+    StoreComparison,
     Table,
     TableCopy,
     TableKeeper,
@@ -59,7 +59,7 @@
     assert both.rows[HALL] == {"region": "south", "distance_ms": "3"}
 
 
-def test_the_same_cell_from_the_same_base_is_a_named_conflict():
+def test_two_texts_for_one_cell_from_one_base_conflict_and_the_cell_is_named():
     history, table = History(), Table({HALL: {}})
     first = accept(table, history, Edit("edit00001", 0, (cell("region", "south"),)))
     second = merge(first, history, Edit("edit00002", 0, (cell("region", "north"),)))
@@ -67,14 +67,14 @@
     assert second.cells == ("halls/hall-a/region",)
 
 
-def test_a_row_removed_meanwhile_is_a_conflict():
+def test_a_change_to_a_row_removed_since_the_base_is_a_conflict():
     history, table = History(), Table({HALL: {"region": "r"}})
     first = accept(table, history, Edit("edit00001", 0, (Change(HALL, None, None),)))
     second = merge(first, history, Edit("edit00002", 0, (cell("region", "north"),)))
     assert isinstance(second, Conflict)
 
 
-def test_every_fault_is_listed_and_nothing_changes():
+def test_an_invalid_edit_is_refused_with_every_fault():
     changes = (
         cell("lease_ttl_s", "soon", SITE),
         cell("probe_interval_s", "99", SITE),
@@ -87,7 +87,10 @@
 
 
 def naive_merge(base, current, edit):
-    """Merge cell by cell over flat dictionaries: the reference."""
+    """Merge cell by cell over flat dictionaries, as a reference for `merge`.
+
+    Returns None where both sides set a cell to different texts.
+    """
     wanted = dict(base)
     for change in edit:
         if change.text is None:
@@ -145,7 +148,7 @@
         }
 
 
-# Over a store ---------------------------------------------------------------------------------
+# Commits to a store ---------------------------------------------------------------------------
 
 
 def make_repository(store=None):
@@ -157,7 +160,7 @@
     return repository.commit(edit, 100.0)
 
 
-def test_a_lost_answer_is_settled_by_reading_back():
+def test_a_write_whose_answer_was_lost_is_found_by_reading_back():
     async def check():
         repository, store = make_repository()
         store.lose_answers = 1
@@ -179,7 +182,7 @@
     asyncio.run(check())
 
 
-def test_an_edit_that_arrives_late_is_not_applied_a_second_time():
+def test_a_write_delivered_after_its_retry_is_not_applied_a_second_time():
     async def check():
         repository, store = make_repository()
         store.lose_writes = 1
@@ -191,7 +194,7 @@
     asyncio.run(check())
 
 
-def test_an_edit_without_the_store_is_unavailable_and_with_a_lost_one_unknown():
+def test_a_commit_is_unavailable_without_the_store_and_unknown_if_its_writes_are_lost():
     async def check():
         repository, store = make_repository()
         store.down = True
@@ -204,7 +207,7 @@
     asyncio.run(check())
 
 
-def test_racing_operators_lose_nothing():
+def test_no_edit_of_concurrent_operators_is_lost():
     async def check():
         repository, store = make_repository()
         rows = [RowKey("halls", f"hall-{i}") for i in range(6)]
@@ -221,7 +224,7 @@
     return TableWatcher(make_repository(store)[0], keeper, ManualClock())
 
 
-def test_a_store_that_comes_back_older_gets_the_missing_edits_again():
+def test_a_store_restored_from_an_older_copy_gets_the_missing_edits():
     async def check():
         repository, store = make_repository()
         keeper = TableKeeper()
@@ -232,14 +235,14 @@
         await watcher.look()
         assert keeper.revision == 2
         store.store.restore(backup)
-        assert await watcher.look() is StoreSight.SAME
+        assert await watcher.look() is StoreComparison.SAME
         assert (await repository.read_all()).table.text(HALL, "region") == "y"
         assert keeper.table.text(HALL, "region") == "y"
 
     asyncio.run(check())
 
 
-def test_a_store_with_another_history_is_refused():
+def test_a_store_with_another_history_does_not_replace_the_table_in_force():
     async def check():
         repository, store = make_repository()
         keeper = TableKeeper()
@@ -250,24 +253,24 @@
         store.store.restore(backup)
         await commit(repository, Edit("edit00009", 0, (cell("region", "z"),)))
         await commit(repository, Edit("edit00010", 1, (cell("region", "zz"),)))
-        assert await watcher.look() is StoreSight.DIVERGED
+        assert await watcher.look() is StoreComparison.DIVERGED
         assert keeper.table.text(HALL, "region") == "x"
 
     asyncio.run(check())
 
 
-def test_edits_are_refused_while_the_store_is_older_than_what_is_in_force():
+def test_a_commit_is_refused_while_the_store_is_older_than_the_table_in_force():
     async def check():
         repository, _ = make_repository()
         edit = Edit("edit00001", 0, (cell("region", "x"),))
-        refused = await repository.commit(edit, 100.0, least_revision=5)
+        refused = await repository.commit(edit, 100.0, min_revision=5)
         assert isinstance(refused, Unavailable)
         assert (await repository.read_head()).revision == 0
 
     asyncio.run(check())
 
 
-def test_a_dead_watch_stream_is_noticed():
+def test_edits_are_read_although_the_watch_stream_is_silent():
     async def check():
         repository, store = make_repository()
         keeper = TableKeeper()
@@ -278,7 +281,7 @@
             yield
 
         store.watch = silent
-        following = asyncio.create_task(watcher.follow(stalled_s=0.01))
+        following = asyncio.create_task(watcher.follow(stall_timeout_s=0.01))
         await asyncio.sleep(0)
         await commit(repository, Edit("edit00001", 0, (cell("region", "x"),)))
         await following
@@ -287,7 +290,7 @@
     asyncio.run(check())
 
 
-# Ratchet --------------------------------------------------------------------------------------
+# Revisions never decrease ---------------------------------------------------------------------
 
 
 def edits_of(count):
@@ -329,7 +332,7 @@
     assert keeper.table.text(HALL, "region") == "r7"
 
 
-def test_an_older_or_foreign_copy_is_refused():
+def test_a_copy_that_is_older_or_of_another_history_is_refused():
     edits = edits_of(3)
     keeper = TableKeeper()
     keeper.offer_copy(TableCopy(Table({HALL: {}}), "0" * 16, ()))
@@ -341,7 +344,7 @@
     assert keeper.revision == 3
 
 
-def test_unknown_columns_and_sheets_of_a_newer_version_survive_an_edit():
+def test_columns_of_a_newer_version_are_kept_by_an_edit():
     table = Table({HALL: {"region": "a", "colour_of_2028": "blue"}})
     merged = merge(table, History(), Edit("edit00001", 0, (cell("region", "b"),)))
     assert merged.rows[HALL]["colour_of_2028"] == "blue"
