--- a/ferrydock/engines/__init__.py
+++ b/ferrydock/engines/__init__.py
@@ -1,4 +1,4 @@
-"""Ports to model engines: orders, state, cache events; a registry of engine kinds."""
+"""Control interfaces to model engines (orders, state, cache events) and a registry of kinds."""
 
 from ._http import HttpEngineControl, state_from_json, state_to_json
 from ._port import (
--- a/ferrydock/engines/_http.py
+++ b/ferrydock/engines/_http.py
@@ -1,4 +1,4 @@
-"""Engines whose control side speaks JSON over HTTP, below ``/control`` of the box's address."""
+"""Controls engines by JSON over HTTP, at paths below ``/control`` of the box's address."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 def state_to_json(state: BoxState) -> dict:
-    """Return the JSON form of a box's state."""
+    """Return the state of a box as JSON fields."""
     return {
         "box": state.box,
         "incarnation": state.incarnation,
@@ -43,7 +43,7 @@
 
 
 def state_from_json(fields: dict) -> BoxState:
-    """Read what `state_to_json` wrote."""
+    """Return the state from the JSON fields that `state_to_json` makes."""
     return BoxState(
         box=fields["box"],
         incarnation=fields["incarnation"],
@@ -63,13 +63,13 @@
 
 @register_engine("http")
 class HttpEngineControl:
-    """Control side of engines over HTTP.
+    """`EngineControl` over HTTP.
 
     Parameters
     ----------
     timeout_s : float, default=1.0
-        Longest wait for one answer. Shorter than the time for which a statement that a replica
-        is whole counts.
+        Time-out of one call. It is shorter than the time for which an attestation that a replica
+        is complete is valid.
     """
 
     __slots__ = ("_session", "timeout_s")
@@ -104,9 +104,9 @@
             async with self._http().post(
                 f"{url}/control/order", data=orjson.dumps(body)
             ) as response:
-                answer = orjson.loads(await response.read())
+                fields = orjson.loads(await response.read())
                 if response.status == 409:
-                    return OrderRefused(Fence(*answer["fence"]))
+                    return OrderRefused(Fence(*fields["fence"]))
                 response.raise_for_status()
                 return OrderAccepted()
         except aiohttp.ClientConnectorError as error:
--- a/ferrydock/engines/_port.py
+++ b/ferrydock/engines/_port.py
@@ -1,4 +1,4 @@
-"""The port to target boxes: fenced orders, reported state, cache events."""
+"""The interface to engines on target boxes: fenced orders, reported state, cache events."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -21,16 +21,18 @@
 
 
 class Fence(NamedTuple):
-    """Rank of an order. A box that checks orders obeys none below the highest it has seen.
+    """Fencing token of an order.
+
+    A box that checks orders refuses those with a fence below the highest that it has received.
 
     Attributes
     ----------
     term : int
         Revision of the store at which the controller's lease was granted.
     ballot : int
-        Raised by a controller that acts without the store.
+        Incremented by a controller that acts without the store.
     order : int
-        Counts the orders of one controller.
+        Number of the order among those of one controller.
 
     Examples
     --------
@@ -47,13 +49,13 @@
 
     @classmethod
     def parse(cls, text: str) -> "Fence":
-        """Read what ``str`` wrote."""
+        """Parse the text that ``str`` returns."""
         term, ballot, order = text.split(".")
         return cls(int(term), int(ballot), int(order))
 
 
 class OrderAction(StrEnum):
-    """What a box is told to do."""
+    """Action that a box is ordered to take."""
 
     LOAD = "load"
     PREPARE = "prepare"
@@ -67,20 +69,20 @@
     Attributes
     ----------
     fence : Fence
-        Rank of the order.
+        Fencing token of the order.
     action : OrderAction
-        ``load``: take part in a replica; ``prepare``: fetch the weights and stay free;
+        ``load``: join a replica; ``prepare``: fetch the weights without joining a replica;
         ``release``: leave any replica.
     replica_id : str
-        Replica to take part in; empty for the other actions.
+        Replica to join; empty for the other actions.
     model, version : str
-        What to load.
+        Model whose weights are loaded or fetched, and its version.
     weight_bytes : int
-        Size of what this box loads.
+        Size of the weights that this box loads.
     members : tuple of str
-        Boxes of the replica, its head first.
+        Boxes of the replica, the head first.
     slots : int
-        Requests that the replica runs at a time.
+        Maximum number of requests that the replica runs concurrently.
     """
 
     fence: Fence
@@ -94,24 +96,30 @@
 
     @property
     def order_id(self) -> str:
-        """Name of the order; the same order sent again has the same name."""
+        """Identifier of the order; a retry of the order has the same one."""
         return f"{self.fence}-{self.action}"
 
 
 @dataclass(frozen=True, slots=True)
 class OrderAccepted:
-    """The box obeys."""
+    """The box accepted the order and carries it out."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderRefused:
-    """The box stands behind a higher fence."""
+    """The box refused the order because it received a higher fence.
+
+    Attributes
+    ----------
+    fence : Fence
+        Highest fence that the box received.
+    """
 
     fence: Fence
 
 
 class BoxPhase(StrEnum):
-    """What a box is doing."""
+    """Phase of the engine on a box."""
 
     IDLE = "idle"
     LOADING = "loading"
@@ -120,30 +128,31 @@
 
 @dataclass(frozen=True, slots=True)
 class BoxState:
-    """What a box says of itself.
+    """State of a box as its engine reports it.
 
     Attributes
     ----------
     box : str
-        Its name.
+        Name of the box.
     incarnation : str
-        Changes whenever the engine on the box starts anew.
+        Identifies one run of the engine; differs after each restart.
     fence : Fence
-        Highest fence it obeyed. For a member of a replica this is the replica's generation.
+        Highest fence among the orders accepted. For a member of a replica this is the replica's
+        generation.
     phase : BoxPhase
-        What it is doing.
+        Phase of the engine.
     replica_id, model, version : str
-        What it takes part in; empty if free.
+        Replica that the box belongs to, its model and version; empty if it belongs to none.
     members : tuple of str
-        Boxes of its replica, the head first.
+        Boxes of the replica, the head first.
     held : tuple of (str, str)
-        Models and versions whose weights it holds.
+        Models and versions whose weights are on the box.
     running, waiting : int
-        Requests at this box, if it is a replica's head. They lag.
+        Requests running and queued, if the box is a replica's head. The counts lag behind.
     draining : bool
-        Whether the box itself says that it is about to leave.
+        Whether the box reports that it is about to leave.
     slots : int
-        Requests that its replica runs at a time.
+        Maximum number of requests that the replica runs concurrently.
     """
 
     box: str
@@ -163,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """Blocks of prompt prefixes that a replica stored or dropped."""
+    """Blocks of prompt prefixes that a replica's cache stored or evicted."""
 
     sequence: int
     stored: bool
@@ -172,28 +181,31 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """Events after a sequence number, late and with gaps; `incarnation` tells a new cache."""
+    """Cache events after a sequence number; events may be late, and some may be missing.
+
+    A changed `incarnation` identifies a new cache.
+    """
 
     incarnation: str
     events: tuple[CacheEvent, ...]
 
 
 class EngineControl(Protocol):
-    """What ferrydock asks of the control side of an engine. One instance serves many boxes."""
+    """Interface to the control side of an engine kind; one instance serves many boxes."""
 
     async def state(self, url: str) -> BoxState | Unavailable:
-        """Read what the box at `url` says of itself."""
+        """Return the state that the box at `url` reports."""
 
     async def send(
         self, url: str, order: Order
     ) -> OrderAccepted | OrderRefused | Unavailable | Unknown:
-        """Give an order to the box at `url`."""
+        """Send an order to the box at `url`; `Unknown` if the box may have received it."""
 
     async def cache_events(self, url: str, after: int) -> CacheEvents | Unavailable:
-        """Read the cache events that followed sequence number `after`."""
+        """Return the cache events with sequence numbers above `after`."""
 
     async def cancel(self, url: str, request_id: str) -> None:
-        """Tell the engine that nobody waits for the request any longer."""
+        """Ask the engine to stop a request whose result is not needed any more."""
 
     async def close(self) -> None:
-        """Give up the connections."""
+        """Close the connections to all boxes."""
--- a/ferrydock/engines/_prefix.py
+++ b/ferrydock/engines/_prefix.py
@@ -1,4 +1,4 @@
-"""How a prompt is cut into the blocks that prefix caches hold."""
+"""Splits a prompt into the blocks that prefix caches hold."""
 
 import xxhash
 
@@ -7,17 +7,18 @@
 BLOCK_CHARACTERS = 64
 
 
-def prefix_blocks(prompt: str, most: int = 256) -> tuple[int, ...]:
-    """Return the chained hashes of the prompt's whole blocks, first block first.
+def prefix_blocks(prompt: str, max_blocks: int = 256) -> tuple[int, ...]:
+    """Return the chained hashes of the prompt's full blocks, first block first.
 
-    Two prompts share the first k numbers just when their first k blocks are the same.
+    The first k hashes of two prompts are equal if and only if their first k blocks are equal,
+    apart from hash collisions.
 
     Parameters
     ----------
     prompt : str
-        The text that goes to the engine.
-    most : int, default=256
-        At most so many blocks are looked at.
+        Text that is sent to the engine.
+    max_blocks : int, default=256
+        Number of blocks after which the rest of the prompt is ignored.
 
     Examples
     --------
@@ -26,11 +27,11 @@
     >>> len(a), a[:2] == b[:2], a[2] == b[2]
     (3, True, False)
     """
-    count = min(len(prompt) // BLOCK_CHARACTERS, most)
-    blocks = []
+    count = min(len(prompt) // BLOCK_CHARACTERS, max_blocks)
+    hashes = []
     chain = 0
     for index in range(count):
         text = prompt[index * BLOCK_CHARACTERS : (index + 1) * BLOCK_CHARACTERS]
         chain = xxhash.xxh3_64_intdigest(text.encode("utf-8", "surrogatepass"), seed=chain)
-        blocks.append(chain)
-    return tuple(blocks)
+        hashes.append(chain)
+    return tuple(hashes)
--- a/ferrydock/engines/_registry.py
+++ b/ferrydock/engines/_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the kinds of engine that ferrydock can speak to."""
+"""Registry of the kinds of engine that ferrydock can control."""
 
 from collections.abc import Callable
 
@@ -6,26 +6,26 @@
 
 __all__ = ["engine_kinds", "make_engine_control", "register_engine"]
 
-_ENGINES: dict[str, type] = {}
+_CONTROL_CLASSES: dict[str, type] = {}
 
 
 def register_engine(name: str) -> Callable[[type], type]:
-    """Return a decorator that enters an `EngineControl` class under `name`."""
+    """Return a decorator that registers an `EngineControl` class as the engine kind `name`."""
 
-    def enter(cls: type) -> type:
-        if name in _ENGINES:
+    def register(cls: type) -> type:
+        if name in _CONTROL_CLASSES:
             raise AssertionError(f"engine kind {name!r} is registered twice")
-        _ENGINES[name] = cls
+        _CONTROL_CLASSES[name] = cls
         return cls
 
-    return enter
+    return register
 
 
 def engine_kinds() -> tuple[str, ...]:
-    """Return the registered names, sorted."""
-    return tuple(sorted(_ENGINES))
+    """Return the names of the registered engine kinds, sorted."""
+    return tuple(sorted(_CONTROL_CLASSES))
 
 
 def make_engine_control(name: str, **parameters) -> EngineControl:
-    """Make the control side of the engine kind `name`."""
-    return _ENGINES[name](**parameters)
+    """Return an `EngineControl` for the engine kind `name`, constructed with `parameters`."""
+    return _CONTROL_CLASSES[name](**parameters)
