--- a/ferrydock/cli/_client.py
+++ b/ferrydock/cli/_client.py
@@ -1,4 +1,4 @@
-"""Speaks to a daemon's operator side."""
+"""HTTP client for the operator interface of a daemon."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,19 +11,25 @@
 
 __all__ = ["EditAccepted", "OperatorClient"]
 
-SEND_TRIES = 4
+SEND_ATTEMPTS = 4
 SEND_PAUSE_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class EditAccepted:
-    """The edit is in force from this revision on."""
+    """The daemon accepted the edit, or found it valid in a dry run.
+
+    Attributes
+    ----------
+    revision : int
+        Revision of the table after the edit.
+    """
 
     revision: int
 
 
 class OperatorClient:
-    """Client of ``/operator/...``.
+    """Client for the paths below ``/operator`` of a daemon.
 
     Parameters
     ----------
@@ -32,7 +38,7 @@
     key : str
         Operator key.
     timeout_s : float, default=15.0
-        Longest wait for one answer.
+        Time-out of one call.
     """
 
     __slots__ = ("_session", "key", "timeout_s", "url")
@@ -44,12 +50,12 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
-        """Give up the connection."""
+        """Close the HTTP session."""
         if self._session is not None:
             await self._session.close()
 
     def http(self) -> aiohttp.ClientSession:
-        """Return the session, made on first use."""
+        """Return the HTTP session, which is created on first use."""
         if self._session is None:
             headers = {"Authorization": f"Bearer {self.key}"}
             timeout = aiohttp.ClientTimeout(total=self.timeout_s)
@@ -57,7 +63,7 @@
         return self._session
 
     async def get(self, path: str, **query: str) -> dict | Unavailable | Invalid | Conflict:
-        """Read JSON fields."""
+        """Return the JSON fields at `path`, or an outcome that fits the status of the answer."""
         try:
             async with self.http().get(self.url + path, params=query) as response:
                 fields = orjson.loads(await response.read())
@@ -73,7 +79,7 @@
         return Invalid((Fault(path, message),))
 
     async def table(self, revision: int | None = None) -> Table | Unavailable | Invalid | Conflict:
-        """Read the table, now or at an earlier revision."""
+        """Return the table at `revision`, or the one in force if None."""
         query = {} if revision is None else {"revision": str(revision)}
         fields = await self.get("/operator/table", **query)
         if not isinstance(fields, dict):
@@ -84,7 +90,10 @@
     async def send_edit(
         self, edit: Edit, dry_run: bool = False
     ) -> EditAccepted | Invalid | Conflict | Unavailable | Unknown:
-        """Have an edit accepted. A lost answer is settled by sending the same edit id again."""
+        """Send an edit until its result is known, at most `SEND_ATTEMPTS` times.
+
+        If an answer is lost, the edit is sent again with the same id, so that it is applied once.
+        """
         body = orjson.dumps(
             {
                 "edit_id": edit.edit_id,
@@ -94,16 +103,16 @@
             }
         )
         outcome: Unavailable | Unknown = Unavailable("not sent")
-        in_doubt = False
-        for attempt in range(SEND_TRIES):
+        may_be_accepted = False
+        for attempt in range(SEND_ATTEMPTS):
             if attempt:
                 await asyncio.sleep(SEND_PAUSE_S)
-            step = await self._send_once(body, dry_run)
-            if not isinstance(step, Unavailable | Unknown):
-                return step
-            in_doubt = in_doubt or isinstance(step, Unknown)
-            outcome = step
-        return Unknown(outcome.reason) if in_doubt else outcome
+            result = await self._send_once(body, dry_run)
+            if not isinstance(result, Unavailable | Unknown):
+                return result
+            may_be_accepted = may_be_accepted or isinstance(result, Unknown)
+            outcome = result
+        return Unknown(outcome.reason) if may_be_accepted else outcome
 
     async def _send_once(self, body: bytes, dry_run: bool):
         query = {"dry_run": "true"} if dry_run else {}
@@ -137,7 +146,10 @@
 
 
 def set_cells(key: RowKey, cells: dict[str, str], exists: bool) -> tuple[Change, ...]:
-    """Return the changes that fill cells of a row, making the row where it is absent."""
+    """Return the changes that set cells of a row, and create the row unless it exists.
+
+    An empty text empties the cell.
+    """
     changes = [] if exists else [Change(key, None, "")]
     changes += [Change(key, column, text or None) for column, text in cells.items()]
     return tuple(changes)
--- a/ferrydock/cli/_emulate.py
+++ b/ferrydock/cli/_emulate.py
@@ -5,7 +5,7 @@
 import orjson
 
 from ..outcomes import Invalid
-from ._verbs import Context, ExitStatus, register_verb, say
+from ._verbs import Context, ExitStatus, finish, register_verb
 
 __all__ = []
 
@@ -16,34 +16,34 @@
     "Play an experiment on a stand-in platform with daemons as processes; print its figures.",
 )
 async def emulate(context: Context, args: list[str]) -> ExitStatus:
-    """Play an experiment; a broken promise makes it fail."""
+    """Run an experiment; return CONFLICT if a promise was broken."""
     from ..emulator import Emulation, figures, page, read_experiment
 
     if not 1 <= len(args) <= 2:
-        return say(ExitStatus.BAD_INPUT, "emulate needs the path of an experiment")
+        return finish(ExitStatus.BAD_INPUT, "emulate needs the path of an experiment")
     try:
         text = Path(args[0]).read_text()
-        against = _read_result(context.flags.against)
-        folder = _folder(args[1]) if len(args) == 2 else None
+        earlier_result = _read_result(context.flags.against)
+        folder = _make_folder(args[1]) if len(args) == 2 else None
     except (OSError, ValueError) as error:
-        return say(ExitStatus.BAD_INPUT, str(error))
+        return finish(ExitStatus.BAD_INPUT, str(error))
     experiment = read_experiment(text)
     if isinstance(experiment, Invalid):
-        return say(ExitStatus.BAD_INPUT, experiment.reason)
+        return finish(ExitStatus.BAD_INPUT, experiment.reason)
     result = await Emulation(experiment, folder).run()
     print(orjson.dumps(figures(result), option=orjson.OPT_INDENT_2).decode())
     if context.flags.report:
-        Path(context.flags.report).write_text(page(result, against))
+        Path(context.flags.report).write_text(page(result, earlier_result))
     if result.broken:
-        return say(ExitStatus.CONFLICT, f"{len(result.broken)} promises were broken")
-    return say(ExitStatus.DONE, "every promise held")
+        return finish(ExitStatus.CONFLICT, f"{len(result.broken)} promises were broken")
+    return finish(ExitStatus.DONE, "every promise held")
 
 
 def _read_result(path: str) -> dict | None:
     return orjson.loads(Path(path).read_bytes()) if path else None
 
 
-def _folder(path: str) -> Path:
+def _make_folder(path: str) -> Path:
     folder = Path(path)
     folder.mkdir(parents=True, exist_ok=True)
     return folder
--- a/ferrydock/cli/_explain.py
+++ b/ferrydock/cli/_explain.py
@@ -1,4 +1,4 @@
-"""The verb `explain`: the story of a request or of a replica, from log lines."""
+"""The verb `explain`: the log lines of a request or a replica, and the cause of its end."""
 
 import sys
 from collections.abc import Iterable
@@ -6,14 +6,16 @@
 from pathlib import Path
 
 from ..logs import parse_event
-from ._verbs import Context, ExitStatus, register_verb, say
+from ._verbs import Context, ExitStatus, finish, register_verb
 
-__all__ = ["Story", "Told", "tell_replica", "tell_request"]
+__all__ = ["Explanation", "LogLine", "tell_replica", "tell_request"]
 
-_SHOWN_FIRST = ("time", "daemon", "event")
-_HIDDEN = frozenset({"level", "logger"})
-_REQUEST_ENDS = frozenset({"request_done", "request_failed", "request_refused", "caller_left"})
-_REASONS = {
+_LEADING_FIELDS = ("time", "daemon", "event")
+_HIDDEN_FIELDS = frozenset({"level", "logger"})
+_FINAL_REQUEST_EVENTS = frozenset(
+    {"request_done", "request_failed", "request_refused", "caller_left"}
+)
+_REASON_TEXTS = {
     "no_room": "no replica or target had room before the time allowed for waiting was over",
     "targets_limited": "all targets that could serve it have named limits that were used up",
     "targets_rest": "all targets that could serve it had asked this daemon for rest",
@@ -45,133 +47,144 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """One line of a story."""
+class LogLine:
+    """One parsed line of a daemon's log."""
 
     fields: dict[str, str]
 
     @property
     def time(self) -> str:
-        """When, as logged."""
+        """Time of the event, as logged."""
         return self.fields.get("time", "")
 
     def __str__(self):
-        first = [self.fields[name] for name in _SHOWN_FIRST if name in self.fields]
+        first = [self.fields[name] for name in _LEADING_FIELDS if name in self.fields]
         rest = [
             f"{name}={value}"
             for name, value in self.fields.items()
-            if name not in _SHOWN_FIRST and name not in _HIDDEN
+            if name not in _LEADING_FIELDS and name not in _HIDDEN_FIELDS
         ]
         return " ".join((*first, *rest))
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """Lines in order, and the one that decided.
+class Explanation:
+    """The log lines of a request or replica, and the cause of its end.
 
     Attributes
     ----------
-    deciding : Told or None
-        The line that settled the end.
+    lines : tuple of LogLine
+        Lines in order of time.
+    deciding : LogLine or None
+        Line that gives the cause; None if there are no lines.
     cause : str
-        The same in words.
+        The cause in words.
     """
 
-    lines: tuple[Told, ...]
-    deciding: Told | None
+    lines: tuple[LogLine, ...]
+    deciding: LogLine | None
     cause: str
 
 
-def _read(lines: Iterable[str], daemon: str = "") -> list[Told]:
-    told = []
+def _parse_lines(lines: Iterable[str], daemon: str = "") -> list[LogLine]:
+    log_lines = []
     for line in lines:
         fields = parse_event(line)
         if "event" in fields:
-            told.append(Told({"daemon": daemon, **fields} if daemon else fields))
-    return told
+            log_lines.append(LogLine({"daemon": daemon, **fields} if daemon else fields))
+    return log_lines
 
 
-def _reason_of(told: Told) -> str:
-    why = told.fields.get("why", "")
-    known = _REASONS.get(why) or _REASONS.get(why.split("_")[0], "")
+def _reason_of(line: LogLine) -> str:
+    why = line.fields.get("why", "")
+    known = _REASON_TEXTS.get(why) or _REASON_TEXTS.get(why.split("_")[0], "")
     return f"{why}: {known}" if known else why
 
 
-def tell_request(request_id: str, told: Iterable[Told]) -> Story:
-    """Return the story of one request.
+def tell_request(request_id: str, log_lines: Iterable[LogLine]) -> Explanation:
+    """Return the log lines of one request, and the cause of its end.
+
+    The deciding line is the last failed attempt if the request was answered after it, may have
+    run, or found no room after it. Otherwise, and for a request refused because it crashes
+    targets, it is the line that ends the request.
 
     Examples
     --------
     >>> line = "time=1 event=request_refused request=r why=unknown_key"
-    >>> tell_request("r", _read([line])).cause
+    >>> tell_request("r", _parse_lines([line])).cause
     'unknown_key: no tenant of the configuration in force holds the key'
     """
-    everything = sorted(told, key=lambda line: line.time)
-    own = [line for line in everything if line.fields.get("request") == request_id]
+    all_lines = sorted(log_lines, key=lambda line: line.time)
+    own = [line for line in all_lines if line.fields.get("request") == request_id]
     failed = [line for line in own if line.fields["event"] == "attempt_failed"]
-    ends = [line for line in own if line.fields["event"] in _REQUEST_ENDS]
+    ends = [line for line in own if line.fields["event"] in _FINAL_REQUEST_EVENTS]
     if not own:
-        return Story((), None, f"no line names the request {request_id!r}")
+        return Explanation((), None, f"no line names the request {request_id!r}")
     last = ends[-1] if ends else own[-1]
     if last.fields["event"] == "request_done":
         after = f", after {_reason_of(failed[-1])}" if failed else ""
-        return _with_replicas(
-            own, everything, failed[-1] if failed else last, "it was answered" + after
+        return _with_replica_lines(
+            own, all_lines, failed[-1] if failed else last, "it was answered" + after
         )
     deciding = failed[-1] if failed and last.fields.get("may_have_run") == "True" else last
     if last.fields.get("why") == "crashes_targets":
         deciding = last
     if last.fields.get("why") == "no_room" and failed:
         deciding = failed[-1]
-    return _with_replicas(own, everything, deciding, _reason_of(deciding))
+    return _with_replica_lines(own, all_lines, deciding, _reason_of(deciding))
 
 
-def _with_replicas(own: list[Told], everything: list[Told], deciding: Told, cause: str) -> Story:
-    """Return a story that also tells what was found out about the deciding line's replica."""
+def _with_replica_lines(
+    own: list[LogLine], all_lines: list[LogLine], deciding: LogLine, cause: str
+) -> Explanation:
+    """Add the lines that say that the deciding line's replica was silent or was dissolved."""
     replica = deciding.fields.get("replica")
-    around = [
+    replica_lines = [
         line
-        for line in everything
+        for line in all_lines
         if replica
         and line.fields.get("replica") == replica
         and line.fields["event"] in ("replica_silent", "replica_given_up")
     ]
-    silent = next((line for line in around if line.fields.get("silent")), None)
+    silent = next((line for line in replica_lines if line.fields.get("silent")), None)
     if silent is not None:
         cause += f"; target {silent.fields['silent']} of replica {replica} was silent"
-    lines = sorted({id(line): line for line in (*own, *around)}.values(), key=lambda x: x.time)
-    return Story(tuple(lines), deciding, cause)
+    lines = sorted(
+        {id(line): line for line in (*own, *replica_lines)}.values(), key=lambda x: x.time
+    )
+    return Explanation(tuple(lines), deciding, cause)
 
 
-def tell_replica(name: str, told: Iterable[Told]) -> Story:
-    """Return the story of one replica."""
-    everything = sorted(told, key=lambda line: line.time)
-    own = [line for line in everything if line.fields.get("replica") == name]
+def tell_replica(name: str, log_lines: Iterable[LogLine]) -> Explanation:
+    """Return the log lines of one replica, without those of requests, and the cause of its end."""
+    all_lines = sorted(log_lines, key=lambda line: line.time)
+    own = [line for line in all_lines if line.fields.get("replica") == name]
     own = [line for line in own if "request" not in line.fields]
     if not own:
-        return Story((), None, f"no line names the replica {name!r}")
-    wanted = ("replica_given_up", "replica_not_formed", "replica_formed")
-    ends = [line for line in own if line.fields["event"] in wanted]
+        return Explanation((), None, f"no line names the replica {name!r}")
+    deciding_events = ("replica_given_up", "replica_not_formed", "replica_formed")
+    ends = [line for line in own if line.fields["event"] in deciding_events]
     deciding = ends[-1] if ends else own[-1]
     if deciding.fields["event"] == "replica_formed":
-        return Story(tuple(own), deciding, "it was formed and not given up")
+        return Explanation(tuple(own), deciding, "it was formed and not given up")
     cause = _reason_of(deciding)
     if deciding.fields.get("dead"):
         cause += f"; dead: {deciding.fields['dead']}"
-    return Story(tuple(own), deciding, cause)
+    return Explanation(tuple(own), deciding, cause)
 
 
-def _gather(paths: list[str]) -> list[Told] | str:
+def _gather(paths: list[str]) -> list[LogLine] | str:
+    """Return the log lines of the files, or of standard input if none is given; or an error."""
     if not paths:
-        return _read(sys.stdin)
-    told: list[Told] = []
+        return _parse_lines(sys.stdin)
+    log_lines: list[LogLine] = []
     for path in paths:
         try:
             text = Path(path).read_text(errors="replace")
         except OSError as error:
             return f"{path}: cannot be read: {error.strerror}"
-        told += _read(text.splitlines(), Path(path).stem)
-    return told
+        log_lines += _parse_lines(text.splitlines(), Path(path).stem)
+    return log_lines
 
 
 @register_verb(
@@ -181,16 +194,16 @@
     "input, and name the line that decided.",
 )
 async def explain(context: Context, args: list[str]) -> ExitStatus:
-    """Print a story."""
+    """Print the log lines of a request or replica, mark the deciding one, and name the cause."""
     replica = context.flags.replica
     if not replica and not args:
-        return say(ExitStatus.BAD_INPUT, "explain needs the id of a request, or --replica=NAME")
-    told = _gather(args if replica else args[1:])
-    if isinstance(told, str):
-        return say(ExitStatus.BAD_INPUT, told)
-    story = tell_replica(replica, told) if replica else tell_request(args[0], told)
-    for line in story.lines:
-        mark = "->" if line is story.deciding else "  "
+        return finish(ExitStatus.BAD_INPUT, "explain needs the id of a request, or --replica=NAME")
+    log_lines = _gather(args if replica else args[1:])
+    if isinstance(log_lines, str):
+        return finish(ExitStatus.BAD_INPUT, log_lines)
+    found = tell_replica(replica, log_lines) if replica else tell_request(args[0], log_lines)
+    for line in found.lines:
+        mark = "->" if line is found.deciding else "  "
         print(f"{mark} {line}")
-    print(f"cause: {story.cause}")
-    return ExitStatus.DONE if story.lines else ExitStatus.BAD_INPUT
+    print(f"cause: {found.cause}")
+    return ExitStatus.DONE if found.lines else ExitStatus.BAD_INPUT
--- a/ferrydock/cli/_main.py
+++ b/ferrydock/cli/_main.py
@@ -1,4 +1,4 @@
-"""``ferrydock``: the operators' command line."""
+"""``ferrydock``: the operators' command line, with its flags and usage text."""
 
 import asyncio
 import ipaddress
@@ -13,7 +13,7 @@
 from ..environment import apply_environment
 from . import _demo, _emulate, _explain, _report, _request, _status, _table  # noqa: F401  each registers its verbs
 from ._client import OperatorClient
-from ._verbs import Context, ExitStatus, Verb, find_verb, say, verbs
+from ._verbs import Context, ExitStatus, Verb, find_verb, finish, verbs
 
 __all__ = ["main"]
 
@@ -72,7 +72,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one verb; return the exit status."""
+    """Run the verb that the arguments name, and return the exit status of the process."""
     arguments = list(sys.argv if argv is None else argv)
     wants_help = "--help" in arguments or "-h" in arguments
     arguments = [a for a in arguments if a not in ("--help", "-h")]
@@ -80,21 +80,21 @@
     try:
         words = flags.FLAGS(arguments)[1:]
     except flags.Error as error:
-        return say(ExitStatus.BAD_INPUT, str(error).splitlines()[0])
-    wrong = apply_environment(flags.FLAGS, os.environ)
-    if wrong is not None:
-        return say(ExitStatus.BAD_INPUT, wrong.reason)
+        return finish(ExitStatus.BAD_INPUT, str(error).splitlines()[0])
+    invalid = apply_environment(flags.FLAGS, os.environ)
+    if invalid is not None:
+        return finish(ExitStatus.BAD_INPUT, invalid.reason)
     found = find_verb(words)
     if wants_help or not words:
         print(_verb_help(found[0]) if found is not None else _usage())
         return ExitStatus.DONE
     if found is None:
-        return say(ExitStatus.BAD_INPUT, f"there is no verb {' '.join(words)!r}; try --help")
+        return finish(ExitStatus.BAD_INPUT, f"there is no verb {' '.join(words)!r}; try --help")
     verb, args = found
     try:
         return uvloop.run(_run(verb, args))
     except (KeyboardInterrupt, asyncio.CancelledError):
-        return say(ExitStatus.UNKNOWN, "interrupted")
+        return finish(ExitStatus.UNKNOWN, "interrupted")
 
 
 if __name__ == "__main__":
--- a/ferrydock/cli/_report.py
+++ b/ferrydock/cli/_report.py
@@ -3,7 +3,7 @@
 import orjson
 
 from ..reports import burn_html, burn_text
-from ._verbs import Context, ExitStatus, register_verb, say
+from ._verbs import Context, ExitStatus, finish, register_verb
 
 __all__ = []
 
@@ -16,10 +16,10 @@
     "Print how fast the error budgets burn, over all daemons that can be reached.",
 )
 async def burn(context: Context, args: list[str]) -> ExitStatus:
-    """Print the burn report."""
-    wanted = context.flags.format
-    if args or wanted not in FORMATS:
-        return say(ExitStatus.BAD_INPUT, f"--format: {wanted!r}; allowed: {', '.join(FORMATS)}")
+    """Print the burn report in the form that the flag `format` names."""
+    form = context.flags.format
+    if args or form not in FORMATS:
+        return finish(ExitStatus.BAD_INPUT, f"--format: {form!r}; allowed: {', '.join(FORMATS)}")
     query = {
         "team": context.flags.team,
         "model": context.flags.model,
@@ -27,10 +27,10 @@
     }
     report = await context.client.get("/operator/burn", **query)
     if not isinstance(report, dict):
-        return say(ExitStatus.UNREACHABLE, report.reason)
-    if wanted == "json":
+        return finish(ExitStatus.UNREACHABLE, report.reason)
+    if form == "json":
         print(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
-    elif wanted == "html":
+    elif form == "html":
         print(burn_html(report))
     else:
         print(burn_text(report))
--- a/ferrydock/cli/_request.py
+++ b/ferrydock/cli/_request.py
@@ -1,4 +1,4 @@
-"""The verb `request`: one request from the shell."""
+"""The verb `request`: sends one chat request to a model and prints the answer."""
 
 import sys
 from pathlib import Path
@@ -6,11 +6,11 @@
 import aiohttp
 import orjson
 
-from ._verbs import Context, ExitStatus, register_verb, say
+from ._verbs import Context, ExitStatus, finish, register_verb
 
 __all__ = []
 
-DATA = b"data: "
+DATA_PREFIX = b"data: "
 
 
 @register_verb(
@@ -19,12 +19,12 @@
     "Send one request and stream the answer; the text comes from FILE or standard input.",
 )
 async def request(context: Context, args: list[str]) -> ExitStatus:
-    """Send one chat request and print its answer as it comes."""
+    """Send one chat request and print its answer while it is streamed."""
     if not 1 <= len(args) <= 2:
-        return say(ExitStatus.BAD_INPUT, "request takes MODEL [FILE]")
+        return finish(ExitStatus.BAD_INPUT, "request takes MODEL [FILE]")
     text = _read_text(args[1] if len(args) == 2 else "-")
     if isinstance(text, ValueError):
-        return say(ExitStatus.BAD_INPUT, str(text))
+        return finish(ExitStatus.BAD_INPUT, str(text))
     body = {
         "model": args[0],
         "messages": [{"role": "user", "content": text}],
@@ -40,10 +40,10 @@
             f"{context.client.url}/v1/chat/completions", json=body, headers=headers, timeout=timeout
         ) as response:
             if response.status != 200:
-                return _refused(response.status, await response.read())
+                return _print_refusal(response.status, await response.read())
             return await _print_stream(response)
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-        return say(ExitStatus.UNREACHABLE, f"{context.client.url}: {type(error).__name__}")
+        return finish(ExitStatus.UNREACHABLE, f"{context.client.url}: {type(error).__name__}")
 
 
 def _read_text(name: str) -> str | ValueError:
@@ -54,33 +54,33 @@
     return text if text.strip() else ValueError(f"FILE {name}: is empty")
 
 
-def _refused(status: int, body: bytes) -> ExitStatus:
+def _print_refusal(status: int, body: bytes) -> ExitStatus:
     try:
         error = orjson.loads(body)["error"]
     except (ValueError, KeyError, TypeError):
-        return say(ExitStatus.UNREACHABLE, f"status {status}")
+        return finish(ExitStatus.UNREACHABLE, f"status {status}")
     message = f"{error['message']} (run: {error['run']}, retry: {str(error['retry']).lower()})"
     if error["run"] == "unknown":
-        return say(ExitStatus.UNKNOWN, message)
-    return say(ExitStatus.UNREACHABLE if status >= 429 else ExitStatus.BAD_INPUT, message)
+        return finish(ExitStatus.UNKNOWN, message)
+    return finish(ExitStatus.UNREACHABLE if status >= 429 else ExitStatus.BAD_INPUT, message)
 
 
 async def _print_stream(response: aiohttp.ClientResponse) -> ExitStatus:
-    whole = False
+    complete = False
     async for line in response.content:
-        if not line.startswith(DATA):
+        if not line.startswith(DATA_PREFIX):
             continue
-        data = line[len(DATA) :].strip()
+        data = line[len(DATA_PREFIX) :].strip()
         if data == b"[DONE]":
-            whole = True
+            complete = True
             continue
         fields = orjson.loads(data)
         if "error" in fields:
             print(flush=True)
-            return say(ExitStatus.UNKNOWN, fields["error"]["message"])
+            return finish(ExitStatus.UNKNOWN, fields["error"]["message"])
         for choice in fields["choices"]:
             print(choice.get("delta", {}).get("content") or "", end="", flush=True)
     print(flush=True)
-    if not whole:
-        return say(ExitStatus.UNKNOWN, "the answer ended before its end")
+    if not complete:
+        return finish(ExitStatus.UNKNOWN, "the answer ended before its end")
     return ExitStatus.DONE
--- a/ferrydock/cli/_verbs.py
+++ b/ferrydock/cli/_verbs.py
@@ -1,4 +1,4 @@
-"""Registry of the verbs of the command line, and what every verb is given."""
+"""Registry of the verbs of the command line, their exit statuses, and their arguments."""
 
 import sys
 from collections.abc import Awaitable, Callable
@@ -9,11 +9,11 @@
 
 from ._client import OperatorClient
 
-__all__ = ["Context", "ExitStatus", "Verb", "find_verb", "register_verb", "say", "verbs"]
+__all__ = ["Context", "ExitStatus", "Verb", "find_verb", "register_verb", "finish", "verbs"]
 
 
 class ExitStatus(IntEnum):
-    """Exit statuses; messages begin with the same word."""
+    """Exit status of the process; the closing message begins with the status in words."""
 
     DONE = 0
     BAD_INPUT = 2
@@ -23,11 +23,11 @@
 
     @property
     def word(self) -> str:
-        """The word that messages begin with."""
-        return _WORDS[self]
+        """The words that the closing message begins with."""
+        return _STATUS_TEXTS[self]
 
 
-_WORDS = {
+_STATUS_TEXTS = {
     ExitStatus.DONE: "done",
     ExitStatus.BAD_INPUT: "bad input",
     ExitStatus.CONFLICT: "conflict",
@@ -38,12 +38,12 @@
 
 @dataclass(slots=True)
 class Context:
-    """What a verb works with.
+    """What every verb is called with, beside its arguments.
 
     Attributes
     ----------
     client : OperatorClient
-        Speaks to the daemon.
+        Client for the daemon that the flags name.
     flags : FlagValues
         Parsed flags.
     """
@@ -54,7 +54,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Verb:
-    """One verb: its words, its arguments, what it does, and its code."""
+    """One verb of the command line.
+
+    Attributes
+    ----------
+    name : str
+        One or two words, as typed.
+    usage : str
+        Its arguments and flags, for the usage text.
+    doc : str
+        What it does, for the usage text.
+    run : callable
+        Coroutine function that is called with the context and the arguments.
+    """
 
     name: str
     usage: str
@@ -66,22 +78,22 @@
 
 
 def register_verb(name: str, usage: str, doc: str) -> Callable:
-    """Return a decorator that enters a coroutine function as the verb `name`."""
+    """Return a decorator that registers a coroutine function as the verb `name`."""
 
-    def enter(run: Callable) -> Callable:
+    def register(run: Callable) -> Callable:
         _VERBS[name] = Verb(name, usage, doc, run)
         return run
 
-    return enter
+    return register
 
 
 def verbs() -> tuple[Verb, ...]:
-    """Return all verbs, sorted."""
+    """Return all verbs, sorted by name."""
     return tuple(_VERBS[name] for name in sorted(_VERBS))
 
 
 def find_verb(words: list[str]) -> tuple[Verb, list[str]] | None:
-    """Return the verb that `words` begin with, and the words after it."""
+    """Return the verb that `words` begin with, and its arguments; None if there is none."""
     for count in (2, 1):
         verb = _VERBS.get(" ".join(words[:count]))
         if verb is not None and len(words) >= count:
@@ -89,7 +101,7 @@
     return None
 
 
-def say(status: ExitStatus, message: str) -> ExitStatus:
+def finish(status: ExitStatus, message: str) -> ExitStatus:
     """Print the closing message of a verb and return its status."""
     stream = sys.stdout if status is ExitStatus.DONE else sys.stderr
     print(f"{status.word}: {message}", file=stream)
