--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -34,10 +34,12 @@
 REWORDED: tuple[str, ...] = (
     "__init__.py",
     "backpressure",
+    "cli",
     "clock.py",
     "configuration",
     "crashes",
     "daemon.py",
+    "engines",
     "environment.py",
     "forwarding",
     "freshness",
@@ -52,6 +54,7 @@
     "planned_stop.py",
     "relay",
     "replicas",
+    "reports",
     "requests",
     "retry_budget.py",
     "route_daemon",
@@ -60,6 +63,7 @@
     "scheduling",
     "startup.py",
     "store",
+    "table",
     "targets",
     "teams",
 )
