--- a/ferrydock/gateway/__init__.py
+++ b/ferrydock/gateway/__init__.py
@@ -1,20 +1,20 @@
-"""HTTP of the table's daemon towards callers and operators.
+"""HTTP interface of ferrydockd for callers and operators.
 
-One module for each kind of route: models, plain services, routes of the table (through
-`ferrydock.forwarding`), operators; `_app` listens. What does not belong here: running a model
-request (`ferrydock.requests`), limits of teams (`ferrydock.teams`), the table (`ferrydock.table`).
+Each kind of route has a module: models, plain services, routes of the operators' table (served by
+`ferrydock.forwarding`) and operators; `_app` listens. Elsewhere are: running model requests
+(`ferrydock.requests`), team limits (`ferrydock.teams`) and the table (`ferrydock.table`).
 """
 
 from ._app import Gateway
 from ._callers import Callers
 from ._errors import error_response, not_run_response
-from ._lasting_work import LastingWork
+from ._lasting_work import BackgroundTasks
 from ._models import ModelRoutes
 from ._operators import OperatorRoutes
 from ._route_dialect import OwnDialect
 from ._routes import TableRoutes, configuration_of, targets_of
 from ._services import ServiceRoutes
-from ._spill import Spill
+from ._spill import RemoteHallForwarder
 
 __all__ = [
     "OwnDialect",
@@ -23,11 +23,11 @@
     "targets_of",
     "Callers",
     "Gateway",
-    "LastingWork",
+    "BackgroundTasks",
     "ModelRoutes",
     "OperatorRoutes",
     "ServiceRoutes",
-    "Spill",
+    "RemoteHallForwarder",
     "error_response",
     "not_run_response",
 ]
--- a/ferrydock/gateway/_app.py
+++ b/ferrydock/gateway/_app.py
@@ -1,6 +1,6 @@
-"""The HTTP application of the table's daemon: routes, bounds, health, requests under way.
+"""HTTP application of ferrydockd: routes, size limits, health endpoints and planned stop.
 
-Owns the listening socket and the count of requests under way.
+Owns the listening socket and the count of requests in flight.
 """
 
 import asyncio
@@ -21,55 +21,56 @@
 
 _LOG = logging.getLogger("ferrydock.gateway")
 
-# Largest body and longest line of a head that a caller may send. Chosen, not measured.
+# Largest body, and longest request line or header field, that a caller may send.
 MAX_BODY_BYTES = 4 * 2**20
 MAX_HEAD_BYTES = 16384
 
-# Connections that may wait to be accepted; how long closing waits for the answers of requests that
-# the stop limit has ended, and once more after it has cancelled them. Chosen, not measured.
 LISTEN_BACKLOG = 1024
-SHUTDOWN_S = 1.0
 
-# Status of a caller that left before its answer, which is never sent.
-CALLER_LEFT_STATUS = 499
+# How long `close` waits for the answers of requests that the stop limit has ended, and once more
+# after it has cancelled their handlers.
+SHUTDOWN_TIMEOUT_S = 1.0
+
+# Status of the response object for a caller that has disconnected; it is never sent.
+CALLER_DISCONNECTED_STATUS = 499
 
 
 class Gateway:
-    """Listens to callers and operators.
+    """The HTTP server for callers and operators.
 
     Parameters
     ----------
     routes : list of web.RouteDef
-        What is served.
-    ready : callable
+        Routes served beside the health endpoints.
+    not_ready_reason : callable
         Returns why the daemon is not ready; empty if it is.
     max_connections : int
-        Connections at a time.
+        Concurrent connections.
     first_request_s : float
-        How long a new connection may take to send its first request's head.
+        How long a new connection may take to send the head of its first request.
     stop_limit : StopLimit
-        Ends the requests that are left once the daemon's time to stop is over.
+        Ends the remaining requests when the time limit of a planned stop expires.
 
     Attributes
     ----------
     stopping : bool
-        Whether each answer ends its connection, since the daemon is about to stop.
+        Whether each answer closes its connection, because a planned stop has begun.
     has_stopped_listening : bool
-        Whether requests that are read from now on are refused.
+        Whether requests read after the call of `stop_listening` are refused.
     in_flight : int
-        Requests whose handlers run.
+        Requests whose handlers are running.
     """
 
     __slots__ = (
         "_app",
         "_guard",
-        "_guard_settings",
+        "_guard_limits",
         "_runner",
         "_server",
         "address",
         "has_stopped_listening",
         "in_flight",
-        "ready",
+        "not_ready_reason",
         "stop_limit",
         "stopping",
     )
@@ -77,12 +78,12 @@
     def __init__(
         self,
         routes: list[web.RouteDef],
-        ready: Callable[[], str],
+        not_ready_reason: Callable[[], str],
         max_connections: int,
         first_request_s: float,
         stop_limit: StopLimit,
     ):
-        self.ready = ready
+        self.not_ready_reason = not_ready_reason
         self.stop_limit = stop_limit
         self.stopping = False
         self.has_stopped_listening = False
@@ -91,23 +92,23 @@
         self._guard: ConnectionGuard | None = None
         self._server: asyncio.Server | None = None
         self._app = web.Application(client_max_size=MAX_BODY_BYTES)
-        anything_else = web.route("*", "/{path:.*}", self._no_such_path)
-        for route in (*routes, *self._health_routes(), anything_else):
-            self._app.router.add_route(route.method, route.path, self._bounded(route.handler))
+        fallback_route = web.route("*", "/{path:.*}", self._answer_unknown_path)
+        for route in (*routes, *self._health_routes(), fallback_route):
+            self._app.router.add_route(route.method, route.path, self._wrap_handler(route.handler))
         self._runner = web.AppRunner(
             self._app,
             access_log=None,
             handler_cancellation=True,
             max_line_size=MAX_HEAD_BYTES,
             max_field_size=MAX_HEAD_BYTES,
-            shutdown_timeout=SHUTDOWN_S,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
         )
-        self._guard_settings = (max_connections, first_request_s)
+        self._guard_limits = (max_connections, first_request_s)
 
     async def start(self, listen: str, tls: ssl.SSLContext | None = None) -> str:
-        """Begin to listen on ``IP:PORT``; return what was bound."""
+        """Listen on ``IP:PORT``; return the bound address."""
         await self._runner.setup()
-        max_connections, first_request_s = self._guard_settings
+        max_connections, first_request_s = self._guard_limits
         self._guard = ConnectionGuard(
             existing(self._runner.server, "the server"), max_connections, first_request_s
         )
@@ -120,38 +121,38 @@
         return self.address
 
     def connection_counts(self) -> dict[str, int]:
-        """Return how many connections were refused, and how many sent no request in time."""
+        """Return the counts of refused connections and of those that sent no request in time."""
         guard = existing(self._guard, "the connection guard")
         return {"refused": guard.refused, "timed_out": guard.timed_out}
 
     @property
     def connection_count(self) -> int:
-        """How many callers' connections are open."""
+        """Number of open connections of callers."""
         return len(self._guard.server.connections) if self._guard is not None else 0
 
     def announce_stop(self) -> None:
-        """Be not ready, and end each connection with its next answer, from now on."""
+        """Report not ready, and close each connection after its next answer."""
         self.stopping = True
 
     def stop_listening(self) -> None:
-        """Take no new connections; serve what has been read, refuse what is read from now on."""
+        """Accept no new connections; serve requests already read and refuse later ones."""
         self.stopping = True
         if self._server is not None:
             self._server.close()
         if self._guard is not None and not self.has_stopped_listening:
-            self._guard.note_listening_ends()
+            self._guard.end_listening()
         self.has_stopped_listening = True
 
     def close_resting(self) -> None:
-        """Close the connections without a request."""
+        """Close connections that have no request in progress."""
         if self._guard is not None:
             self._guard.close_resting()
 
     async def close(self) -> None:
-        """End what is left: each request with its true answer, then the connections.
+        """End the remaining requests with an answer each, then close the connections.
 
-        Cut by the listener's own end, a request that has not run would end without an answer, and
-        its caller could not tell that it may be repeated.
+        If closing the server cut a request that has not run, its caller would get no answer and
+        could not know that repeating it is safe.
         """
         self.stop_listening()
         log_listeners(_LOG, "listener_closing", [self])
@@ -161,20 +162,21 @@
     def _health_routes(self) -> list[web.RouteDef]:
         return [web.get("/healthz", self._healthz), web.get("/readyz", self._readyz)]
 
-    def _bounded(self, handler):
-        """Return `handler` with its requests counted and its errors answered in JSON.
+    def _wrap_handler(self, handler):
+        """Wrap `handler`: count its requests and answer its errors in JSON.
 
-        A wrapper costs less for each request than aiohttp's middlewares do.
+        A wrapper costs less per request than aiohttp's middlewares.
         """
-        # A daemon that ends its last requests is alive: its supervisor must not kill it.
+        # Health checks are answered until the end: a supervisor must not kill a daemon that is
+        # finishing its last requests.
         is_always_served = handler in (self._healthz, self._readyz)
 
         async def _handle(request: web.Request) -> web.StreamResponse:
             guard = existing(self._guard, "the connection guard")
-            is_owed = guard.begin_request(request.protocol)
+            was_pending = guard.begin_request(request.protocol)
             self.in_flight += 1
             try:
-                if self.has_stopped_listening and not (is_owed or is_always_served):
+                if self.has_stopped_listening and not (was_pending or is_always_served):
                     response: web.StreamResponse = _refuse_stopping(request)
                 else:
                     response = await _serve(request)
@@ -196,14 +198,14 @@
                 return error_response(error.status, "bad_request", error.reason)
             except ConnectionError:
                 log_event(_LOG, logging.INFO, "caller_left", path=request.path)
-                return web.Response(status=CALLER_LEFT_STATUS)
+                return web.Response(status=CALLER_DISCONNECTED_STATUS)
             except (ValueError, UnicodeError) as error:
                 log_event(_LOG, logging.WARNING, "bad_request", why=error, path=request.path)
                 return error_response(400, "bad_request", "the request cannot be read")
 
         return _handle
 
-    async def _no_such_path(self, request: web.Request) -> web.Response:
+    async def _answer_unknown_path(self, request: web.Request) -> web.Response:
         message = f"there is no {request.method} {request.path}"
         return error_response(404, "no_such_path", message)
 
@@ -211,13 +213,13 @@
         return web.Response(text="ok\n")
 
     async def _readyz(self, request: web.Request) -> web.Response:
-        why_not = "stopping" if self.stopping else self.ready()
-        if why_not:
-            return error_response(503, "not_ready", why_not, Run.NOT_RUN)
+        reason = "stopping" if self.stopping else self.not_ready_reason()
+        if reason:
+            return error_response(503, "not_ready", reason, Run.NOT_RUN)
         return web.Response(text="ready\n")
 
 
 def _refuse_stopping(request: web.Request) -> web.Response:
-    """Refuse a request that was not sent to any target, since this daemon stops."""
+    """Refuse a request that was sent to no target, because this daemon is stopping."""
     log_event(_LOG, logging.INFO, "request_refused", path=request.path, why=STOPPING)
     return stopping_response()
--- a/ferrydock/gateway/_bodies.py
+++ b/ferrydock/gateway/_bodies.py
@@ -1,4 +1,4 @@
-"""Reading the body of a caller's request within time limits; stateless, for all routes here."""
+"""Reading request bodies within time limits; stateless, used by all routes of this package."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 async def read_body(
     request: web.Request, timeout_s: float | None, stop_limit: StopLimit
 ) -> bytes | None:
-    """Return the body, or None if it does not come in time (the caller answers 408).
+    """Return the body, or None if it does not arrive within `timeout_s` (answered with 408).
 
     Raises
     ------
     DaemonStopping
-        If the daemon's time to stop is over first.
+        If the time limit of a planned stop expires first.
     """
     if request.content.is_eof():
         return await request.read()
--- a/ferrydock/gateway/_callers.py
+++ b/ferrydock/gateway/_callers.py
@@ -1,6 +1,6 @@
-"""Which team or operator a request comes from, by its bearer key.
+"""Authentication of callers and operators by the bearer key of their requests.
 
-Owns the teams of the keys seen under the table revision in force, so that each is looked up once.
+Owns a cache from key digests to teams, valid for the table revision in force.
 """
 
 from aiohttp import web
@@ -9,24 +9,30 @@
 
 __all__ = ["Callers"]
 
-# Keys whose team is remembered; bounds the memory that unknown keys can take. Chosen, not measured.
-_KEYS_REMEMBERED = 4096
+# Bounds the memory that unknown keys can take.
+_MAX_CACHED_KEYS = 4096
 
 
 class Callers:
-    """Finds the team of a request, and remembers keys for one table revision.
+    """Finds the team of a request, and caches the teams of keys for one table revision.
 
     Parameters
     ----------
     keeper : TableKeeper
-        The table in force.
+        Holds the table in force.
     bootstrap_digests : tuple of str
-        Operator keys by the settings, for a table that names none yet.
+        Digests of operator keys from the settings, for a table that has none yet.
     refused_digests : frozenset of str
-        Keys that are refused even if the table names them.
+        Digests of keys that are refused even if the table has them.
     """
 
-    __slots__ = ("_teams", "_teams_revision", "bootstrap_digests", "keeper", "refused_digests")
+    __slots__ = (
+        "_cached_teams",
+        "_cached_revision",
+        "bootstrap_digests",
+        "keeper",
+        "refused_digests",
+    )
 
     def __init__(
         self,
@@ -37,32 +43,32 @@
         self.keeper = keeper
         self.refused_digests = refused_digests
         self.bootstrap_digests = bootstrap_digests
-        self._teams: dict[str, str | None] = {}
-        self._teams_revision = -1
+        self._cached_teams: dict[str, str | None] = {}
+        self._cached_revision = -1
 
     def team(self, request: web.Request) -> str | None:
-        """Return the team that calls, or None."""
-        key = _bearer(request)
+        """Return the team that the request's key belongs to, or None."""
+        key = _bearer_key(request)
         view = self.keeper.view
         if not key or view is None:
             return None
-        if self._teams_revision != view.revision or len(self._teams) > _KEYS_REMEMBERED:
-            self._teams.clear()
-            self._teams_revision = view.revision
+        if self._cached_revision != view.revision or len(self._cached_teams) > _MAX_CACHED_KEYS:
+            self._cached_teams.clear()
+            self._cached_revision = view.revision
         digest = digest_key(key)
-        if digest not in self._teams:
-            refused = digest in self.refused_digests
-            self._teams[digest] = None if refused else team_of_key(view, key)
-        return self._teams[digest]
+        if digest not in self._cached_teams:
+            is_refused = digest in self.refused_digests
+            self._cached_teams[digest] = None if is_refused else team_of_key(view, key)
+        return self._cached_teams[digest]
 
     def is_operator(self, request: web.Request) -> bool:
-        """Return whether an operator calls."""
-        key = _bearer(request)
+        """Return whether the request's key is an operator's."""
+        key = _bearer_key(request)
         if not key or digest_key(key) in self.refused_digests:
             return False
         return is_operator_key(self.keeper.view, key, self.bootstrap_digests)
 
 
-def _bearer(request: web.Request) -> str:
-    kind, _, key = request.headers.get("Authorization", "").partition(" ")
-    return key.strip() if kind.lower() == "bearer" else ""
+def _bearer_key(request: web.Request) -> str:
+    scheme, _, key = request.headers.get("Authorization", "").partition(" ")
+    return key.strip() if scheme.lower() == "bearer" else ""
--- a/ferrydock/gateway/_connections.py
+++ b/ferrydock/gateway/_connections.py
@@ -1,7 +1,7 @@
-"""Connections of callers: their bounds, and which may still send requests while the daemon stops.
+"""Limits on callers' connections, and which of their requests are served during a planned stop.
 
-Owns which connections have sent no request yet and which have one whose handler runs, and counts
-those that were refused or timed out.
+Owns the sets of connections that have sent no request yet or whose handler is running, and counts
+connections that were refused or timed out.
 """
 
 import asyncio
@@ -13,44 +13,44 @@
 
 __all__ = ["ConnectionGuard"]
 
-_FULL_HEAD = (
+_REFUSAL_HEAD = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n"
     b"Content-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 )
-_FULL_BODY = (
+_REFUSAL_BODY = (
     b'{"error":{"message":"too many connections","code":"too_many_connections",'
     b'"run":"not_run","retry":true}}'
 )
 
 
-class _Refusal(asyncio.Protocol):
-    """Answers a connection that is one too many, and closes it."""
+class _RefusingProtocol(asyncio.Protocol):
+    """Answers a connection above the limit with 503 and closes it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Answer at once, and close."""
+        """Send the refusal and close."""
         if not isinstance(transport, asyncio.Transport):
-            raise BrokenInvariant(f"a listener gave a {type(transport).__name__}")
-        transport.write(_FULL_HEAD % len(_FULL_BODY) + _FULL_BODY)
+            raise BrokenInvariant(f"expected a stream transport, got {type(transport).__name__}")
+        transport.write(_REFUSAL_HEAD % len(_REFUSAL_BODY) + _REFUSAL_BODY)
         transport.close()
 
 
 class ConnectionGuard:
-    """Makes the protocol of each new connection.
+    """Protocol factory that limits the number of connections and the wait for a first request.
 
     Parameters
     ----------
     server : web.Server
-        Serves the connections that are accepted.
+        Serves accepted connections.
     max_connections : int
-        How many there may be at a time.
+        Limit on concurrent connections.
     first_request_s : float
         How long a new connection may take to send the head of its first request.
     """
 
     __slots__ = (
-        "_busy",
-        "_owed",
-        "_silent",
+        "_with_handler",
+        "_pending_at_stop",
+        "_without_request",
         "first_request_s",
         "max_connections",
         "refused",
@@ -64,56 +64,58 @@
         self.first_request_s = first_request_s
         self.refused = 0
         self.timed_out = 0
-        self._silent: set[asyncio.Protocol] = set()
-        self._busy: set[asyncio.Protocol] = set()
-        self._owed: set[asyncio.Protocol] = set()
+        self._without_request: set[asyncio.Protocol] = set()
+        self._with_handler: set[asyncio.Protocol] = set()
+        self._pending_at_stop: set[asyncio.Protocol] = set()
 
     def __call__(self) -> asyncio.Protocol:
         if len(self.server.connections) >= self.max_connections:
             self.refused += 1
-            return _Refusal()
+            return _RefusingProtocol()
         protocol = self.server()
-        self._silent.add(protocol)
-        asyncio.get_running_loop().call_later(self.first_request_s, self._check, protocol)
+        self._without_request.add(protocol)
+        asyncio.get_running_loop().call_later(
+            self.first_request_s, self._close_without_request, protocol
+        )
         return protocol
 
-    def _check(self, protocol) -> None:
-        if protocol not in self._silent:
+    def _close_without_request(self, protocol) -> None:
+        if protocol not in self._without_request:
             return
-        self._silent.discard(protocol)
+        self._without_request.discard(protocol)
         transport = getattr(protocol, "transport", None)
         if transport is not None and not transport.is_closing():
             self.timed_out += 1
             transport.close()
 
     def begin_request(self, protocol) -> bool:
-        """Note that a request's handler begins; return whether it was read before listening ended.
+        """Record that a handler starts; return whether its request came before `end_listening`.
 
         Always False while the daemon listens.
         """
-        self._silent.discard(protocol)
-        self._busy.add(protocol)
-        is_owed = protocol in self._owed
-        self._owed.discard(protocol)
-        return is_owed
+        self._without_request.discard(protocol)
+        self._with_handler.add(protocol)
+        was_pending = protocol in self._pending_at_stop
+        self._pending_at_stop.discard(protocol)
+        return was_pending
 
     def end_request(self, protocol) -> None:
-        """Note that a request's handler has ended."""
-        self._busy.discard(protocol)
+        """Record that a request's handler has ended."""
+        self._with_handler.discard(protocol)
 
-    def note_listening_ends(self) -> None:
-        """Note on which connections a request has been read whose handler has not begun.
+    def end_listening(self) -> None:
+        """Find the connections whose request has been read but whose handler has not started.
 
-        It is in no count of handlers, and it is served like those that are.
+        Such a request is not yet counted as in flight, but is served like those that are.
         """
-        self._owed = {
+        self._pending_at_stop = {
             connection
             for connection in self.server.connections
-            if connection not in self._busy and not is_resting(connection)
+            if connection not in self._with_handler and not is_resting(connection)
         }
 
     def close_resting(self) -> None:
-        """Close the connections without a request."""
+        """Close connections that have no request in progress."""
         for connection in self.server.connections:
             if is_resting(connection):
                 connection.force_close()
--- a/ferrydock/gateway/_errors.py
+++ b/ferrydock/gateway/_errors.py
@@ -1,6 +1,6 @@
-"""Answers of the daemon's own, in the JSON shape that model clients know; stateless.
+"""Error responses of the daemon, in the JSON format that OpenAI clients read; stateless.
 
-Each says whether the request ran, as far as can be known, and whether to send it again.
+Each states whether the request ran, if that is known, and whether to send it again.
 """
 
 import math
@@ -15,7 +15,7 @@
 __all__ = [
     "error_body",
     "error_response",
-    "gave_up_response",
+    "lost_answer_response",
     "invalid_response",
     "not_run_response",
     "stopping_response",
@@ -23,31 +23,33 @@
 
 STOPPING_MESSAGE = "this daemon stops"
 
-# Types that clients know, by HTTP status; others are server errors.
+# OpenAI error types by HTTP status; other statuses are server errors.
 TOO_MANY_REQUESTS = 429
 _TYPES = {400: "invalid_request_error", 401: "authentication_error", 403: "permission_error"}
 
 
 def error_body(code: str, message: str, run: Run, retry: bool, status: int = 500, **extra) -> dict:
-    """Return the ``error`` object of an answer.
+    """Return the ``error`` object of a response.
 
     Parameters
     ----------
     code : str
-        Snake-case word for programs.
+        Error code for programs, in snake case.
     message : str
-        The same for people.
+        Explanation for people.
     run : Run
-        Whether the request ran, as far as can be known.
+        Whether the request ran; `Run.UNKNOWN` if it may have.
     retry : bool
-        Whether it makes sense to send it again.
+        Whether the caller may send the request again.
     status : int
-        HTTP status; it chooses the type.
+        HTTP status, from which the error type follows.
     """
-    kind = _TYPES.get(status, "rate_limit_error" if status == TOO_MANY_REQUESTS else "server_error")
+    error_type = _TYPES.get(
+        status, "rate_limit_error" if status == TOO_MANY_REQUESTS else "server_error"
+    )
     return {
         "message": message,
-        "type": kind,
+        "type": error_type,
         "code": code,
         "run": run.value,
         "retry": retry,
@@ -64,7 +66,7 @@
     retry_after_s: float | None = None,
     **extra,
 ) -> web.Response:
-    """Return an answer with an ``error`` object."""
+    """Return a response with an ``error`` object."""
     headers = {}
     if retry_after_s is not None:
         headers["Retry-After"] = str(max(1, math.ceil(retry_after_s)))
@@ -79,7 +81,7 @@
 
 
 def not_run_response(outcome: NotRun) -> web.Response:
-    """Return the answer for a request that was certainly not run."""
+    """Return the response to a request that did not run."""
     if outcome.reason == STOPPING:
         return stopping_response()
     message = outcome.message or outcome.reason.replace("_", " ")
@@ -89,9 +91,9 @@
 
 
 def stopping_response() -> web.Response:
-    """Return the answer for a request that was not run since this daemon stops.
+    """Return the response to a request that did not run because this daemon is stopping.
 
-    Its caller may come back at once: its next connection leads to another daemon.
+    The caller may retry at once: its next connection leads to another daemon.
     """
     response = error_response(503, STOPPING, STOPPING_MESSAGE, Run.NOT_RUN, retry=True)
     response.headers["Retry-After"] = f"{STOPPING_RETRY_S:.3g}"
@@ -99,14 +101,14 @@
     return response
 
 
-def gave_up_response(outcome: GaveUp, repeatable: bool) -> web.Response:
-    """Return the answer for a request that may have run, and whose answer is lost."""
+def lost_answer_response(outcome: GaveUp, repeatable: bool) -> web.Response:
+    """Return the response to a request that may have run but whose answer is lost."""
     if outcome.reason == STOPPING:
         return error_response(502, STOPPING, STOPPING_MESSAGE, outcome.run, retry=repeatable)
     return error_response(502, "lost_contact", outcome.reason, outcome.run, retry=repeatable)
 
 
 def invalid_response(outcome: Invalid) -> web.Response:
-    """Return the answer for an input that was refused, with every fault."""
+    """Return the response to invalid input, with every fault."""
     faults = [{"place": f.place, "problem": f.problem} for f in outcome.faults]
     return error_response(400, "invalid", outcome.reason, faults=faults)
--- a/ferrydock/gateway/_lasting_work.py
+++ b/ferrydock/gateway/_lasting_work.py
@@ -1,7 +1,7 @@
-"""Work for callers that goes on when they leave: what must not run twice, and records of its end.
+"""Tasks that continue after their caller disconnects: non-repeatable requests and claim records.
 
-Owns the tasks under way, which a planned stop waits for beside the callers' connections. Relies on
-the daemon's stop limit for the end of what takes too long.
+Owns the running tasks; a planned stop waits for them as well as for callers' connections. The
+daemon's stop limit ends requests that take too long.
 """
 
 import asyncio
@@ -12,24 +12,25 @@
 from ..logs import log_event
 from ..planned_stop import DaemonStopping, StopLimit
 
-__all__ = ["LastingWork"]
+__all__ = ["BackgroundTasks"]
 
 _LOG = logging.getLogger("ferrydock.gateway")
 
 Result = TypeVar("Result")
 
-# How long an answer waits for the record of its end once the daemon's time to stop is over, so that
-# it is sent before the listener closes its connection. Chosen, not measured.
-RECORD_WAIT_S = 0.5
+# How long an answer waits for the record of its outcome once the time limit of a planned stop has
+# expired. Must be shorter than the shutdown time-out, so that the answer is sent before the
+# connection is closed.
+RECORD_TIMEOUT_S = 0.5
 
 
-class LastingWork:
-    """Runs work in tasks of its own.
+class BackgroundTasks:
+    """Runs coroutines in tasks that do not depend on the caller's connection.
 
     Parameters
     ----------
     stop_limit : StopLimit
-        Ends requests that are left once the daemon's time to stop is over.
+        Ends the remaining requests when the time limit of a planned stop expires.
     """
 
     __slots__ = ("_tasks", "stop_limit")
@@ -40,40 +41,42 @@
 
     @property
     def count(self) -> int:
-        """How many tasks are under way."""
+        """Number of running tasks."""
         return len(self._tasks)
 
-    def start(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
-        """Run a coroutine in a task, which is counted from now on."""
-        task = asyncio.get_running_loop().create_task(work)
+    def start(self, coroutine: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
+        """Run a coroutine in a new task."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def record(self, work: Coroutine) -> None:
-        """Write down how a request ended, before its caller gets the answer.
+    async def record(self, coroutine: Coroutine) -> None:
+        """Run `coroutine`, which records a request's outcome, before its caller gets the answer.
 
-        Once the daemon's time to stop is over the answer waits `RECORD_WAIT_S` at most: it is
-        known, and a store that does not answer must not take it from the caller.
+        After the time limit of a planned stop it waits for at most `RECORD_TIMEOUT_S`: a store that
+        does not answer must not keep a known answer from the caller.
         """
-        recording = self.start(work)
+        recording = self.start(coroutine)
         try:
             async with self.stop_limit.hold():
                 await asyncio.shield(recording)
         except DaemonStopping:
-            await asyncio.wait([recording], timeout=RECORD_WAIT_S)
+            await asyncio.wait([recording], timeout=RECORD_TIMEOUT_S)
             if not recording.done():
-                log_event(_LOG, logging.WARNING, "record_late", after_ms=RECORD_WAIT_S * 1000)
+                log_event(_LOG, logging.WARNING, "record_late", after_ms=RECORD_TIMEOUT_S * 1000)
             elif recording.exception() is not None:
-                _LOG.error("a record failed", exc_info=recording.exception())
+                _LOG.error(
+                    "recording the outcome of a request failed", exc_info=recording.exception()
+                )
 
-    async def close(self, within_s: float) -> None:
-        """Wait for what is under way, and end what takes longer."""
+    async def close(self, timeout_s: float) -> None:
+        """Wait up to `timeout_s` seconds for the running tasks, then cancel those that remain."""
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=within_s)
-        left = list(self._tasks)
-        if left:
-            log_event(_LOG, logging.WARNING, "work_cut", count=len(left))
-        for task in left:
+            await asyncio.wait(self._tasks, timeout=timeout_s)
+        unfinished = list(self._tasks)
+        if unfinished:
+            log_event(_LOG, logging.WARNING, "work_cut", count=len(unfinished))
+        for task in unfinished:
             task.cancel()
-        await asyncio.gather(*left, return_exceptions=True)
+        await asyncio.gather(*unfinished, return_exceptions=True)
--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -1,7 +1,7 @@
 """Routes of models: ``/v1/models``, ``/v1/chat/completions`` and ``/v1/completions``.
 
-Stateless. A request passes team, body, share and limits, and then runs here or, if all replicas
-here are full, in another hall.
+Stateless. After checks of key, body, share and limits a request runs in this hall or, if all its
+replicas are full, in another one.
 """
 
 import asyncio
@@ -35,69 +35,68 @@
 from ..teams import Admission, TeamLimits
 from ._bodies import read_body
 from ._callers import Callers
-from ._claim_answers import CLAIM_DEADLINE_S, claim_response, open_claim
-from ._errors import error_response, gave_up_response, invalid_response, not_run_response
-from ._lasting_work import LastingWork
-from ._spill import HOP_HEADER, Spill
-from ._stream_caller import StreamCaller
+from ._claim_answers import CLAIM_TIMEOUT_S, claim_response, open_claim
+from ._errors import error_response, invalid_response, lost_answer_response, not_run_response
+from ._lasting_work import BackgroundTasks
+from ._spill import HOP_HEADER, RemoteHallForwarder
+from ._stream_caller import CallerStream
 
 __all__ = ["ModelRoutes"]
 
 _LOG = logging.getLogger("ferrydock.gateway")
 
-# How often a request may be handed on to another hall: no further, so that it cannot go round.
+# A request is forwarded to another hall once only, so that it cannot circulate among halls.
 MAX_HOPS = 1
 
-# Deadline of a request whose caller names none or an impossible one, and the longest that counts.
-# Chosen, not measured.
+# Deadline of a request whose caller gives none, or one outside 0 to MAX_DEADLINE_S.
 DEFAULT_DEADLINE_S = 600.0
 MAX_DEADLINE_S = 3600.0
 
-# Priority of a request before its team's share is known.
+# Priority of a request until its team's share has been looked up.
 DEFAULT_PRIORITY = 5
 
-# Digits of the hop count that are believed; a longer one is no number of ours.
+# A hop count with more digits was not sent by a ferrydock daemon and counts as 0.
 MAX_HOP_DIGITS = 3
 
 
 @dataclass(slots=True)
 class ModelRoutes:
-    """Serves callers of models.
+    """Serves requests for models.
 
     Attributes
     ----------
     state : SharedState
-        The table in force, this hall and the summaries of others.
+        The table in force, the state of this hall and summaries of the others.
     callers : Callers
-        Finds teams.
+        Finds the team of a request.
     limits : TeamLimits
         Admits requests under the teams' limits.
     executor : RequestExecutor
-        Runs requests here.
-    spill : Spill
-        Runs requests in other halls.
+        Runs requests in this hall.
+    remote_forwarder : RemoteHallForwarder
+        Forwards requests to other halls.
     claims : ClaimStore
-        Keeps not-repeatable requests from running twice.
+        Keeps requests with an idempotency key from running twice.
     recorder : Recorder
-        Counts and measures.
+        Records metrics of requests.
     clock : Clock
-        For deadlines.
+        Time source for deadlines.
     body_timeout_s : float
         How long a caller may take to send a body.
-    work : LastingWork
-        Runs requests that go on when their caller leaves.
+    background_tasks : BackgroundTasks
+        Runs requests that continue after their caller disconnects.
     """
 
     state: SharedState
     callers: Callers
     limits: TeamLimits
     executor: RequestExecutor
-    spill: Spill
+    remote_forwarder: RemoteHallForwarder
     claims: ClaimStore
     recorder: Recorder
     clock: Clock
     body_timeout_s: float
-    work: LastingWork
+    background_tasks: BackgroundTasks
 
     def routes(self) -> list[web.RouteDef]:
         """Return the HTTP routes."""
@@ -114,44 +113,46 @@
             return _unauthorised()
         view = existing(self.state.keeper.view, "the table in force")
         names = sorted({s.model for s in view.shares.values() if s.team == team})
-        listed = [
+        entries = [
             {"id": name, "object": "model", "created": 0, "owned_by": "ferrydock"} for name in names
         ]
-        body = orjson.dumps({"object": "list", "data": listed})
+        body = orjson.dumps({"object": "list", "data": entries})
         return web.Response(body=body, content_type="application/json")
 
     async def post_completion(self, request: web.Request) -> web.StreamResponse:
-        """Run one request for a model."""
+        """Check and run one request for a model."""
         team = self.callers.team(request)
         if team is None:
             return _unauthorised()
-        raw = await read_body(request, self.body_timeout_s, self.work.stop_limit)
+        raw = await read_body(request, self.body_timeout_s, self.background_tasks.stop_limit)
         if raw is None:
             return error_response(408, "body_too_slow", "the body did not come in time")
-        wanted = self._parse(request, team, raw)
-        if isinstance(wanted, Invalid):
-            return invalid_response(wanted)
+        model_request = self._parse(request, team, raw)
+        if isinstance(model_request, Invalid):
+            return invalid_response(model_request)
         view = existing(self.state.keeper.view, "the table in force")
-        share = view.share_of(team, wanted.model)
+        share = view.share_of(team, model_request.model)
         if share is None:
-            known = wanted.model in view.models
-            status, code = (403, "no_share") if known else (404, "no_such_model")
-            return error_response(status, code, f"team {team} has no share of {wanted.model}")
-        wanted.priority = share.priority
+            is_known_model = model_request.model in view.models
+            status, code = (403, "no_share") if is_known_model else (404, "no_such_model")
+            return error_response(
+                status, code, f"team {team} has no share of {model_request.model}"
+            )
+        model_request.priority = share.priority
         admission = self.limits.admit(share, self.clock.now_s())
         if isinstance(admission, NotRun):
-            self.recorder.refused(wanted, admission.reason)
+            self.recorder.refused(model_request, admission.reason)
             return not_run_response(admission)
-        return await self._serve(request, wanted, share, admission)
+        return await self._serve(request, model_request, share, admission)
 
     def _parse(self, request: web.Request, team: str, raw: bytes) -> ModelRequest | Invalid:
-        chat = request.path.endswith("/chat/completions")
-        fields = parse_model_request(raw, chat)
+        is_chat = request.path.endswith("/chat/completions")
+        fields = parse_model_request(raw, is_chat)
         if isinstance(fields, Invalid):
             return fields
         headers = request.headers
         key = headers.get("Idempotency-Key", "")
-        marked = headers.get("X-Not-Repeatable", "").lower() in ("1", "true", "yes")
+        is_not_repeatable = headers.get("X-Not-Repeatable", "").lower() in ("1", "true", "yes")
         return ModelRequest(
             request_id=os.urandom(16).hex(),
             team=team,
@@ -162,67 +163,78 @@
             stream=bool(fields.get("stream")),
             blocks=prompt_blocks(fields),
             priority=DEFAULT_PRIORITY,
-            repeatable=not (marked or key),
+            repeatable=not (is_not_repeatable or key),
             key=key,
-            deadline_s=self.clock.now_s() + _deadline(headers.get("X-Deadline-S")),
-            hops=_hops(headers.get(HOP_HEADER)),
+            deadline_s=self.clock.now_s() + _timeout_s(headers.get("X-Deadline-S")),
+            hops=_hop_count(headers.get(HOP_HEADER)),
         )
 
     async def _serve(
-        self, request: web.Request, wanted: ModelRequest, share: Share, admission: Admission
+        self, request: web.Request, model_request: ModelRequest, share: Share, admission: Admission
     ) -> web.StreamResponse:
-        """Run an admitted request, here or in another hall.
+        """Run an admitted request, in this hall or another one.
 
-        What may not be repeated goes on when its caller leaves, so that its end is recorded.
+        A request that is not repeatable continues after its caller disconnects, so that its
+        outcome is recorded.
         """
-        if wanted.repeatable:
-            return await self._serve_admitted(request, wanted, share, admission)
-        work = self.work.start(self._serve_admitted(request, wanted, share, admission))
-        return await asyncio.shield(work)
+        if model_request.repeatable:
+            return await self._serve_admitted(request, model_request, share, admission)
+        task = self.background_tasks.start(
+            self._serve_admitted(request, model_request, share, admission)
+        )
+        return await asyncio.shield(task)
 
     async def _serve_admitted(
-        self, request: web.Request, wanted: ModelRequest, share: Share, admission: Admission
+        self, request: web.Request, model_request: ModelRequest, share: Share, admission: Admission
     ) -> web.StreamResponse:
         try:
-            if self._should_spill(wanted):
-                answer = await self.spill.forward(request, wanted)
+            if self._should_forward(model_request):
+                answer = await self.remote_forwarder.forward(request, model_request)
                 if not isinstance(answer, NotRun):
                     return answer
-            return await self._serve_here(request, wanted, share)
+            return await self._serve_here(request, model_request, share)
         finally:
             self.limits.release(admission)
 
-    def _should_spill(self, wanted: ModelRequest) -> bool:
-        if wanted.hops >= MAX_HOPS or not self.state.halls:
+    def _should_forward(self, model_request: ModelRequest) -> bool:
+        if model_request.hops >= MAX_HOPS or not self.state.halls:
             return False
-        if self.executor.gate.has_room(wanted.model):
+        if self.executor.gate.has_room(model_request.model):
             return False
-        return bool(self.spill.halls_with_room(wanted.model))
+        return bool(self.remote_forwarder.halls_with_room(model_request.model))
 
     async def _serve_here(
-        self, request: web.Request, wanted: ModelRequest, share: Share
+        self, request: web.Request, model_request: ModelRequest, share: Share
     ) -> web.StreamResponse:
         claim: Claim | None = None
-        if wanted.key:
-            until_s = min(wanted.deadline_s, self.clock.now_s() + CLAIM_DEADLINE_S)
-            opened = await open_claim(self.claims, self.work, wanted.team, wanted.key, until_s)
+        if model_request.key:
+            claim_deadline_s = min(model_request.deadline_s, self.clock.now_s() + CLAIM_TIMEOUT_S)
+            opened = await open_claim(
+                self.claims,
+                self.background_tasks,
+                model_request.team,
+                model_request.key,
+                claim_deadline_s,
+            )
             if not isinstance(opened, Claim):
                 return claim_response(opened)
             claim = opened
         started_s = self.clock.now_s()
-        life = RequestLife(wanted.repeatable)
-        caller = StreamCaller(request, wanted, self.clock)
+        life = RequestLife(model_request.repeatable)
+        caller = CallerStream(request, model_request, self.clock)
         try:
-            outcome = await self.executor.run(wanted, caller, life, share.weight)
+            outcome = await self.executor.run(model_request, caller, life, share.weight)
         except CallerLeft:
-            self.recorder.left(wanted)
-            return existing(caller.response, "the begun answer")
+            self.recorder.left(model_request)
+            return existing(caller.response, "the started response")
         if claim is not None:
-            await self.work.record(self._end_claim(claim, outcome, caller))
-        self.recorder.ended(wanted, outcome, caller.first_s, started_s, self.clock.now_s())
-        return await self._answer(wanted, outcome, caller)
+            await self.background_tasks.record(self._end_claim(claim, outcome, caller))
+        self.recorder.ended(
+            model_request, outcome, caller.first_event_s, started_s, self.clock.now_s()
+        )
+        return await self._answer(model_request, outcome, caller)
 
-    async def _end_claim(self, claim: Claim, outcome, caller: StreamCaller) -> None:
+    async def _end_claim(self, claim: Claim, outcome, caller: CallerStream) -> None:
         if isinstance(outcome, NotRun):
             await self.claims.withdraw(claim)
         elif isinstance(outcome, Ended):
@@ -234,7 +246,7 @@
                 await self.claims.end(claim, 200, "text/event-stream", body)
 
     async def _answer(
-        self, wanted: ModelRequest, outcome: Ended | NotRun | GaveUp, caller: StreamCaller
+        self, model_request: ModelRequest, outcome: Ended | NotRun | GaveUp, caller: CallerStream
     ) -> web.StreamResponse:
         if isinstance(outcome, Ended):
             answer = outcome.answer
@@ -242,7 +254,7 @@
                 return web.Response(
                     body=answer.body,
                     status=answer.status,
-                    headers={"X-Request-Id": wanted.request_id},
+                    headers={"X-Request-Id": model_request.request_id},
                     content_type=answer.content_type.partition(";")[0],
                 )
             return await caller.finish()
@@ -250,9 +262,9 @@
             _LOG,
             logging.WARNING,
             "request_not_answered",
-            request_id=wanted.request_id,
-            team=wanted.team,
-            model=wanted.model,
+            request_id=model_request.request_id,
+            team=model_request.team,
+            model=model_request.model,
             run=outcome.run.value,
             why=outcome.reason,
         )
@@ -260,24 +272,24 @@
             return await caller.fail(outcome)
         if isinstance(outcome, NotRun):
             return not_run_response(outcome)
-        return gave_up_response(outcome, wanted.repeatable)
+        return lost_answer_response(outcome, model_request.repeatable)
 
 
 def _unauthorised() -> web.Response:
     return error_response(401, "unauthorised", "the bearer key belongs to no enabled team")
 
 
-def _deadline(text: str | None) -> float:
-    """Return how many seconds the caller waits; a header that is no such number is ignored."""
+def _timeout_s(text: str | None) -> float:
+    """Return the seconds until the caller's deadline; an invalid header counts as absent."""
     try:
-        wanted_s = float(text) if text else DEFAULT_DEADLINE_S
+        timeout_s = float(text) if text else DEFAULT_DEADLINE_S
     except ValueError:
         return DEFAULT_DEADLINE_S
-    if not 0 < wanted_s <= MAX_DEADLINE_S:
+    if not 0 < timeout_s <= MAX_DEADLINE_S:
         return DEFAULT_DEADLINE_S
-    return wanted_s
+    return timeout_s
 
 
-def _hops(text: str | None) -> int:
-    """Return how often the request was handed on; 0 if the header says nothing sensible."""
+def _hop_count(text: str | None) -> int:
+    """Return how often the request has been forwarded; 0 if the header is absent or invalid."""
     return int(text) if text and text.isdigit() and len(text) <= MAX_HOP_DIGITS else 0
--- a/ferrydock/gateway/_operators.py
+++ b/ferrydock/gateway/_operators.py
@@ -1,6 +1,6 @@
-"""Routes of operators, ``/operator/...``: the table, its log, status and reports.
+"""Routes for operators, ``/operator/...``: the table, its edits, status and reports.
 
-Stateless; edits are committed through the table's repository and put in force here at once.
+Stateless. Edits are committed through the table's repository, then applied in this daemon at once.
 """
 
 import logging
@@ -33,49 +33,48 @@
 
 _LOG = logging.getLogger("ferrydock.gateway")
 
-# How long an edit may take to be committed, edits that the log shows, and changes of one edit.
-# Chosen, not measured.
-COMMIT_S = 10.0
-LOG_LENGTH = 50
+# How long an edit may take to be committed, edits that the log returns, and changes per edit.
+COMMIT_TIMEOUT_S = 10.0
+MAX_LOG_EDITS = 50
 MAX_CHANGES = 20000
 
-# Lengths of an edit's id and of an operator's name. Chosen, not measured.
+# Shortest and longest edit id, and longest operator name, in characters.
 EDIT_ID_LENGTHS = (8, 64)
 MAX_OPERATOR_LENGTH = 200
 
 
 @dataclass(slots=True)
 class OperatorRoutes:
-    """Serves operators.
+    """Serves requests of operators.
 
     Attributes
     ----------
     keeper : TableKeeper
-        The table in force here.
+        Holds the table in force in this daemon.
     repository : TableRepository
         Commits edits.
     watcher : TableWatcher
         Reads edits that other daemons committed.
     callers : Callers
-        Knows operators by their keys.
-    status : callable
-        Returns the status of site and daemon, as JSON fields.
-    burn : callable
-        Returns the burn report for query parameters, as JSON fields.
+        Recognises operators by their keys.
+    get_status : callable
+        Returns the status of the site and of this daemon, as JSON fields.
+    get_burn : callable
+        Returns the error-budget burn report for the query parameters, as JSON fields.
     on_edit : callable
-        Is called after an edit was accepted.
+        Called after each accepted edit.
     clock : Clock
-        For deadlines.
+        Time source for deadlines.
     stop_limit : StopLimit
-        Ends the requests that are left once the daemon's time to stop is over.
+        Ends the remaining requests when the time limit of a planned stop expires.
     """
 
     keeper: TableKeeper
     repository: TableRepository
     watcher: TableWatcher
     callers: Callers
-    status: Callable[[], dict]
-    burn: Callable[[dict], Awaitable[dict]]
+    get_status: Callable[[], dict]
+    get_burn: Callable[[dict], Awaitable[dict]]
     on_edit: Callable[[], None]
     clock: Clock
     stop_limit: StopLimit
@@ -83,77 +82,77 @@
     def routes(self) -> list[web.RouteDef]:
         """Return the HTTP routes."""
         return [
-            web.get("/operator/table", self._guarded(self._get_table)),
-            web.post("/operator/edits", self._guarded(self._post_edit)),
-            web.get("/operator/log", self._guarded(self._get_log)),
-            web.get("/operator/status", self._guarded(self._get_status)),
-            web.get("/operator/burn", self._guarded(self._get_burn)),
+            web.get("/operator/table", self._operators_only(self._get_table)),
+            web.post("/operator/edits", self._operators_only(self._post_edit)),
+            web.get("/operator/log", self._operators_only(self._get_log)),
+            web.get("/operator/status", self._operators_only(self._get_status)),
+            web.get("/operator/burn", self._operators_only(self._get_burn)),
         ]
 
-    def _guarded(self, handler):
-        """Return a handler that only operators reach."""
+    def _operators_only(self, handler):
+        """Wrap `handler`: answer 401 to requests without an operator's key."""
 
-        async def _guard(request: web.Request) -> web.Response:
+        async def _check_operator(request: web.Request) -> web.Response:
             if not self.callers.is_operator(request):
                 return error_response(401, "unauthorised", "the key gives no operator rights")
             return await handler(request)
 
-        return _guard
+        return _check_operator
 
     async def _get_table(self, request: web.Request) -> web.Response:
         table: Table | None = self.keeper.table
-        wanted = request.query.get("revision")
-        if wanted is not None:
-            if not wanted.isdigit():
+        revision_text = request.query.get("revision")
+        if revision_text is not None:
+            if not revision_text.isdigit():
                 return error_response(400, "invalid", "revision: must be a whole number")
-            table = self.keeper.history.table_at(self.keeper.table, int(wanted))
+            table = self.keeper.history.table_at(self.keeper.table, int(revision_text))
         if table is None:
-            return error_response(409, "conflict", f"revision {wanted} is not kept any more")
+            return error_response(409, "conflict", f"revision {revision_text} is not kept any more")
         rows = [[k.sheet, k.row, dict(cells)] for k, cells in sorted(table.rows.items())]
         return _json({"revision": table.revision, "lineage": self.keeper.lineage, "rows": rows})
 
     async def _get_log(self, request: web.Request) -> web.Response:
-        edits = self.keeper.history.latest(LOG_LENGTH)
+        edits = self.keeper.history.latest(MAX_LOG_EDITS)
         return _json({"edits": [orjson.loads(e.to_json()) for e in edits]})
 
     async def _get_status(self, request: web.Request) -> web.Response:
-        return _json(self.status())
+        return _json(self.get_status())
 
     async def _get_burn(self, request: web.Request) -> web.Response:
         async with self.stop_limit.hold():
-            return _json(await self.burn(dict(request.query)))
+            return _json(await self.get_burn(dict(request.query)))
 
     async def _post_edit(self, request: web.Request) -> web.Response:
         edit = _parse_edit(await read_body(request, None, self.stop_limit) or b"")
         if isinstance(edit, str):
             return error_response(400, "invalid", edit)
         if request.query.get("dry_run") == "true":
-            merged = merge(self.keeper.table, self.keeper.history, edit)
-            if isinstance(merged, Table):
+            merge_result = merge(self.keeper.table, self.keeper.history, edit)
+            if isinstance(merge_result, Table):
                 return _json({"outcome": "valid", "revision": self.keeper.revision})
-            return _edit_response(merged)
-        deadline_s = self.clock.now_s() + COMMIT_S
+            return _edit_response(merge_result)
+        deadline_s = self.clock.now_s() + COMMIT_TIMEOUT_S
         outcome = await self._commit(edit, deadline_s)
         if isinstance(outcome, AcceptedEdit):
-            await self._put_in_force(outcome)
+            await self._apply_accepted(outcome)
         return _edit_response(outcome)
 
     async def _commit(self, edit: Edit, deadline_s: float):
-        """Commit an edit unless this daemon's time to stop ends first."""
+        """Commit an edit; the outcome is unknown if the stop limit expires first."""
         try:
             async with self.stop_limit.hold():
                 return await self.repository.commit(edit, deadline_s, self.keeper.revision)
         except DaemonStopping:
             return Unknown("this daemon stopped before the store's answer")
 
-    async def _put_in_force(self, accepted: AcceptedEdit) -> None:
+    async def _apply_accepted(self, accepted: AcceptedEdit) -> None:
         self.keeper.offer_edits((accepted,))
         if self.keeper.revision < accepted.revision:
-            await self._look(accepted)
+            await self._read_table(accepted)
         self.on_edit()
 
-    async def _look(self, accepted: AcceptedEdit) -> None:
-        """Read the table up to an edit; an accepted one stays so if this daemon stops meanwhile."""
+    async def _read_table(self, accepted: AcceptedEdit) -> None:
+        """Read the table from the store; if the stop limit expires, the edit stays accepted."""
         try:
             async with self.stop_limit.hold():
                 await self.watcher.look()
@@ -178,7 +177,7 @@
         edit_id = fields["edit_id"]
         base = fields["base_revision"]
         operator = fields.get("operator", "")
-        listed = fields["changes"]
+        raw_changes = fields["changes"]
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         return f"body: is not an edit: {error}"
     shortest, longest = EDIT_ID_LENGTHS
@@ -192,10 +191,10 @@
         return "base_revision: must be a whole number"
     if not isinstance(operator, str) or len(operator) > MAX_OPERATOR_LENGTH:
         return "operator: must be a short text"
-    if not isinstance(listed, list) or not 1 <= len(listed) <= MAX_CHANGES:
+    if not isinstance(raw_changes, list) or not 1 <= len(raw_changes) <= MAX_CHANGES:
         return f"changes: must be a list of 1 to {MAX_CHANGES}"
     changes = []
-    for index, item in enumerate(listed):
+    for index, item in enumerate(raw_changes):
         change = _parse_change(item)
         if change is None:
             return f"changes[{index}]: must be [sheet, row, column or null, text or null]"
--- a/ferrydock/gateway/_route_dialect.py
+++ b/ferrydock/gateway/_route_dialect.py
@@ -1,6 +1,6 @@
 """ferrydock's own headers on routes of the operators' table; stateless.
 
-The same port is filled for the users' platform by `ferrydock.platform`, with other names.
+`ferrydock.platform` implements the same interface with the header names of the users' platform.
 """
 
 import uuid
@@ -15,37 +15,37 @@
 __all__ = ["OwnDialect"]
 
 _BEARER = "Bearer "
-_SET_HERE = frozenset({"authorization", "x-team", "x-request-id", "x-request-timeout-ms"})
+# Headers of the caller that are not passed on: `outgoing` sets its own.
+_REPLACED = frozenset({"authorization", "x-team", "x-request-id", "x-request-timeout-ms"})
 
-# HTTP status and units.
-MISDIRECTED = 421
+MISDIRECTED_REQUEST = 421
 MS_PER_S = 1000
 
 
 class OwnDialect:
-    """Reads and writes the headers that ``docs/operators/table.md`` names for routes.
+    """Parses and writes the headers that ``docs/operators/table.md`` defines for routes.
 
     Notes
     -----
-    A key is known by its digest only, as in the table. A service that says ``X-Not-Run`` promises
-    that the request did not run.
+    Keys are compared by digest, as in the table. A service that answers with ``X-Not-Run``
+    guarantees that the request did not run.
     """
 
     __slots__ = ()
 
     def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
-        """Return what a request says, or the header that cannot be read."""
+        """Parse the headers of a request; `Invalid` if one has a bad value."""
         try:
-            timeout = headers.get("X-Request-Timeout-Ms")
-            after = headers.get("Last-Event-Id")
-            key = headers.get("Authorization", "")
-            token = key[len(_BEARER) :].strip() if key.startswith(_BEARER) else ""
+            timeout_ms = headers.get("X-Request-Timeout-Ms")
+            last_event_id = headers.get("Last-Event-Id")
+            bearer = headers.get("Authorization", "")
+            token = bearer[len(_BEARER) :].strip() if bearer.startswith(_BEARER) else ""
             return Inbound(
                 request_id=headers.get("X-Request-Id") or uuid.uuid4().hex,
-                left_s=float(timeout) / MS_PER_S if timeout else None,
+                left_s=float(timeout_ms) / MS_PER_S if timeout_ms else None,
                 key=digest_key(token) if token else "",
                 model="",
-                last_event_id=int(after) if after else None,
+                last_event_id=int(last_event_id) if last_event_id else None,
             )
         except ValueError as error:
             return Invalid((Fault("headers", str(error)),))
@@ -53,20 +53,22 @@
     def outgoing(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
     ) -> CIMultiDict[str]:
-        """Return the headers for a service."""
-        kept = CIMultiDict(pair for pair in end_to_end(headers) if pair[0].lower() not in _SET_HERE)
-        kept["X-Request-Id"] = inbound.request_id
-        kept["X-Request-Timeout-Ms"] = str(max(1, int(outbound.left_s * MS_PER_S)))
+        """Return the headers to send to a service."""
+        forwarded = CIMultiDict(
+            pair for pair in end_to_end(headers) if pair[0].lower() not in _REPLACED
+        )
+        forwarded["X-Request-Id"] = inbound.request_id
+        forwarded["X-Request-Timeout-Ms"] = str(max(1, int(outbound.left_s * MS_PER_S)))
         if outbound.team:
-            kept["X-Team"] = outbound.team
+            forwarded["X-Team"] = outbound.team
         if outbound.last_event_id is not None:
-            kept["Last-Event-Id"] = str(outbound.last_event_id)
-        return kept
+            forwarded["Last-Event-Id"] = str(outbound.last_event_id)
+        return forwarded
 
     def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
-        """Read the head of a service's answer."""
+        """Parse status and headers of a service's answer."""
         return AnswerHeaders(
-            not_executed="X-Not-Run" in headers or status == MISDIRECTED,
+            not_executed="X-Not-Run" in headers or status == MISDIRECTED_REQUEST,
             request_id=headers.get("X-Request-Id", ""),
             signed=True,
         )
--- a/ferrydock/gateway/_routes.py
+++ b/ferrydock/gateway/_routes.py
@@ -1,6 +1,6 @@
-"""Routes of the operators' table, served on a listener of their own by `ferrydock.forwarding`.
+"""Routes of the operators' table, served on a separate listener by `ferrydock.forwarding`.
 
-Owns the parts of that gateway; the routes come from the table revision in force.
+Builds and owns that gateway and its parts; the routes come from the table revision in force.
 """
 
 import random
@@ -35,21 +35,20 @@
 __all__ = ["TableRoutes", "configuration_of", "targets_of"]
 
 
-# Keys on these routes need no recent confirmation: the bound on revoked keys is the route daemon's.
-ALWAYS_FRESH_S = float("inf")
+# Keys on these routes need no recently confirmed configuration: only the route daemon limits how
+# long a revoked key stays accepted.
+UNLIMITED_AGE_S = float("inf")
 
-# Requests that an address of a plain service gets at a time, and its connections: the table does
-# not say how many it takes. Chosen, not measured.
-SLOTS_OF_A_SERVICE = 256
+# Concurrent requests and connections per address of a plain service; the table gives no capacity.
+SLOTS_PER_ADDRESS = 256
 
-# Priority of teams on routes; the table gives teams none. In the table 9 is the most urgent, in a
-# `Configuration` 0 is.
+# The table gives teams no priority. In the table 9 is the most urgent, in a `Configuration` 0 is.
 DEFAULT_PRIORITY = 5
 HIGHEST_PRIORITY = 9
 
 
 def configuration_of(view: TableView) -> Configuration:
-    """Return the routes, services and teams of a table as one configuration."""
+    """Convert the routes, services and teams of a table to a configuration."""
     routes = tuple(
         Route(
             name=row.name,
@@ -66,7 +65,7 @@
         for row in view.routes.values()
     )
     services = {
-        target.name: ServiceSpec(target.name, SLOTS_OF_A_SERVICE, None)
+        target.name: ServiceSpec(target.name, SLOTS_PER_ADDRESS, None)
         for target in view.targets.values()
         if target.kind == "plain_service"
     }
@@ -86,7 +85,7 @@
             service=row.name,
             address=url.split("://", 1)[1].split("/", 1)[0],
             hall=row.hall,
-            slots=SLOTS_OF_A_SERVICE,
+            slots=SLOTS_PER_ADDRESS,
             draining=row.leaving,
         )
         for row in view.targets.values()
@@ -96,51 +95,59 @@
 
 
 class TableRoutes:
-    """A gateway for the routes of the table.
+    """The gateway for the routes of the operators' table.
 
     Parameters
     ----------
     hall : str
-        Whose targets are preferred.
+        Hall whose targets are preferred.
     """
 
-    __slots__ = ("_budgets", "crashes", "current", "directory", "gateway", "ratio", "upstream")
+    __slots__ = (
+        "_retry_budgets",
+        "crashes",
+        "current",
+        "directory",
+        "gateway",
+        "retry_ratio",
+        "upstream",
+    )
 
     def __init__(self, hall: str, clock: Clock, rng: random.Random):
         self.current = CurrentConfiguration()
         self.directory = TargetDirectory()
         self.upstream = Upstream()
-        self.ratio = DEFAULT_RETRY_RATIO
-        self._budgets: dict[str, RetryBudget] = {}
+        self.retry_ratio = DEFAULT_RETRY_RATIO
+        self._retry_budgets: dict[str, RetryBudget] = {}
         loads = TargetLoads()
         selector = EndpointSelector(EndpointCatalog(self.directory), loads, hall, clock, rng)
         dialect = OwnDialect()
         metrics = RouteMetrics()
         attempts = AttemptRunner(selector, self.upstream, loads, dialect, clock, metrics)
         self.crashes = CrashGuard(CrashHistory(clock), self.directory, metrics, clock)
-        forwarder = Forwarder(attempts, self._budget, self.crashes, clock)
+        forwarder = Forwarder(attempts, self._retry_budget, self.crashes, clock)
         self.gateway = RouteGateway(
-            self.current, forwarder, dialect, lambda: ALWAYS_FRESH_S, clock, rng
+            self.current, forwarder, dialect, lambda: UNLIMITED_AGE_S, clock, rng
         )
 
-    def _budget(self, service: str) -> RetryBudget:
-        budget = self._budgets.setdefault(service, RetryBudget(self.ratio))
-        budget.ratio = self.ratio
-        return budget
+    def _retry_budget(self, service: str) -> RetryBudget:
+        retry_budget = self._retry_budgets.setdefault(service, RetryBudget(self.retry_ratio))
+        retry_budget.ratio = self.retry_ratio
+        return retry_budget
 
-    def take(self, view: TableView, now_s: float) -> None:
-        """Put a revision of the table in force."""
-        self.ratio = view.site.retry_budget_ratio
+    def apply_table(self, view: TableView, now_s: float) -> None:
+        """Apply a revision of the table."""
+        self.retry_ratio = view.site.retry_budget_ratio
         self.directory.replace(targets_of(view))
         self.current.offer(configuration_of(view), now_s)
 
     async def start(self, listen: str) -> str:
-        """Begin to listen; return the address."""
+        """Listen on ``IP:PORT``; return the bound address."""
         await self.gateway.start(listen)
         return self.gateway.address
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Stop listening and close the connections to targets."""
         await self.gateway.close()
         await self.upstream.close()
         await self.crashes.close()
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -1,8 +1,8 @@
 """Routes of plain services: ``/v1/services/NAME/...``.
 
-Owns the calls under way by address, and which addresses failed a moment ago. Its rules on address,
-retry and claim are those of a service in the operators' table; routes with hosts and prefixes are
-served by `ferrydock.forwarding`.
+Owns the number of calls in flight per address, and the addresses that recently could not be
+reached. Addresses, retries and claims follow the service's row in the operators' table. Routes with
+hosts and path prefixes are served by `ferrydock.forwarding`.
 """
 
 import asyncio
@@ -22,48 +22,52 @@
 from ..table import TableKeeper, Target
 from ._bodies import read_body
 from ._callers import Callers
-from ._claim_answers import CLAIM_DEADLINE_S, claim_response, open_claim
-from ._errors import error_response, gave_up_response, not_run_response
-from ._lasting_work import LastingWork
+from ._claim_answers import CLAIM_TIMEOUT_S, claim_response, open_claim
+from ._errors import error_response, lost_answer_response, not_run_response
+from ._lasting_work import BackgroundTasks
 
 __all__ = ["ServiceRoutes"]
 
 _LOG = logging.getLogger("ferrydock.gateway")
 
-# How long connecting to a service may take. Chosen, not measured.
 CONNECT_TIMEOUT_S = 1.0
 
-# How long an address that could not be reached is used only if there is no other. Chosen, not
-# measured.
-AVOID_S = 2.0
+# How long an address that could not be reached is used only if there is no other.
+UNREACHABLE_AVOID_S = 2.0
 
-# When a caller may come back whose service is leaving, or cannot be reached. Chosen, not measured.
-LEAVING_RETRY_S = 5.0
+# Retry-After of calls whose service is being removed or cannot be reached.
+REMOVED_RETRY_S = 5.0
 UNREACHABLE_RETRY_S = 2.0
 
-# How a call without an answer ended, as in log lines.
+# Why a call got no answer, as logged.
 NOT_SENT = "not_sent"
 LOST_CONTACT = "lost_contact"
-_PASSED_ON = ("Content-Type", "Accept", "Accept-Language", "Idempotency-Key", "If-None-Match")
+_FORWARDED_HEADERS = (
+    "Content-Type",
+    "Accept",
+    "Accept-Language",
+    "Idempotency-Key",
+    "If-None-Match",
+)
 
 
 class ServiceRoutes:
-    """Serves callers of plain services.
+    """Serves calls of plain services.
 
     Parameters
     ----------
     keeper : TableKeeper
-        Names the services.
+        Holds the table, which lists the services.
     callers : Callers
-        Finds teams.
+        Finds the team of a request.
     claims : ClaimStore
-        Keeps calls with a key from running twice.
+        Keeps calls with an idempotency key from running twice.
     clock : Clock
-        For time-outs.
+        Time source for deadlines.
     body_timeout_s : float
         How long a caller may take to send a body.
-    work : LastingWork
-        Runs calls that go on when their caller leaves.
+    background_tasks : BackgroundTasks
+        Runs calls that continue after their caller disconnects.
     """
 
     __slots__ = (
@@ -76,7 +80,7 @@
         "claims",
         "clock",
         "keeper",
-        "work",
+        "background_tasks",
     )
 
     def __init__(
@@ -86,7 +90,7 @@
         claims: ClaimStore,
         clock: Clock,
         body_timeout_s: float,
-        work: LastingWork,
+        background_tasks: BackgroundTasks,
     ):
         self.keeper = keeper
         self.callers = callers
@@ -94,7 +98,7 @@
         self.clock = clock
         self.body_timeout_s = body_timeout_s
         self.budget = RetryBudget(DEFAULT_RETRY_RATIO)
-        self.work = work
+        self.background_tasks = background_tasks
         self._in_flight: dict[str, int] = {}
         self._avoid_until_s: dict[str, float] = {}
         self._session: aiohttp.ClientSession | None = None
@@ -109,7 +113,7 @@
             await self._session.close()
 
     async def call(self, request: web.Request) -> web.StreamResponse:
-        """Run one call of a plain service."""
+        """Check and run one call of a plain service."""
         team = self.callers.team(request)
         if team is None:
             return error_response(401, "unauthorised", "the bearer key belongs to no enabled team")
@@ -118,16 +122,16 @@
         if target is None:
             return error_response(404, "no_such_service", f"there is no service {name}")
         if target.leaving:
-            return not_run_response(NotRun("leaving", f"{name} is leaving", LEAVING_RETRY_S))
-        body = await read_body(request, self.body_timeout_s, self.work.stop_limit)
+            return not_run_response(NotRun("leaving", f"{name} is leaving", REMOVED_RETRY_S))
+        body = await read_body(request, self.body_timeout_s, self.background_tasks.stop_limit)
         if body is None:
             return error_response(408, "body_too_slow", "the body did not come in time")
-        work = self.work.start(self._run(request, team, target, body))
+        task = self.background_tasks.start(self._run(request, team, target, body))
         try:
-            return await asyncio.shield(work)
+            return await asyncio.shield(task)
         except asyncio.CancelledError:
             if request.method in target.repeatable_methods:
-                work.cancel()
+                task.cancel()
             raise
 
     async def _run(
@@ -136,18 +140,20 @@
         key = request.headers.get("Idempotency-Key", "")
         life = RequestLife(request.method in target.repeatable_methods and not key)
         if not key:
-            outcome = await self._attempt_all(request, target, body, life)
+            outcome = await self._call_within_stop_limit(request, target, body, life)
             return self._response(outcome, life.repeatable)
-        until_s = self.clock.now_s() + CLAIM_DEADLINE_S
-        claim = await open_claim(self.claims, self.work, team, f"{target.name}/{key}", until_s)
+        deadline_s = self.clock.now_s() + CLAIM_TIMEOUT_S
+        claim = await open_claim(
+            self.claims, self.background_tasks, team, f"{target.name}/{key}", deadline_s
+        )
         if not isinstance(claim, Claim):
             return claim_response(claim)
-        outcome = await self._attempt_all(request, target, body, life)
+        outcome = await self._call_within_stop_limit(request, target, body, life)
         if isinstance(outcome, Answered):
             end = self.claims.end(claim, outcome.status, outcome.content_type, outcome.body)
-            await self.work.record(end)
+            await self.background_tasks.record(end)
         elif isinstance(outcome, NotRun):
-            await self.work.record(self.claims.withdraw(claim))
+            await self.background_tasks.record(self.claims.withdraw(claim))
         return self._response(outcome, life.repeatable)
 
     def _response(self, outcome: Answered | NotRun | GaveUp, repeatable: bool) -> web.Response:
@@ -159,14 +165,14 @@
             )
         if isinstance(outcome, NotRun):
             return not_run_response(outcome)
-        return gave_up_response(outcome, repeatable)
+        return lost_answer_response(outcome, repeatable)
 
-    async def _attempt_all(
+    async def _call_within_stop_limit(
         self, request: web.Request, target: Target, body: bytes, life: RequestLife
     ) -> Answered | NotRun | GaveUp:
-        """Make attempts unless this daemon's time to stop ends first."""
+        """Send the call, with retries, unless the stop limit expires first."""
         try:
-            async with self.work.stop_limit.hold():
+            async with self.background_tasks.stop_limit.hold():
                 return await self._attempt_until_final(request, target, body, life)
         except DaemonStopping:
             if life.run is Run.NOT_RUN:
@@ -176,12 +182,12 @@
     async def _attempt_until_final(
         self, request: web.Request, target: Target, body: bytes, life: RequestLife
     ) -> Answered | NotRun | GaveUp:
-        """Attempt until there is an answer, or no further attempt is allowed."""
+        """Make attempts until one is answered or no further attempt is allowed."""
         self.budget.first_attempt()
         request_id = uuid.uuid4().hex
         tried: set[str] = set()
         for attempt in range(target.max_attempts):
-            url = self._choose(target, tried)
+            url = self._choose_url(target, tried)
             if url is None or (attempt and not self.budget.spend()):
                 break
             tried.add(url)
@@ -201,7 +207,7 @@
             )
             if outcome == NOT_SENT:
                 life.take_back()
-                self._avoid_until_s[url] = self.clock.now_s() + AVOID_S
+                self._avoid_until_s[url] = self.clock.now_s() + UNREACHABLE_AVOID_S
             else:
                 life.lose_contact()
             if not life.may_run_again:
@@ -210,25 +216,28 @@
             return NotRun("unreachable", f"{target.name} cannot be reached", UNREACHABLE_RETRY_S)
         return GaveUp("the service did not answer", Run.UNKNOWN)
 
-    def _choose(self, target: Target, tried: set[str]) -> str | None:
-        """Return the address with the fewest calls of this daemon, avoiding failed ones."""
+    def _choose_url(self, target: Target, tried: set[str]) -> str | None:
+        """Return the untried address with the fewest calls in flight from this daemon.
+
+        Addresses that recently could not be reached are used only if there is no other.
+        """
         now_s = self.clock.now_s()
-        left = [url for url in target.urls if url not in tried]
-        if not left:
+        untried = [url for url in target.urls if url not in tried]
+        if not untried:
             return None
-        good = [url for url in left if self._avoid_until_s.get(url, 0.0) <= now_s]
-        return min(good or left, key=lambda url: self._in_flight.get(url, 0))
+        reachable = [url for url in untried if self._avoid_until_s.get(url, 0.0) <= now_s]
+        return min(reachable or untried, key=lambda url: self._in_flight.get(url, 0))
 
     async def _attempt(
         self, request: web.Request, target: Target, url: str, body: bytes, request_id: str
     ) -> Answered | str:
-        """Send one call; return the whole answer, `NOT_SENT` or `LOST_CONTACT`."""
+        """Make one attempt; return the complete answer, `NOT_SENT` or `LOST_CONTACT`."""
         if self._session is None:
             connector = aiohttp.TCPConnector(limit=0, force_close=True)
             self._session = aiohttp.ClientSession(
                 connector=connector, cookie_jar=aiohttp.DummyCookieJar()
             )
-        headers = {n: request.headers[n] for n in _PASSED_ON if n in request.headers}
+        headers = {n: request.headers[n] for n in _FORWARDED_HEADERS if n in request.headers}
         headers["X-Request-Id"] = request_id
         timeout = aiohttp.ClientTimeout(total=target.timeout_s, sock_connect=CONNECT_TIMEOUT_S)
         address = f"{url.rstrip('/')}/{request.match_info['tail']}"
@@ -244,8 +253,8 @@
                 allow_redirects=False,
             ) as response:
                 answer = await response.read()
-                kind = response.headers.get("Content-Type", "application/octet-stream")
-                return Answered(response.status, kind, answer)
+                content_type = response.headers.get("Content-Type", "application/octet-stream")
+                return Answered(response.status, content_type, answer)
         except aiohttp.ClientConnectorError:
             return NOT_SENT
         except (aiohttp.ClientError, OSError, TimeoutError):
--- a/ferrydock/gateway/_spill.py
+++ b/ferrydock/gateway/_spill.py
@@ -1,7 +1,7 @@
-"""Rule: which other hall a model request is handed on to when all replicas here are full.
+"""Remote-hall forwarding of model requests when all replicas of this hall are full.
 
-Owns the connections to other halls and the turn among their daemons. A request is handed on once
-and no further; the other hall applies its own rules.
+Owns the connections to other halls and the round-robin position among their daemons. A request is
+forwarded once only; the other hall applies its own rules.
 """
 
 import logging
@@ -17,13 +17,13 @@
 from ..outcomes import NotRun, Run
 from ..planned_stop import STOPPING, DaemonStopping, StopLimit
 from ..requests import EventRelay, GaveUp, ModelRequest, error_event
-from ._errors import error_body, gave_up_response
+from ._errors import error_body, lost_answer_response
 
-__all__ = ["HOP_HEADER", "Spill"]
+__all__ = ["HOP_HEADER", "RemoteHallForwarder"]
 
 _LOG = logging.getLogger("ferrydock.gateway")
 HOP_HEADER = "X-Ferrydock-Hop"
-_PASSED_ON = (
+_FORWARDED_HEADERS = (
     "Authorization",
     "Content-Type",
     "Idempotency-Key",
@@ -31,51 +31,50 @@
     "X-Deadline-S",
 )
 
-# Oldest summary of a hall that is relied on, in seconds. Chosen, not measured.
-SUMMARY_FRESH_S = 12.0
+# Older summaries of a hall are not used.
+MAX_SUMMARY_AGE_S = 12.0
 
-# How long connecting to another hall may take, and how many halls are tried. Chosen, not measured.
 CONNECT_TIMEOUT_S = 1.0
 MAX_HALLS_TRIED = 2
 
-# When a caller may come back if no hall could be reached. Chosen, not measured.
+# Retry-After when no hall could be reached.
 RETRY_AFTER_S = 2.0
 
 
-class Spill:
-    """Sends requests to the halls that have room.
+class RemoteHallForwarder:
+    """Forwards requests to other halls that have free slots.
 
     Parameters
     ----------
     state : SharedState
         Summaries of the other halls.
     clock : Clock
-        Tells which summaries are recent enough.
+        Time source for the age of summaries.
     stop_limit : StopLimit
-        Ends the requests that are left once the daemon's time to stop is over.
+        Ends the remaining requests when the time limit of a planned stop expires.
     """
 
-    __slots__ = ("_session", "_turn", "clock", "state", "stop_limit")
+    __slots__ = ("_session", "_contact_counter", "clock", "state", "stop_limit")
 
     def __init__(self, state: SharedState, clock: Clock, stop_limit: StopLimit):
         self.state = state
         self.clock = clock
         self.stop_limit = stop_limit
         self._session: aiohttp.ClientSession | None = None
-        self._turn = 0
+        self._contact_counter = 0
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to other halls."""
         if self._session is not None:
             await self._session.close()
 
     def halls_with_room(self, model: str) -> list[HallSummary]:
-        """Return other halls that serve the model and have free slots, the nearest first."""
+        """Return the halls with free slots for the model, the nearest first."""
         now_s = self.clock.now_s()
         view = existing(self.state.keeper.view, "the table in force")
         found = []
         for summary in self.state.halls.values():
-            if now_s - summary.made_s > SUMMARY_FRESH_S or not summary.contacts:
+            if now_s - summary.made_s > MAX_SUMMARY_AGE_S or not summary.contacts:
                 continue
             if any(m.model == model and m.load < m.slots for m in summary.models):
                 found.append(summary)
@@ -83,62 +82,66 @@
         return sorted(found, key=lambda s: (distances.get(s.hall, 0.0), s.hall))
 
     async def forward(
-        self, request: web.Request, wanted: ModelRequest
+        self, request: web.Request, model_request: ModelRequest
     ) -> web.StreamResponse | NotRun:
-        """Hand the request on to another hall and pass its answer back.
+        """Forward the request to another hall and relay its answer.
 
         Returns
         -------
         web.StreamResponse or NotRun
-            `NotRun` if no byte has left, so that the caller may be served in another way.
+            `NotRun` if no byte was sent, so that the request can be served in this hall.
         """
-        for summary in self.halls_with_room(wanted.model)[:MAX_HALLS_TRIED]:
+        for summary in self.halls_with_room(model_request.model)[:MAX_HALLS_TRIED]:
             if self.stop_limit.is_over:
                 return NotRun(STOPPING)
-            self._turn += 1
-            contact = summary.contacts[self._turn % len(summary.contacts)]
-            answer = await self._forward_to(contact.url, request, wanted)
+            self._contact_counter += 1
+            contact = summary.contacts[self._contact_counter % len(summary.contacts)]
+            answer = await self._forward_to(contact.url, request, model_request)
             if answer is not None:
                 return answer
         return NotRun("no_replica", "no replica of the model can be reached", RETRY_AFTER_S)
 
     async def _forward_to(
-        self, url: str, request: web.Request, wanted: ModelRequest
+        self, url: str, request: web.Request, model_request: ModelRequest
     ) -> web.StreamResponse | None:
         if self._session is None:
             self._session = open_session(
                 CONNECT_TIMEOUT_S, keep_idle_s=None, cookie_jar=aiohttp.DummyCookieJar()
             )
-        headers = {name: request.headers[name] for name in _PASSED_ON if name in request.headers}
-        headers[HOP_HEADER] = str(wanted.hops + 1)
+        headers = {
+            name: request.headers[name] for name in _FORWARDED_HEADERS if name in request.headers
+        }
+        headers[HOP_HEADER] = str(model_request.hops + 1)
         try:
             async with self.stop_limit.hold():
                 response = await self._session.post(
-                    url + wanted.path, data=wanted.body, headers=headers
+                    url + model_request.path, data=model_request.body, headers=headers
                 )
         except DaemonStopping:
-            return _gave_up(STOPPING, wanted)
+            return _lost_answer(STOPPING, model_request)
         except aiohttp.ClientConnectorError as error:
             log_event(_LOG, logging.INFO, "hall_unreachable", url=url, why=error)
             return None
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            return _gave_up(f"another hall did not answer: {type(error).__name__}", wanted)
+            return _lost_answer(
+                f"another hall did not answer: {type(error).__name__}", model_request
+            )
         try:
             if response.content_type == "text/event-stream":
-                return await self._relay(response, request)
-            return await self._whole(response, wanted)
+                return await self._relay_stream(response, request)
+            return await self._relay_complete(response, model_request)
         finally:
             response.close()
 
-    async def _whole(self, response, wanted: ModelRequest) -> web.Response:
+    async def _relay_complete(self, response, model_request: ModelRequest) -> web.Response:
         try:
             async with self.stop_limit.hold():
                 body = await response.read()
         except DaemonStopping:
-            return _gave_up(STOPPING, wanted)
+            return _lost_answer(STOPPING, model_request)
         except (aiohttp.ClientError, OSError, TimeoutError):
-            return _gave_up("the answer of another hall broke", wanted)
-        headers = {"X-Request-Id": wanted.request_id}
+            return _lost_answer("the answer of another hall broke", model_request)
+        headers = {"X-Request-Id": model_request.request_id}
         if "Retry-After" in response.headers:
             headers["Retry-After"] = response.headers["Retry-After"]
         return web.Response(
@@ -148,7 +151,7 @@
             content_type=response.content_type,
         )
 
-    async def _relay(self, response, request: web.Request) -> web.StreamResponse:
+    async def _relay_stream(self, response, request: web.Request) -> web.StreamResponse:
         answer = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await answer.prepare(request)
         relay = EventRelay(keep=False)
@@ -170,5 +173,5 @@
         return answer
 
 
-def _gave_up(reason: str, wanted: ModelRequest) -> web.Response:
-    return gave_up_response(GaveUp(reason, Run.UNKNOWN), wanted.repeatable)
+def _lost_answer(reason: str, model_request: ModelRequest) -> web.Response:
+    return lost_answer_response(GaveUp(reason, Run.UNKNOWN), model_request.repeatable)
--- a/ferrydock/gateway/_stream_caller.py
+++ b/ferrydock/gateway/_stream_caller.py
@@ -1,6 +1,6 @@
-"""The caller's side of a stream of a model request.
+"""Writing the stream of a model request to its caller.
 
-Owns what the caller has received of one stream, and the events kept for the record of a claim.
+Owns the HTTP response of one stream, and a copy of its events for the record of a claim.
 """
 
 from collections.abc import Callable
@@ -13,107 +13,107 @@
 from ..requests import CallerLeft, GaveUp, ModelRequest, error_event
 from ._errors import error_body
 
-__all__ = ["StreamCaller"]
+__all__ = ["CallerStream"]
 
 
-class StreamCaller:
-    """The caller's side of a stream.
+class CallerStream:
+    """Writes one stream to its caller.
 
     Parameters
     ----------
     request : web.Request
-        As it was received.
+        The HTTP request as received.
     wanted : ModelRequest
-        The same, checked and typed.
+        The same request, parsed.
     clock : Clock
-        Measures the time to the first token.
+        Time source for the time of the first event.
     """
 
     __slots__ = (
-        "_kept",
+        "_recorded_events",
         "_request",
-        "_wanted",
+        "_model_request",
         "clock",
-        "first_s",
-        "left",
+        "first_event_s",
+        "is_disconnected",
         "on_first",
         "response",
     )
 
-    def __init__(self, request: web.Request, wanted: ModelRequest, clock: Clock):
+    def __init__(self, request: web.Request, model_request: ModelRequest, clock: Clock):
         self._request = request
-        self._wanted = wanted
-        self._kept: list[bytes] | None = [] if wanted.key else None
+        self._model_request = model_request
+        self._recorded_events: list[bytes] | None = [] if model_request.key else None
         self.clock = clock
-        self.first_s: float | None = None
-        self.left = False
+        self.first_event_s: float | None = None
+        self.is_disconnected = False
         self.on_first: Callable[[], None] | None = None
         self.response: web.StreamResponse | None = None
 
     @property
     def begun(self) -> bool:
-        """Whether the caller has the headers of a stream."""
+        """Whether the headers of the stream have been sent."""
         return self.response is not None
 
     async def begin(self) -> None:
-        """Send the headers of a stream, once."""
+        """Send the headers of the stream unless they have been sent."""
         if self.response is not None:
             return
         self.response = web.StreamResponse(
             headers={
                 "Content-Type": "text/event-stream",
                 "Cache-Control": "no-store",
-                "X-Request-Id": self._wanted.request_id,
+                "X-Request-Id": self._model_request.request_id,
             }
         )
         try:
             await self.response.prepare(self._request)
         except ConnectionError:
-            self._lost()
+            self._on_disconnect()
 
     async def write(self, events: bytes) -> None:
-        """Send whole events."""
+        """Send complete events."""
         if self.on_first is not None:
-            self._note_first(self.on_first)
-        if self._kept is not None:
-            self._kept.append(events)
-        if self.left:
+            self._report_first_event(self.on_first)
+        if self._recorded_events is not None:
+            self._recorded_events.append(events)
+        if self.is_disconnected:
             return
         try:
-            await self._begun().write(events)
+            await self._started_response().write(events)
         except ConnectionError:
-            self._lost()
+            self._on_disconnect()
 
-    def _note_first(self, on_first: Callable[[], None]) -> None:
+    def _report_first_event(self, on_first: Callable[[], None]) -> None:
         self.on_first = None
         on_first()
-        if self.first_s is None:
-            self.first_s = self.clock.now_s()
+        if self.first_event_s is None:
+            self.first_event_s = self.clock.now_s()
 
-    def _lost(self) -> None:
-        """Note that the caller has left; a request that must not run twice goes on to its end."""
-        self.left = True
-        if self._wanted.repeatable:
+    def _on_disconnect(self) -> None:
+        """Record that the caller has disconnected; abort the request only if it is repeatable."""
+        self.is_disconnected = True
+        if self._model_request.repeatable:
             raise CallerLeft
 
     def sent_events(self) -> bytes | None:
-        """Return all that went out, for the record of a claim."""
-        return b"".join(self._kept) if self._kept is not None else None
+        """Return all events written, for the record of a claim; None without a key."""
+        return b"".join(self._recorded_events) if self._recorded_events is not None else None
 
     async def finish(self) -> web.StreamResponse:
-        """End a whole stream."""
-        if not self.left:
-            await self._begun().write_eof()
-        return self._begun()
+        """End a complete stream."""
+        if not self.is_disconnected:
+            await self._started_response().write_eof()
+        return self._started_response()
 
     async def fail(self, outcome: NotRun | GaveUp) -> web.StreamResponse:
-        """End a stream that cannot be completed with an event that says so."""
-        run = Run.UNKNOWN if self.first_s is not None else outcome.run
-        error = error_body("stream_broken", outcome.reason, run, self._wanted.repeatable)
-        if not self.left:
-            await self._begun().write(error_event(error))
-            await self._begun().write_eof()
-        return self._begun()
-
-    def _begun(self) -> web.StreamResponse:
-        return existing(self.response, "the begun answer")
+        """End an incomplete stream with an error event."""
+        run = Run.UNKNOWN if self.first_event_s is not None else outcome.run
+        error = error_body("stream_broken", outcome.reason, run, self._model_request.repeatable)
+        if not self.is_disconnected:
+            await self._started_response().write(error_event(error))
+            await self._started_response().write_eof()
+        return self._started_response()
+
+    def _started_response(self) -> web.StreamResponse:
+        return existing(self.response, "the started response")
--- a/ferrydock/gateway/tests/test_table_routes.py
+++ b/ferrydock/gateway/tests/test_table_routes.py
@@ -1,4 +1,4 @@
-"""Routes of the operators' table: checked, put in force, and served."""
+"""Routes of the operators' table: parsing, validation and serving."""
 
 import asyncio
 import random
@@ -25,13 +25,13 @@
 
 
 def table(**cells):
-    """Return the usual table with cells of route r1 changed."""
+    """Return a table of ROWS with the given cells of route r1 changed."""
     key = RowKey("routes", "r1")
     changes = [Change(key, column, text) for column, text in cells.items()]
     return Table(ROWS).changed(changes, revision=1)
 
 
-def test_a_route_is_read():
+def test_a_route_is_parsed():
     route = table().view().routes["r1"]
     assert route.back_ends == (("old", 90.0), ("new", 10.0))
     assert (route.kind, route.attempts, route.public) == ("repeatable", 2, False)
@@ -53,11 +53,11 @@
         ({"time_limit_ms": "0"}, "routes/r1/time_limit_ms"),
     ],
 )
-def test_a_fault_is_named_with_its_cell(cells, place):
+def test_a_fault_in_a_route_names_its_cell(cells, place):
     assert [fault.place for fault in table(**cells).faults()] == [place]
 
 
-def test_two_routes_for_one_place_are_a_fault():
+def test_two_routes_with_the_same_host_and_prefix_are_a_fault():
     rows = {**ROWS, RowKey("routes", "r2"): ROWS[RowKey("routes", "r1")]}
     assert [fault.place for fault in Table(rows).faults()] == ["routes/r2"]
 
@@ -76,14 +76,14 @@
         }
         key = RowKey("routes", "r1")
         first = Table(rows).changed([Change(key, "back_ends", "old")], revision=1)
-        routes.take(first.view(), 0.0)
-        assert b"old" in await ask(address, "secret")
+        routes.apply_table(first.view(), 0.0)
+        assert b"old" in await get_route(address, "secret")
         second = first.changed([Change(key, "back_ends", "new")], revision=2)
-        routes.take(second.view(), 0.0)
-        assert b"new" in await ask(address, "secret")
-        routes.take(first.view(), 0.0)  # an older revision never comes back
-        assert b"new" in await ask(address, "secret")
-        assert (await ask(address, "wrong")).startswith(b"HTTP/1.1 401")
+        routes.apply_table(second.view(), 0.0)
+        assert b"new" in await get_route(address, "secret")
+        routes.apply_table(first.view(), 0.0)  # an older revision is ignored
+        assert b"new" in await get_route(address, "secret")
+        assert (await get_route(address, "wrong")).startswith(b"HTTP/1.1 401")
         seen = new.requests[0].lower()
         assert b"x-team: acme" in seen and b"secret" not in seen and b"x-request-id" in seen
         await routes.close()
@@ -93,7 +93,7 @@
     asyncio.run(scenario())
 
 
-async def ask(address, key):
+async def get_route(address, key):
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(
@@ -101,6 +101,6 @@
         b"Authorization: Bearer " + key.encode() + b"\r\n\r\n"
     )
     async with asyncio.timeout(5):
-        got = await reader.read(-1)
+        answer = await reader.read(-1)
     writer.close()
-    return got
+    return answer
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -9,13 +9,13 @@
 from ..demo_keys import DEMO_DIGESTS
 from ..engines import make_engine_control
 from ..gateway import (
+    BackgroundTasks,
     Callers,
     Gateway,
-    LastingWork,
     ModelRoutes,
     OperatorRoutes,
+    RemoteHallForwarder,
     ServiceRoutes,
-    Spill,
     TableRoutes,
 )
 from ..hall import Attestations, HallController, HallObserver, Prober
@@ -149,7 +149,7 @@
     def _make_request_path(self) -> None:
         settings, clock = self.settings, self.clock
         self.stop_limit = StopLimit()
-        self.work = LastingWork(self.stop_limit)
+        self.background_tasks = BackgroundTasks(self.stop_limit)
         self.recorder = Recorder(make_statsd(settings.statsd), clock)
         self.burn_gatherer = BurnGatherer(
             self.state, self.recorder, self.exchange_client, self.controller.shortage
@@ -171,29 +171,34 @@
         self.claims = ClaimStore(self.platform.store, writer, clock, 86400.0, self.name)
         refused = frozenset() if settings.store == "embedded" else DEMO_DIGESTS
         self.callers = Callers(self.keeper, settings.operator_key_digests, refused)
-        self.spill = Spill(self.state, clock, self.stop_limit)
+        self.remote_forwarder = RemoteHallForwarder(self.state, clock, self.stop_limit)
         self.models = ModelRoutes(
             state=self.state,
             callers=self.callers,
             limits=self.limits,
             executor=self.executor,
-            spill=self.spill,
+            remote_forwarder=self.remote_forwarder,
             claims=self.claims,
             recorder=self.recorder,
             clock=clock,
             body_timeout_s=settings.body_timeout_s,
-            work=self.work,
+            background_tasks=self.background_tasks,
         )
         self.services = ServiceRoutes(
-            self.keeper, self.callers, self.claims, clock, settings.body_timeout_s, self.work
+            self.keeper,
+            self.callers,
+            self.claims,
+            clock,
+            settings.body_timeout_s,
+            self.background_tasks,
         )
         self.operators = OperatorRoutes(
             keeper=self.keeper,
             repository=self.repository,
             watcher=self.watcher,
             callers=self.callers,
-            status=lambda: status_fields(self),
-            burn=lambda query: burn_fields(self, query),
+            get_status=lambda: status_fields(self),
+            get_burn=lambda query: burn_fields(self, query),
             on_edit=self.gossip.spread,
             clock=clock,
             stop_limit=self.stop_limit,
@@ -254,7 +259,11 @@
         if settings.stop_longest_s is not None:
             within_s = settings.stop_readiness_s + settings.stop_longest_s
         await finish_requests(
-            listeners, settings.stop_readiness_s, within_s, self.clock, lambda: self.work.count
+            listeners,
+            settings.stop_readiness_s,
+            within_s,
+            self.clock,
+            lambda: self.background_tasks.count,
         )
         await self._end_requests()
         await self.gossip.leave()
@@ -268,7 +277,7 @@
     async def _end_requests(self) -> None:
         """End what is left with the answers that are true of it, and record them."""
         await asyncio.gather(self.gateway.close(), self.table_routes.close())
-        await self.work.close(RECORDS_WITHIN_S)
+        await self.background_tasks.close(RECORDS_WITHIN_S)
 
     async def _close_parts(self) -> None:
         """End what serves requests; none is left."""
@@ -277,7 +286,13 @@
         await self.exchange_server.close()
         await self.exchange_client.close()
         await self.executor.close()
-        for part in (self.engine_client, self.control, self.spill, self.services, self.platform):
+        for part in (
+            self.engine_client,
+            self.control,
+            self.remote_forwarder,
+            self.services,
+            self.platform,
+        ):
             await part.close()
 
     # Readiness ----------------------------------------------------------------------------
@@ -289,7 +304,7 @@
     # The table ----------------------------------------------------------------------------
 
     def _on_table(self, view: TableView) -> None:
-        self.table_routes.take(view, self.clock.now_s())
+        self.table_routes.apply_table(view, self.clock.now_s())
         self.attestations.ttl_s = view.site.attestation_ttl_s
         self.claims.retention_s = view.site.claim_retention_s
         self.executor.budget.ratio = view.site.retry_budget_ratio
