--- a/ferrydock/node/__init__.py
+++ b/ferrydock/node/__init__.py
@@ -1,4 +1,4 @@
-"""A whole daemon: settings, composition, status, and the embedded mode."""
+"""The daemon ferrydockd: settings, composition of its components, status, and embedded mode."""
 
 from ._embedded import demo_changes, embedded_platform, write_demo_table
 from ._node import Node, Platform
--- a/ferrydock/node/_burn_report.py
+++ b/ferrydock/node/_burn_report.py
@@ -1,4 +1,4 @@
-"""The burn report of a site, gathered through one daemon."""
+"""The error-budget burn report of a site, collected by one daemon from all others."""
 
 import time
 from dataclasses import asdict
@@ -7,7 +7,7 @@
 
 __all__ = ["burn_fields"]
 
-LONGEST_MINUTES = 360
+MAX_WINDOW_MINUTES = 360
 
 
 async def burn_fields(node, query: dict) -> dict:
@@ -16,21 +16,24 @@
     Parameters
     ----------
     node : Node
-        Gathers.
+        The daemon that collects the report.
     query : dict
-        ``team`` and ``model`` as filters, ``window`` in minutes for the gaps that are shown.
+        ``team`` and ``model`` filter the rows; ``window`` is the period in minutes that the
+        reported gaps cover.
     """
     wall_s = node.clock.wall_s()
     now_minute = int(wall_s // 60)
-    gathered = await node.burn_gatherer.gather(now_minute - LONGEST_MINUTES)
+    gathered = await node.burn_gatherer.gather(now_minute - MAX_WINDOW_MINUTES)
     view = node.keeper.view
     team, model = query.get("team", ""), query.get("model", "")
     rows = burn_rows(view, gathered.minutes, now_minute, team, model) if view is not None else []
-    window = int(query["window"]) if query.get("window", "").isdigit() else LONGEST_MINUTES
+    window_minutes = (
+        int(query["window"]) if query.get("window", "").isdigit() else MAX_WINDOW_MINUTES
+    )
     return {
         "rows": [_row_fields(row) for row in rows],
-        "halls": _hall_lines(node, gathered.daemons),
-        "gaps": _gaps(gathered, wall_s, window),
+        "halls": _hall_rows(node, gathered.daemons),
+        "gaps": _gaps(gathered, wall_s, window_minutes),
     }
 
 
@@ -40,39 +43,39 @@
     return fields
 
 
-def _hall_lines(node, daemons) -> list[dict]:
-    """Return replica downtime and stranded accelerators, as the controllers saw them."""
+def _hall_rows(node, daemons) -> list[dict]:
+    """Return replica downtime and stranded boxes by hall, as observed by the halls' controllers."""
     now_s = node.clock.now_s()
     summaries = [node.state.own_summary(now_s), *node.state.halls.values()]
-    lines = []
+    hall_rows = []
     for summary in sorted(summaries, key=lambda s: s.hall):
-        mine = [d for d in daemons if d.hall == summary.hall]
-        short_h = sum(d.short_replica_s for d in mine) / 3600
-        stranded_h = sum(d.stranded_box_s for d in mine) / 3600
+        hall_daemons = [d for d in daemons if d.hall == summary.hall]
+        short_replica_h = sum(d.short_replica_s for d in hall_daemons) / 3600
+        stranded_box_h = sum(d.stranded_box_s for d in hall_daemons) / 3600
         line = (
-            f"{summary.serving} of {summary.wanted} replicas, {short_h:.3f} replica-hours short "
-            f"and {stranded_h:.2f} box-hours stranded as far as its daemons remember"
+            f"{summary.serving} of {summary.wanted} replicas, {short_replica_h:.3f} replica-hours "
+            f"short and {stranded_box_h:.2f} box-hours stranded as far as its daemons remember"
         )
-        lines.append(
+        hall_rows.append(
             {
                 "hall": summary.hall,
-                "short_replica_h": short_h,
-                "stranded_box_h": stranded_h,
+                "short_replica_h": short_replica_h,
+                "stranded_box_h": stranded_box_h,
                 "line": line,
             }
         )
-    return lines
+    return hall_rows
 
 
 def _gaps(gathered, wall_s: float, window_minutes: int) -> list[str]:
-    """Return what the report does not know: replaced daemons, and daemons not reached."""
+    """Return what the report lacks: daemons not reached, and counts lost when a daemon started."""
     gaps = [f"{name} was not reached" for name in gathered.not_reached]
-    since_s = wall_s - window_minutes * 60
+    window_start_s = wall_s - window_minutes * 60
     for daemon in sorted(gathered.daemons, key=lambda d: d.name):
-        if daemon.started_wall_s > since_s:
-            at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(daemon.started_wall_s))
+        if daemon.started_wall_s > window_start_s:
+            started_at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(daemon.started_wall_s))
             gaps.append(
-                f"{daemon.hall}/{daemon.name} counts since {at}; what a daemon before it counted "
-                "is lost"
+                f"{daemon.hall}/{daemon.name} counts since {started_at}; "
+                "what a daemon before it counted is lost"
             )
     return gaps
--- a/ferrydock/node/_embedded.py
+++ b/ferrydock/node/_embedded.py
@@ -1,4 +1,4 @@
-"""The embedded mode: store and stand-in targets in the daemon's own process."""
+"""Embedded mode: the store and stand-in targets run in the daemon's own process."""
 
 import random
 
@@ -25,7 +25,7 @@
 def demo_changes(
     halls: tuple[str, ...], service_url: str, team_key: str, operator_key: str
 ) -> tuple[Change, ...]:
-    """Return the edits that fill a table for a demonstration site.
+    """Return the changes that fill the table of a demonstration site.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
     service_url : str
         Address of the plain service.
     team_key, operator_key : str
-        Keys whose digests the table gets.
+        Keys whose digests are written to the table.
     """
     cells: dict[tuple[str, str], dict[str, str]] = {
         ("site", "site"): {
@@ -61,10 +61,10 @@
     for hall in halls:
         cells[("halls", hall)] = {"region": "demo"}
     changes = []
-    for (sheet, row), filled in cells.items():
+    for (sheet, row), texts in cells.items():
         key = RowKey(sheet, row)
         changes.append(Change(key, None, ""))
-        changes += [Change(key, column, text) for column, text in filled.items()]
+        changes += [Change(key, column, text) for column, text in texts.items()]
     return tuple(changes)
 
 
@@ -87,7 +87,7 @@
 
 
 class _EmbeddedBoxList:
-    """The box list of the stand-ins in this process."""
+    """Box list of the stand-ins in this process."""
 
     __slots__ = ("site",)
 
@@ -102,13 +102,13 @@
 
 
 class _EmbeddedPlatform(Platform):
-    """Store and stand-ins that end with the daemon."""
+    """Store and stand-ins that are closed with the daemon."""
 
     __slots__ = ("site",)
 
     def __init__(self, site: StandInSite):
-        rate = StaticWeightStore(site.size.weight_rate_bytes_per_s)
-        super().__init__(site.store, _EmbeddedBoxList(site), rate)
+        weight_store = StaticWeightStore(site.size.weight_rate_bytes_per_s)
+        super().__init__(site.store, _EmbeddedBoxList(site), weight_store)
         self.site = site
 
     async def close(self) -> None:
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -1,4 +1,4 @@
-"""One daemon, put together: its parts, the loops that drive them, its start and planned stop."""
+"""One daemon: composition of its components, start and planned stop."""
 
 import asyncio
 import logging
@@ -50,7 +50,7 @@
 from ..table import TableKeeper, TableRepository, TableView, TableWatcher
 from ..teams import Neighbourhood, TeamLimits
 from ._burn_report import burn_fields
-from ._rounds import Rounds
+from ._rounds import NodeLoops
 from ._settings import Settings
 from ._status import status_fields
 from ._tls import CallerTls
@@ -59,13 +59,12 @@
 
 _LOG = logging.getLogger("ferrydock.node")
 
-# How long the end waits for records of requests that its stop limit has ended. Chosen, not
-# measured.
-RECORDS_WITHIN_S = 1.0
+# How long closing waits for the outcome records of requests that the stop limit has ended.
+FINAL_RECORDS_TIMEOUT_S = 1.0
 
 
 class Platform:
-    """The platform as one daemon reaches it."""
+    """Clients of the platform's services for one daemon."""
 
     __slots__ = ("box_list", "store", "weight_store")
 
@@ -75,9 +74,9 @@
         self.weight_store = weight_store
 
     async def close(self) -> None:
-        """Give up the connections."""
-        for part in (self.store, self.box_list, self.weight_store):
-            await part.close()
+        """Close the connections."""
+        for client in (self.store, self.box_list, self.weight_store):
+            await client.close()
 
 
 class Node:
@@ -88,9 +87,9 @@
     settings : Settings
         Checked settings.
     platform : Platform
-        Store, box list and weight store.
+        Clients of store, box list and weight store.
     clock : Clock, default=SystemClock()
-        Time.
+        Time source.
     random_source : random.Random, optional
         Source of all random choices; by default seeded from the settings.
     """
@@ -106,19 +105,19 @@
         self.platform = platform
         self.clock = clock or SystemClock()
         self.random_source = random_source or random.Random(settings.seed or None)
-        # Never from the seed: two daemons must not have the same name.
+        # Not drawn from the seed: daemons with the same seed must have different names.
         self.name = f"{settings.hall}-{uuid.uuid4().hex[:8]}"
-        self.rounds = Rounds(self)
+        self.rounds = NodeLoops(self)
         self.started_s = self.clock.now_s()
         self.security = _peer_security(settings)
-        self._make_parts()
+        self._create_components()
 
-    def _make_parts(self) -> None:
+    def _create_components(self) -> None:
         settings, clock, store = self.settings, self.clock, self.platform.store
-        own = DaemonInfo(self.name, settings.hall, settings.peer_advertise, "")
+        own_info = DaemonInfo(self.name, settings.hall, settings.peer_advertise, "")
         self.keeper = TableKeeper(self._on_table)
         self.attestations = Attestations(ttl_s=2.0)
-        self.state = SharedState(own, self.keeper, self.attestations, self.random_source)
+        self.state = SharedState(own_info, self.keeper, self.attestations, self.random_source)
         self.state.listen_placement(self._on_placement)
         self.repository = TableRepository(store, clock, self.random_source)
         self.watcher = TableWatcher(self.repository, self.keeper, clock)
@@ -144,9 +143,9 @@
             self.state, self.exchange_client, clock, self.random_source, settings.peers
         )
         self.exchange_server = ExchangeServer(self.state, clock, self.gossip.on_needs)
-        self._make_request_path()
+        self._create_request_components()
 
-    def _make_request_path(self) -> None:
+    def _create_request_components(self) -> None:
         settings, clock = self.settings, self.clock
         self.stop_limit = StopLimit()
         self.background_tasks = BackgroundTasks(self.stop_limit)
@@ -157,22 +156,22 @@
         self.exchange_server.on_burn = self.burn_gatherer.reply
         self.limits = TeamLimits()
         self.replica_loads = ReplicaLoads(self.attestations)
-        policy = make_routing_policy("prefix_affinity", self.random_source)
-        self.gate = ReplicaGate(self.state, self.replica_loads, policy, clock)
+        routing_policy = make_routing_policy("prefix_affinity", self.random_source)
+        self.gate = ReplicaGate(self.state, self.replica_loads, routing_policy, clock)
         self.engine_client = EngineClient()
         self.executor = RequestExecutor(
             self.gate, self.engine_client, self.control, self.random_source, self.stop_limit
         )
         self.claim_writer = ClaimWriter(self.platform.store)
         self.exchange_server.on_claim = self.claim_writer.write
-        writer = RelayingClaimWriter(
-            self.claim_writer, self._claim_address, self.exchange_client.write_claim
+        relaying_writer = RelayingClaimWriter(
+            self.claim_writer, self._claim_writer_address, self.exchange_client.write_claim
         )
-        self.claims = ClaimStore(self.platform.store, writer, clock, 86400.0, self.name)
-        refused = frozenset() if settings.store == "embedded" else DEMO_DIGESTS
-        self.callers = Callers(self.keeper, settings.operator_key_digests, refused)
+        self.claims = ClaimStore(self.platform.store, relaying_writer, clock, 86400.0, self.name)
+        refused_digests = frozenset() if settings.store == "embedded" else DEMO_DIGESTS
+        self.callers = Callers(self.keeper, settings.operator_key_digests, refused_digests)
         self.remote_forwarder = RemoteHallForwarder(self.state, clock, self.stop_limit)
-        self.models = ModelRoutes(
+        self.model_routes = ModelRoutes(
             state=self.state,
             callers=self.callers,
             limits=self.limits,
@@ -184,7 +183,7 @@
             body_timeout_s=settings.body_timeout_s,
             background_tasks=self.background_tasks,
         )
-        self.services = ServiceRoutes(
+        self.service_routes = ServiceRoutes(
             self.keeper,
             self.callers,
             self.claims,
@@ -192,7 +191,7 @@
             settings.body_timeout_s,
             self.background_tasks,
         )
-        self.operators = OperatorRoutes(
+        self.operator_routes = OperatorRoutes(
             keeper=self.keeper,
             repository=self.repository,
             watcher=self.watcher,
@@ -203,20 +202,24 @@
             clock=clock,
             stop_limit=self.stop_limit,
         )
-        routes = [*self.models.routes(), *self.services.routes(), *self.operators.routes()]
+        routes = [
+            *self.model_routes.routes(),
+            *self.service_routes.routes(),
+            *self.operator_routes.routes(),
+        ]
         self.table_routes = TableRoutes(settings.hall, clock, self.random_source)
         self.gateway = Gateway(
             routes,
-            self.why_not_ready,
+            self.not_ready_reason,
             settings.most_connections,
             settings.first_request_s,
             self.stop_limit,
         )
 
-    # Life ---------------------------------------------------------------------------------
+    # Start and stop -----------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Listen, and begin all loops."""
+        """Listen, and start all loops."""
         settings = self.settings
         port = await self.exchange_server.start(settings.peer_listen, self.security)
         peer_address = f"{settings.peer_listen.rsplit(':', 1)[0]}:{port}"
@@ -224,18 +227,18 @@
         tls = self.caller_tls.context
         address = await self.gateway.start(settings.listen, tls)
         scheme = "https" if tls is not None else "http"
-        outside = settings.outside_advertise
+        outside_address = settings.outside_advertise
         self.state.members.change_own(
             self.clock.now_s(),
             peer_address=settings.peer_advertise or peer_address,
             url=f"{scheme}://{settings.advertise or address}",
             outside_peer_address=settings.outside_peer_advertise,
-            outside_url=f"{scheme}://{outside}" if outside else "",
+            outside_url=f"{scheme}://{outside_address}" if outside_address else "",
         )
         route_address = ""
         if settings.route_listen:
             route_address = await self.table_routes.start(settings.route_listen)
-        self.rounds.begin()
+        self.rounds.start()
         log_event(
             _LOG,
             logging.INFO,
@@ -248,84 +251,89 @@
         )
 
     async def stop(self) -> None:
-        """Stop as planned: readiness drops first, then nothing in flight is cut off."""
+        """Stop as planned: report not ready, finish requests in flight, then close.
+
+        Requests that remain after the configured time limit are ended with an error answer.
+        """
         settings = self.settings
         listeners: list[StoppingListener] = [self.gateway, self.table_routes.gateway]
         for listener in listeners:
             listener.announce_stop()
         self.state.members.change_own(self.clock.now_s(), stopping=True)
         await self.controller.stand_down()
-        within_s = None
+        time_limit_s = None
         if settings.stop_longest_s is not None:
-            within_s = settings.stop_readiness_s + settings.stop_longest_s
+            time_limit_s = settings.stop_readiness_s + settings.stop_longest_s
         await finish_requests(
             listeners,
             settings.stop_readiness_s,
-            within_s,
+            time_limit_s,
             self.clock,
             lambda: self.background_tasks.count,
         )
         await self._end_requests()
         await self.gossip.leave()
-        await self._close_parts()
+        await self._close_components()
 
     async def close(self) -> None:
-        """End at once; callers' requests first, while everything that serves them still runs."""
+        """Close at once: end callers' requests first, while the components that serve them run."""
         await self._end_requests()
-        await self._close_parts()
+        await self._close_components()
 
     async def _end_requests(self) -> None:
-        """End what is left with the answers that are true of it, and record them."""
+        """Answer the remaining requests as not run or possibly run, and record their outcomes."""
         await asyncio.gather(self.gateway.close(), self.table_routes.close())
-        await self.background_tasks.close(RECORDS_WITHIN_S)
+        await self.background_tasks.close(FINAL_RECORDS_TIMEOUT_S)
 
-    async def _close_parts(self) -> None:
-        """End what serves requests; none is left."""
-        await self.rounds.end()
+    async def _close_components(self) -> None:
+        """Close the components that serve requests; no request is in flight any more."""
+        await self.rounds.stop()
         await self.gossip.close()
         await self.exchange_server.close()
         await self.exchange_client.close()
         await self.executor.close()
-        for part in (
+        for component in (
             self.engine_client,
             self.control,
             self.remote_forwarder,
-            self.services,
+            self.service_routes,
             self.platform,
         ):
-            await part.close()
+            await component.close()
 
     # Readiness ----------------------------------------------------------------------------
 
-    def why_not_ready(self) -> str:
-        """Return why the balancer should send nobody here, or an empty text."""
+    def not_ready_reason(self) -> str:
+        """Return why the load balancer should send no requests here; empty if ready."""
         return "" if self.keeper.loaded else "no table yet"
 
-    # The table ----------------------------------------------------------------------------
+    # Table and claims ---------------------------------------------------------------------
 
     def _on_table(self, view: TableView) -> None:
         self.table_routes.apply_table(view, self.clock.now_s())
         self.attestations.ttl_s = view.site.attestation_ttl_s
         self.claims.retention_s = view.site.claim_retention_s
         self.executor.budget.ratio = view.site.retry_budget_ratio
-        self.services.budget.ratio = view.site.retry_budget_ratio
+        self.service_routes.budget.ratio = view.site.retry_budget_ratio
         self.update_limits()
         if self.settings.store != "embedded":
             _warn_of_demo_keys(view)
 
-    def _claim_address(self) -> str | None:
-        """Return the address of the daemon that writes this hall's claims, or None for this one."""
-        working = self.state.members.working()
-        if len(working) < RELAY_FROM_DAEMONS:
+    def _claim_writer_address(self) -> str | None:
+        """Return the address of the daemon that writes this hall's claims; None if this one."""
+        active_members = self.state.members.working()
+        if len(active_members) < RELAY_FROM_DAEMONS:
             self.claim_writer.wait_s = GROUP_WAIT_S
             return None
         self.claim_writer.wait_s = RELAYED_WAIT_S
-        chosen = self.rounds.responsibilities.order(working, "claims/" + self.settings.hall)[0]
-        if chosen == self.name:
+        writer_name = self.rounds.responsibilities.order(
+            active_members, "claims/" + self.settings.hall
+        )[0]
+        if writer_name == self.name:
             return None
-        return existing(self.state.members.get(chosen), chosen).peer_address
+        return existing(self.state.members.get(writer_name), writer_name).peer_address
 
-    # What the parts tell each other --------------------------------------------------------
+    # Placement ----------------------------------------------------------------------------
 
     def _publish(self, placement: HallPlacement) -> None:
         if self.state.offer_placement(placement):
@@ -335,20 +343,22 @@
         self.controller.learn(placement)
         self.replica_loads.keep_only(placement)
 
-    # Requests -----------------------------------------------------------------------------
+    # Team limits --------------------------------------------------------------------------
 
     def neighbourhood(self) -> Neighbourhood:
-        """Return what is known of the demand elsewhere."""
+        """Return the demand reported by other daemons of this hall and by other halls."""
         now_s = self.clock.now_s()
         halls = {
             hall: (now_s - summary.made_s, summary.demands)
             for hall, summary in self.state.halls.items()
         }
         daemons = {
-            name: news.rates_per_s for name, news in self.state.demands.items() if name != self.name
+            name: demand.rates_per_s
+            for name, demand in self.state.demands.items()
+            if name != self.name
         }
-        live = len(self.state.members.live())
-        return Neighbourhood(self.settings.hall, self.name, daemons, live, halls)
+        live_count = len(self.state.members.live())
+        return Neighbourhood(self.settings.hall, self.name, daemons, live_count, halls)
 
     def update_limits(self) -> None:
         view = self.keeper.view
@@ -367,7 +377,7 @@
 
 
 def _warn_of_demo_keys(view: TableView) -> None:
-    """Complain of keys that everybody knows; they are refused all the same."""
+    """Log an error if the table has publicly known demo keys; `Callers` refuses them."""
     digests = set(view.site.operator_key_digests)
     for team in view.teams.values():
         digests.update(team.key_digests)
--- a/ferrydock/node/_settings.py
+++ b/ferrydock/node/_settings.py
@@ -1,4 +1,7 @@
-"""Settings of the daemon: flags, each also read from ``FERRYDOCK_<FLAG>``, checked in one place."""
+"""Settings of ferrydockd: definition and validation of its flags.
+
+Each flag is also read from the environment variable ``FERRYDOCK_<FLAG>``.
+"""
 
 import os
 import re
@@ -19,14 +22,14 @@
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 _DIGEST = re.compile(r"[0-9a-f]{64}")
 _LEVELS = ("debug", "info", "warning", "error")
-MOST_PORT = 65535
-MOST_OCTET = 255
+MAX_PORT = 65535
+MAX_OCTET = 255
 _STORES = ("embedded", "etcd")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Checked settings of one daemon; the flags of the same names document them."""
+    """Validated settings of one daemon; the flags of the same names describe them."""
 
     hall: str
     region: str
@@ -62,7 +65,7 @@
 
 def define_flags() -> None:
     """Define the daemon's flags."""
-    text, many, number = flags.DEFINE_string, flags.DEFINE_list, flags.DEFINE_float
+    text, texts, number = flags.DEFINE_string, flags.DEFINE_list, flags.DEFINE_float
     text("hall", "", "Hall in which this daemon stands.")
     text("region", "", "Region in which the hall stands.")
     text("listen", "127.0.0.1:7070", "IP:PORT for callers and operators; port 0 takes a free one.")
@@ -72,16 +75,16 @@
     text("peer_advertise", "", "The same for --peer_listen.")
     text("outside_advertise", "", "IP:PORT at which other halls reach --listen.")
     text("outside_peer_advertise", "", "The same for --peer_listen.")
-    many("peers", [], "IP:PORT of the first other daemons to talk to.")
+    texts("peers", [], "IP:PORT of the first other daemons to talk to.")
     text("store", "etcd", "Platform's key-value service: embedded or etcd.")
-    many("store_urls", [], "Addresses http://IP:PORT of the platform's key-value service.")
+    texts("store_urls", [], "Addresses http://IP:PORT of the platform's key-value service.")
     text("box_list_url", "", "Address http://IP:PORT of the platform's box list.")
     text("weight_store_url", "", "Address http://IP:PORT of the weight store.")
     text("statsd", "", "IP:PORT for metrics over UDP; empty sends none.")
     text("log_level", "info", "debug, info, warning or error.")
     flags.DEFINE_bool("embedded", False, "Run with a store and stand-in targets in this process.")
     flags.DEFINE_bool("check_settings", False, "Check the settings and exit.")
-    many("operator_key_digests", [], "SHA-256 of operator keys, for a table that names none yet.")
+    texts("operator_key_digests", [], "SHA-256 of operator keys, for a table that names none yet.")
     number("stop_readiness_s", 5.0, "Planned stop: time for the balancer to see /readyz fail.")
     number("stop_longest_s", -1.0, "Planned stop: longest wait for requests; below 0: no limit.")
     flags.DEFINE_integer("most_connections", 4000, "Connections of callers at a time.")
@@ -96,19 +99,19 @@
     flags.DEFINE_integer("seed", 0, "Seed of the random choices; 0 draws one.")
 
 
-def _matches(pattern: re.Pattern, empty: bool = False) -> Callable[[str], bool]:
+def _matches(pattern: re.Pattern, allow_empty: bool = False) -> Callable[[str], bool]:
     def check(text: str) -> bool:
-        return (empty and not text) or pattern.fullmatch(text) is not None
+        return (allow_empty and not text) or pattern.fullmatch(text) is not None
 
     return check
 
 
 def _is_address(text: str) -> bool:
-    """Whether a text is IP:PORT, each number within its range."""
+    """Return whether a text is IP:PORT with each number in its range."""
     if not _ADDRESS.fullmatch(text):
         return False
     host, _, port = text.rpartition(":")
-    return int(port) <= MOST_PORT and all(int(part) <= MOST_OCTET for part in host.split("."))
+    return int(port) <= MAX_PORT and all(int(part) <= MAX_OCTET for part in host.split("."))
 
 
 def _is_address_or_empty(text: str) -> bool:
@@ -123,7 +126,7 @@
     return not text or _is_url(text)
 
 
-def _all(check: Callable[[str], bool]) -> Callable[[list[str]], bool]:
+def _each(check: Callable[[str], bool]) -> Callable[[list[str]], bool]:
     return lambda texts: all(check(text) for text in texts)
 
 
@@ -131,47 +134,46 @@
     return lambda value: low <= value <= high
 
 
-def _file_or_empty(text: str) -> bool:
+def _is_file_or_empty(text: str) -> bool:
     return not text or os.path.isfile(text)
 
 
-_ADDRESS_WORDS = "IP:PORT, such as 127.0.0.1:7070"
-_URL_WORDS = "http://IP:PORT"
+_ADDRESS_FORM = "IP:PORT, such as 127.0.0.1:7070"
+_URL_FORM = "http://IP:PORT"
 _CONSTRAINTS: dict[str, tuple[Callable, str]] = {
     "hall": (_matches(_NAME), "a name of letters, digits, '.', '_' and '-'"),
-    "region": (_matches(_NAME, empty=True), "a name, or empty"),
-    "listen": (_is_address, _ADDRESS_WORDS),
-    "peer_listen": (_is_address, _ADDRESS_WORDS),
-    "route_listen": (_is_address_or_empty, _ADDRESS_WORDS + ", or empty"),
-    "advertise": (_is_address_or_empty, _ADDRESS_WORDS + ", or empty"),
-    "peer_advertise": (_is_address_or_empty, _ADDRESS_WORDS + ", or empty"),
-    "outside_advertise": (_is_address_or_empty, _ADDRESS_WORDS + ", or empty"),
-    "outside_peer_advertise": (_is_address_or_empty, _ADDRESS_WORDS + ", or empty"),
-    "peers": (_all(_is_address), _ADDRESS_WORDS + ", set apart by commas"),
+    "region": (_matches(_NAME, allow_empty=True), "a name, or empty"),
+    "listen": (_is_address, _ADDRESS_FORM),
+    "peer_listen": (_is_address, _ADDRESS_FORM),
+    "route_listen": (_is_address_or_empty, _ADDRESS_FORM + ", or empty"),
+    "advertise": (_is_address_or_empty, _ADDRESS_FORM + ", or empty"),
+    "peer_advertise": (_is_address_or_empty, _ADDRESS_FORM + ", or empty"),
+    "outside_advertise": (_is_address_or_empty, _ADDRESS_FORM + ", or empty"),
+    "outside_peer_advertise": (_is_address_or_empty, _ADDRESS_FORM + ", or empty"),
+    "peers": (_each(_is_address), _ADDRESS_FORM + ", set apart by commas"),
     "store": (lambda text: text in _STORES, "embedded or etcd"),
-    "store_urls": (_all(_is_url), _URL_WORDS + ", set apart by commas"),
-    "box_list_url": (_is_url_or_empty, _URL_WORDS),
-    "weight_store_url": (_is_url_or_empty, _URL_WORDS + ", or empty"),
-    "statsd": (_is_address_or_empty, _ADDRESS_WORDS + ", or empty"),
+    "store_urls": (_each(_is_url), _URL_FORM + ", set apart by commas"),
+    "box_list_url": (_is_url_or_empty, _URL_FORM),
+    "weight_store_url": (_is_url_or_empty, _URL_FORM + ", or empty"),
+    "statsd": (_is_address_or_empty, _ADDRESS_FORM + ", or empty"),
     "log_level": (lambda text: text in _LEVELS, ", ".join(_LEVELS)),
-    "operator_key_digests": (_all(_matches(_DIGEST)), "SHA-256 in hexadecimal"),
+    "operator_key_digests": (_each(_matches(_DIGEST)), "SHA-256 in hexadecimal"),
     "stop_readiness_s": (_within(0, 3600), "0 to 3600"),
     "stop_longest_s": (_within(-1, 86400), "-1 to 86400"),
     "most_connections": (_within(1, 100000), "1 to 100000"),
     "first_request_s": (_within(0.1, 600), "0.1 to 600"),
     "body_timeout_s": (_within(0.1, 3600), "0.1 to 3600"),
     "engine": (lambda text: text in engine_kinds(), ", ".join(engine_kinds())),
-    "tls_certificate": (_file_or_empty, "a file that exists, or empty"),
-    "tls_key": (_file_or_empty, "a file that exists, or empty"),
-    "peer_certificate": (_file_or_empty, "a file that exists, or empty"),
-    "peer_key": (_file_or_empty, "a file that exists, or empty"),
-    "peer_authority": (_file_or_empty, "a file that exists, or empty"),
+    "tls_certificate": (_is_file_or_empty, "a file that exists, or empty"),
+    "tls_key": (_is_file_or_empty, "a file that exists, or empty"),
+    "peer_certificate": (_is_file_or_empty, "a file that exists, or empty"),
+    "peer_key": (_is_file_or_empty, "a file that exists, or empty"),
+    "peer_authority": (_is_file_or_empty, "a file that exists, or empty"),
 }
 
 
 def read_settings(values: flags.FlagValues) -> Settings | Invalid:
-    """Return the settings within parsed flags, or every fault with flag, value and what is
-    allowed."""
+    """Return the settings from parsed flags, or all faults with flag, value and allowed values."""
     given: dict[str, Any] = {name: values[name].value for name in Settings.__slots__}
     if given["embedded"]:
         given["hall"] = given["hall"] or "hall-a"
@@ -197,7 +199,7 @@
 
 
 def _combination_faults(given: Mapping) -> list[Fault]:
-    """Return what is wrong with settings that are good one by one."""
+    """Return faults in the combination of settings that are valid one by one."""
     faults = []
     embedded = given["embedded"]
     if embedded and (given["store"] != "embedded" or given["store_urls"]):
@@ -205,9 +207,9 @@
     if not embedded and given["store"] == "embedded":
         faults.append(Fault("--store", "'embedded' is allowed with --embedded only"))
     if given["store"] == "etcd" and not given["store_urls"]:
-        faults.append(Fault("--store_urls", f"'' is not allowed; allowed: {_URL_WORDS}"))
+        faults.append(Fault("--store_urls", f"'' is not allowed; allowed: {_URL_FORM}"))
     if not embedded and not given["box_list_url"]:
-        faults.append(Fault("--box_list_url", f"'' is not allowed; allowed: {_URL_WORDS}"))
+        faults.append(Fault("--box_list_url", f"'' is not allowed; allowed: {_URL_FORM}"))
     if not embedded and DEMO_DIGESTS.intersection(given["operator_key_digests"]):
         faults.append(Fault("--operator_key_digests", "the demo key is allowed embedded only"))
     for group in _FILE_GROUPS:
--- a/ferrydock/node/_status.py
+++ b/ferrydock/node/_status.py
@@ -1,4 +1,4 @@
-"""The status of a site as one daemon knows it, for `ferrydock status` and `table watch`."""
+"""The status of a site from the view of one daemon, for `ferrydock status` and `table watch`."""
 
 from ..placement import ReplicaPhase
 
@@ -20,7 +20,7 @@
         "lineage": node.keeper.lineage,
         "region": node.settings.region,
         "store": str(node.watcher.sight),
-        "store_answered_ago_s": _ago(node.watcher.answered_s, now_s),
+        "store_answered_ago_s": _age_s(node.watcher.answered_s, now_s),
         "controller": own.controller,
         "controller_mode": str(node.controller.mode),
         "halls": halls,
@@ -32,8 +32,8 @@
     }
 
 
-def _ago(at_s: float | None, now_s: float) -> float | None:
-    return None if at_s is None else round(now_s - at_s, 2)
+def _age_s(event_s: float | None, now_s: float) -> float | None:
+    return None if event_s is None else round(now_s - event_s, 2)
 
 
 def _hall_fields(summary, now_s: float) -> dict:
@@ -54,26 +54,26 @@
 
 def _members(node) -> list[dict]:
     members = node.state.members
-    found = []
+    rows = []
     for info in sorted(members.everyone(), key=lambda m: m.name):
-        own = info.name == node.name
-        found.append(
+        is_own = info.name == node.name
+        rows.append(
             {
                 "name": info.name,
                 "status": info.status.name.lower(),
                 "stopping": info.stopping,
-                "revision": node.keeper.revision if own else members.revision_of(info.name),
+                "revision": node.keeper.revision if is_own else members.revision_of(info.name),
                 "url": info.url,
             }
         )
-    return found
+    return rows
 
 
 def _replicas(node, now_s: float) -> list[dict]:
-    found = []
+    rows = []
     for replica in sorted(node.state.placement.replicas.values(), key=lambda r: r.replica_id):
         statement = node.attestations.get(replica.replica_id)
-        found.append(
+        rows.append(
             {
                 "replica": replica.replica_id,
                 "model": replica.model,
@@ -87,27 +87,29 @@
                 "why": node.controller.reasons.get(replica.replica_id, ""),
             }
         )
-    return found
+    return rows
 
 
 def _waiting(node) -> list[dict]:
-    """Return what the hall still waits for."""
+    """Return missing replicas and queued requests of the hall, with reasons."""
     view = node.keeper.view
     if view is None:
         return [{"what": "table", "why": "no table yet"}]
-    found = []
+    rows = []
     for model in view.models.values():
-        mine = [r for r in node.state.placement.replicas.values() if r.model == model.name]
-        serving = sum(1 for r in mine if r.phase is ReplicaPhase.SERVING)
+        model_replicas = [
+            r for r in node.state.placement.replicas.values() if r.model == model.name
+        ]
+        serving = sum(1 for r in model_replicas if r.phase is ReplicaPhase.SERVING)
         wanted = model.replicas_in(node.settings.hall)
         if serving < wanted:
             why = node.controller.reasons.get(model.name, "")
-            found.append(
+            rows.append(
                 {"what": f"model {model.name}", "serving": serving, "wanted": wanted, "why": why}
             )
     for model, length in node.gate.queue_lengths().items():
-        found.append({"what": f"queue of {model}", "requests": length, "why": "no room"})
-    return found
+        rows.append({"what": f"queue of {model}", "requests": length, "why": "no room"})
+    return rows
 
 
 def _counters(node) -> dict:
--- a/ferrydock/node/_tls.py
+++ b/ferrydock/node/_tls.py
@@ -1,4 +1,4 @@
-"""TLS towards callers and operators, with certificates that are renewed without a restart."""
+"""TLS for callers and operators, with certificates reloaded without a restart."""
 
 import logging
 import os
@@ -13,7 +13,7 @@
 
 
 class CallerTls:
-    """The TLS context of the listener.
+    """TLS context of the listener for callers and operators.
 
     Parameters
     ----------
@@ -23,38 +23,38 @@
     Attributes
     ----------
     context : ssl.SSLContext or None
-        Serves new connections with the certificate last read; None for plain HTTP.
+        Serves new connections with the certificate last loaded; None for plain HTTP.
     """
 
-    __slots__ = ("_read_ns", "certificate_path", "context", "key_path")
+    __slots__ = ("_loaded_mtimes_ns", "certificate_path", "context", "key_path")
 
     def __init__(self, certificate_path: str, key_path: str):
         self.certificate_path = certificate_path
         self.key_path = key_path
         self.context: ssl.SSLContext | None = None
-        self._read_ns = (0, 0)
+        self._loaded_mtimes_ns = (0, 0)
         if certificate_path:
             self.context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-            self._read()
+            self._load()
 
-    def _changed_ns(self) -> tuple[int, int]:
+    def _mtimes_ns(self) -> tuple[int, int]:
         return os.stat(self.certificate_path).st_mtime_ns, os.stat(self.key_path).st_mtime_ns
 
-    def _read(self) -> None:
-        self._read_ns = self._changed_ns()
+    def _load(self) -> None:
+        self._loaded_mtimes_ns = self._mtimes_ns()
         existing(self.context, "the context").load_cert_chain(self.certificate_path, self.key_path)
 
-    def renew(self) -> bool:
-        """Read the files again if they have changed; return whether they were taken.
+    def reload_if_changed(self) -> bool:
+        """Reload the files if they have changed; return whether a new certificate is in use.
 
-        A file that cannot be read, or a key that does not fit, leaves the old certificate in use.
+        If a file cannot be read or the key does not match, the old certificate stays in use.
         """
         if self.context is None:
             return False
         try:
-            if self._changed_ns() == self._read_ns:
+            if self._mtimes_ns() == self._loaded_mtimes_ns:
                 return False
-            self._read()
+            self._load()
         except (OSError, ssl.SSLError) as error:
             log_event(_LOG, logging.ERROR, "certificate_not_read", why=error)
             return False
--- a/ferrydock/node/tests/test_settings.py
+++ b/ferrydock/node/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every bad one is named with flag, value and what is allowed."""
+"""Validation of settings: each fault names the flag, its value and the allowed values."""
 
 import pytest
 from absl import flags
@@ -15,7 +15,7 @@
 )
 
 
-def read(*arguments, environment=None):
+def read_flags(*arguments, environment=None):
     values = flags.FlagValues()
     original, flags.FLAGS = flags.FLAGS, values
     try:
@@ -23,40 +23,42 @@
     finally:
         flags.FLAGS = original
     values(["ferrydockd", *arguments])
-    wrong = apply_environment(values, environment or {})
-    return wrong or read_settings(values)
+    environment_faults = apply_environment(values, environment or {})
+    return environment_faults or read_settings(values)
 
 
 def define_flags_in(values):
-    """Define the daemon's flags in a set of their own."""
-    originals = {n: getattr(flags, n) for n in NAMES}
+    """Define the daemon's flags in `values` instead of the global flags."""
+    originals = {n: getattr(flags, n) for n in DEFINERS}
     try:
         for name, original in originals.items():
-            setattr(flags, name, into(original, values))
+            setattr(flags, name, define_in(original, values))
         define_flags()
     finally:
         for name, original in originals.items():
             setattr(flags, name, original)
 
 
-NAMES = ("DEFINE_string", "DEFINE_list", "DEFINE_float", "DEFINE_bool", "DEFINE_integer")
+DEFINERS = ("DEFINE_string", "DEFINE_list", "DEFINE_float", "DEFINE_bool", "DEFINE_integer")
 
 
-def into(define, values):
-    return lambda *args, **more: define(*args, flag_values=values, **more)
+def define_in(define, values):
+    return lambda *args, **options: define(*args, flag_values=values, **options)
 
 
-def test_good_settings_are_read():
-    settings = read(*GOOD, "--peers=10.0.0.4:7170")
+def test_valid_settings_are_accepted():
+    settings = read_flags(*GOOD, "--peers=10.0.0.4:7170")
     assert isinstance(settings, Settings)
     assert settings.peers == ("10.0.0.4:7170",)
     assert settings.stop_longest_s is None
 
 
 def test_every_flag_is_also_read_from_the_environment():
-    settings = read(*GOOD, environment={"FERRYDOCK_LISTEN": "10.0.0.9:80"})
+    settings = read_flags(*GOOD, environment={"FERRYDOCK_LISTEN": "10.0.0.9:80"})
     assert settings.listen == "10.0.0.9:80"
-    given = read(*GOOD, "--listen=10.0.0.8:80", environment={"FERRYDOCK_LISTEN": "10.0.0.9:80"})
+    given = read_flags(
+        *GOOD, "--listen=10.0.0.8:80", environment={"FERRYDOCK_LISTEN": "10.0.0.9:80"}
+    )
     assert given.listen == "10.0.0.8:80"
 
 
@@ -76,15 +78,15 @@
         (f"--operator_key_digests={min(DEMO_DIGESTS)}", "--operator_key_digests"),
     ],
 )
-def test_a_bad_setting_is_named(argument, flag):
-    refused = read(*GOOD, argument)
-    assert isinstance(refused, Invalid)
-    assert any(fault.place == flag for fault in refused.faults)
-    assert all("allowed" in fault.problem for fault in refused.faults)
+def test_an_invalid_setting_is_refused_with_its_flag(argument, flag):
+    result = read_flags(*GOOD, argument)
+    assert isinstance(result, Invalid)
+    assert any(fault.place == flag for fault in result.faults)
+    assert all("allowed" in fault.problem for fault in result.faults)
 
 
-def test_the_embedded_mode_needs_nothing_else():
-    settings = read("--embedded")
+def test_embedded_mode_needs_no_other_flag():
+    settings = read_flags("--embedded")
     assert settings.store == "embedded"
     assert settings.hall
 
@@ -100,7 +102,7 @@
         "--box_list_url=http://10.0.0.3:65536",
     ],
 )
-def test_a_port_or_number_out_of_range_is_named(flag):
-    settings = read(*GOOD, flag)
+def test_a_port_or_octet_out_of_range_is_refused_with_its_flag(flag):
+    settings = read_flags(*GOOD, flag)
     assert isinstance(settings, Invalid)
     assert flag.split("=")[0] in settings.reason
--- a/ferrydock/node/tests/test_tls.py
+++ b/ferrydock/node/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Certificates: peers without one get nothing, and renewed ones are used without a restart."""
+"""Certificates: peers without a valid one are refused, and renewed ones are reloaded."""
 
 import asyncio
 import datetime
@@ -26,7 +26,7 @@
 
 
 class Authority:
-    """An authority that signs certificates for 127.0.0.1."""
+    """A certificate authority that signs certificates for 127.0.0.1."""
 
     def __init__(self, name):
         self.key = ec.generate_private_key(ec.SECP256R1())
@@ -50,7 +50,7 @@
         return builder.sign(self.key, hashes.SHA256())
 
     def write(self, folder, name):
-        """Write a certificate, its key and the authority; return the three paths."""
+        """Write a certificate, its key and the authority's certificate; return the three paths."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         certificate = self._sign(subject, key.public_key(), authority=False)
@@ -71,7 +71,7 @@
         return paths
 
 
-TOLD = {"friend"}
+ACCEPTED = {"friend"}
 
 
 def state(name):
@@ -79,7 +79,7 @@
     return SharedState(own, TableKeeper(), Attestations(2.0), random.Random(1))
 
 
-def test_a_peer_without_a_certificate_of_the_authority_gets_nothing(tmp_path):
+def test_a_peer_without_a_certificate_of_the_authority_is_refused(tmp_path):
     ours, foreign = Authority("ours"), Authority("foreign")
     good = PeerSecurity(*ours.write(tmp_path, "good"))
     other = PeerSecurity(*ours.write(tmp_path, "other"))
@@ -87,12 +87,12 @@
     stranger = PeerSecurity(stranger_paths[0], stranger_paths[1], good.authority_path)
 
     async def check():
-        clock, served = ManualClock(1.0), state("a")
-        server = ExchangeServer(served, clock, lambda sender, needs: None)
+        clock, server_state = ManualClock(1.0), state("a")
+        server = ExchangeServer(server_state, clock, lambda sender, needs: None)
         port = await server.start("127.0.0.1:0", good)
         address = f"127.0.0.1:{port}"
 
-        async def ask(name, security):
+        async def send_digest(name, security):
             client = ExchangeClient(state(name), clock, security)
             for _ in range(10):
                 outcome = await client.tell(address, "hall-a", True)
@@ -102,43 +102,43 @@
             return outcome
 
         try:
-            assert not isinstance(await ask("friend", other), Unavailable)
-            assert isinstance(await ask("plain", None), Unavailable)
-            assert isinstance(await ask("stranger", stranger), Unavailable)
+            assert not isinstance(await send_digest("friend", other), Unavailable)
+            assert isinstance(await send_digest("plain", None), Unavailable)
+            assert isinstance(await send_digest("stranger", stranger), Unavailable)
         finally:
             await server.close()
-        assert {m.name for m in served.members.everyone()} == {"a"} | TOLD
+        assert {m.name for m in server_state.members.everyone()} == {"a"} | ACCEPTED
 
     asyncio.run(check())
 
 
-def test_a_renewed_certificate_is_used_and_a_bad_one_is_not(tmp_path):
+def test_a_renewed_certificate_is_loaded_and_an_invalid_one_is_not(tmp_path):
     ours = Authority("ours")
     certificate, key, authority = ours.write(tmp_path, "caller")
     tls = CallerTls(certificate, key)
-    assert not tls.renew()
+    assert not tls.reload_if_changed()
 
-    async def serial():
+    async def served_serial():
         server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0, ssl=tls.context)
         port = server.sockets[0].getsockname()[1]
-        trusting = ssl.create_default_context(cafile=authority)
-        _, writer = await asyncio.open_connection("127.0.0.1", port, ssl=trusting)
+        client_context = ssl.create_default_context(cafile=authority)
+        _, writer = await asyncio.open_connection("127.0.0.1", port, ssl=client_context)
         raw = writer.get_extra_info("ssl_object").getpeercert(binary_form=True)
         writer.close()
         server.close()
         return x509.load_der_x509_certificate(raw).serial_number
 
-    first = asyncio.run(serial())
+    first = asyncio.run(served_serial())
     ours.write(tmp_path, "caller")
-    assert tls.renew()
-    second = asyncio.run(serial())
+    assert tls.reload_if_changed()
+    second = asyncio.run(served_serial())
     assert second != first
     (tmp_path / "caller-certificate.pem").write_text("not a certificate")
-    assert not tls.renew()
-    assert asyncio.run(serial()) == second
+    assert not tls.reload_if_changed()
+    assert asyncio.run(served_serial()) == second
 
 
-def test_without_files_there_is_plain_http():
+def test_without_certificate_files_plain_http_is_served():
     tls = CallerTls("", "")
     assert tls.context is None
-    assert not tls.renew()
+    assert not tls.reload_if_changed()
