--- a/ferrydock/gateway/__init__.py
+++ b/ferrydock/gateway/__init__.py
@@ -6,22 +6,22 @@
 """
 
 from ._app import Gateway
-from ._callers import Callers
+from ._callers import Authenticator
 from ._errors import error_response, not_run_response
 from ._lasting_work import BackgroundTasks
 from ._models import ModelRoutes
 from ._operators import OperatorRoutes
-from ._route_dialect import OwnDialect
+from ._route_dialect import FerrydockDialect
 from ._routes import TableRoutes, configuration_of, targets_of
 from ._services import ServiceRoutes
 from ._spill import RemoteHallForwarder
 
 __all__ = [
-    "OwnDialect",
+    "FerrydockDialect",
     "TableRoutes",
     "configuration_of",
     "targets_of",
-    "Callers",
+    "Authenticator",
     "Gateway",
     "BackgroundTasks",
     "ModelRoutes",
--- a/ferrydock/gateway/_callers.py
+++ b/ferrydock/gateway/_callers.py
@@ -7,13 +7,13 @@
 
 from ..table import TableKeeper, digest_key, is_operator_key, team_of_key
 
-__all__ = ["Callers"]
+__all__ = ["Authenticator"]
 
 # Bounds the memory that unknown keys can take.
 _MAX_CACHED_KEYS = 4096
 
 
-class Callers:
+class Authenticator:
     """Finds the team of a request, and caches the teams of keys for one table revision.
 
     Parameters
--- a/ferrydock/gateway/_errors.py
+++ b/ferrydock/gateway/_errors.py
@@ -25,7 +25,7 @@
 
 # OpenAI error types by HTTP status; other statuses are server errors.
 TOO_MANY_REQUESTS = 429
-_TYPES = {400: "invalid_request_error", 401: "authentication_error", 403: "permission_error"}
+_ERROR_TYPES = {400: "invalid_request_error", 401: "authentication_error", 403: "permission_error"}
 
 
 def error_body(code: str, message: str, run: Run, retry: bool, status: int = 500, **extra) -> dict:
@@ -44,7 +44,7 @@
     status : int
         HTTP status, from which the error type follows.
     """
-    error_type = _TYPES.get(
+    error_type = _ERROR_TYPES.get(
         status, "rate_limit_error" if status == TOO_MANY_REQUESTS else "server_error"
     )
     return {
--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -34,7 +34,7 @@
 from ..table import Share
 from ..teams import Admission, TeamLimits
 from ._bodies import read_body
-from ._callers import Callers
+from ._callers import Authenticator
 from ._claim_answers import CLAIM_TIMEOUT_S, claim_response, open_claim
 from ._errors import error_response, invalid_response, lost_answer_response, not_run_response
 from ._lasting_work import BackgroundTasks
@@ -67,7 +67,7 @@
     ----------
     state : SharedState
         The table in force, the state of this hall and summaries of the others.
-    callers : Callers
+    authenticator : Authenticator
         Finds the team of a request.
     limits : TeamLimits
         Admits requests under the teams' limits.
@@ -88,7 +88,7 @@
     """
 
     state: SharedState
-    callers: Callers
+    authenticator: Authenticator
     limits: TeamLimits
     executor: RequestExecutor
     remote_forwarder: RemoteHallForwarder
@@ -108,7 +108,7 @@
 
     async def get_models(self, request: web.Request) -> web.Response:
         """List the models that the caller's team has a share of."""
-        team = self.callers.team(request)
+        team = self.authenticator.team(request)
         if team is None:
             return _unauthorised()
         view = existing(self.state.keeper.view, "the table in force")
@@ -121,7 +121,7 @@
 
     async def post_completion(self, request: web.Request) -> web.StreamResponse:
         """Check and run one request for a model."""
-        team = self.callers.team(request)
+        team = self.authenticator.team(request)
         if team is None:
             return _unauthorised()
         raw = await read_body(request, self.body_timeout_s, self.background_tasks.stop_limit)
@@ -192,7 +192,7 @@
                 answer = await self.remote_forwarder.forward(request, model_request)
                 if not isinstance(answer, NotRun):
                     return answer
-            return await self._serve_here(request, model_request, share)
+            return await self._serve_locally(request, model_request, share)
         finally:
             self.limits.release(admission)
 
@@ -203,7 +203,7 @@
             return False
         return bool(self.remote_forwarder.halls_with_room(model_request.model))
 
-    async def _serve_here(
+    async def _serve_locally(
         self, request: web.Request, model_request: ModelRequest, share: Share
     ) -> web.StreamResponse:
         claim: Claim | None = None
@@ -232,7 +232,7 @@
         self.recorder.ended(
             model_request, outcome, caller.first_event_s, started_s, self.clock.now_s()
         )
-        return await self._answer(model_request, outcome, caller)
+        return await self._respond(model_request, outcome, caller)
 
     async def _end_claim(self, claim: Claim, outcome, caller: CallerStream) -> None:
         if isinstance(outcome, NotRun):
@@ -245,7 +245,7 @@
                 body = caller.sent_events()
                 await self.claims.end(claim, 200, "text/event-stream", body)
 
-    async def _answer(
+    async def _respond(
         self, model_request: ModelRequest, outcome: Ended | NotRun | GaveUp, caller: CallerStream
     ) -> web.StreamResponse:
         if isinstance(outcome, Ended):
--- a/ferrydock/gateway/_operators.py
+++ b/ferrydock/gateway/_operators.py
@@ -26,7 +26,7 @@
     merge,
 )
 from ._bodies import read_body
-from ._callers import Callers
+from ._callers import Authenticator
 from ._errors import error_response
 
 __all__ = ["OperatorRoutes"]
@@ -55,7 +55,7 @@
         Commits edits.
     watcher : TableWatcher
         Reads edits that other daemons committed.
-    callers : Callers
+    authenticator : Authenticator
         Recognises operators by their keys.
     get_status : callable
         Returns the status of the site and of this daemon, as JSON fields.
@@ -72,7 +72,7 @@
     keeper: TableKeeper
     repository: TableRepository
     watcher: TableWatcher
-    callers: Callers
+    authenticator: Authenticator
     get_status: Callable[[], dict]
     get_burn: Callable[[dict], Awaitable[dict]]
     on_edit: Callable[[], None]
@@ -93,7 +93,7 @@
         """Wrap `handler`: answer 401 to requests without an operator's key."""
 
         async def _check_operator(request: web.Request) -> web.Response:
-            if not self.callers.is_operator(request):
+            if not self.authenticator.is_operator(request):
                 return error_response(401, "unauthorised", "the key gives no operator rights")
             return await handler(request)
 
@@ -109,18 +109,20 @@
         if table is None:
             return error_response(409, "conflict", f"revision {revision_text} is not kept any more")
         rows = [[k.sheet, k.row, dict(cells)] for k, cells in sorted(table.rows.items())]
-        return _json({"revision": table.revision, "lineage": self.keeper.lineage, "rows": rows})
+        return _json_response(
+            {"revision": table.revision, "lineage": self.keeper.lineage, "rows": rows}
+        )
 
     async def _get_log(self, request: web.Request) -> web.Response:
         edits = self.keeper.history.latest(MAX_LOG_EDITS)
-        return _json({"edits": [orjson.loads(e.to_json()) for e in edits]})
+        return _json_response({"edits": [orjson.loads(e.to_json()) for e in edits]})
 
     async def _get_status(self, request: web.Request) -> web.Response:
-        return _json(self.get_status())
+        return _json_response(self.get_status())
 
     async def _get_burn(self, request: web.Request) -> web.Response:
         async with self.stop_limit.hold():
-            return _json(await self.get_burn(dict(request.query)))
+            return _json_response(await self.get_burn(dict(request.query)))
 
     async def _post_edit(self, request: web.Request) -> web.Response:
         edit = _parse_edit(await read_body(request, None, self.stop_limit) or b"")
@@ -129,7 +131,7 @@
         if request.query.get("dry_run") == "true":
             merge_result = merge(self.keeper.table, self.keeper.history, edit)
             if isinstance(merge_result, Table):
-                return _json({"outcome": "valid", "revision": self.keeper.revision})
+                return _json_response({"outcome": "valid", "revision": self.keeper.revision})
             return _edit_response(merge_result)
         deadline_s = self.clock.now_s() + COMMIT_TIMEOUT_S
         outcome = await self._commit(edit, deadline_s)
@@ -166,7 +168,7 @@
             )
 
 
-def _json(fields: dict, status: int = 200) -> web.Response:
+def _json_response(fields: dict, status: int = 200) -> web.Response:
     return web.Response(body=orjson.dumps(fields), status=status, content_type="application/json")
 
 
@@ -215,16 +217,18 @@
 
 def _edit_response(outcome) -> web.Response:
     if isinstance(outcome, AcceptedEdit):
-        return _json(
+        return _json_response(
             {"outcome": "accepted", "revision": outcome.revision, "edit_id": outcome.edit_id}
         )
     if isinstance(outcome, Invalid):
         faults = [{"place": f.place, "problem": f.problem} for f in outcome.faults]
-        return _json({"outcome": "invalid", "reason": outcome.reason, "faults": faults}, 400)
+        return _json_response(
+            {"outcome": "invalid", "reason": outcome.reason, "faults": faults}, 400
+        )
     if isinstance(outcome, Conflict):
         fields = {"outcome": "conflict", "reason": outcome.reason, "cells": list(outcome.cells)}
-        return _json(fields, 409)
+        return _json_response(fields, 409)
     if isinstance(outcome, Unknown):
-        return _json({"outcome": "unknown", "reason": outcome.reason}, 504)
+        return _json_response({"outcome": "unknown", "reason": outcome.reason}, 504)
     assert isinstance(outcome, Unavailable)
-    return _json({"outcome": "unreachable", "reason": outcome.reason}, 503)
+    return _json_response({"outcome": "unreachable", "reason": outcome.reason}, 503)
--- a/ferrydock/gateway/_route_dialect.py
+++ b/ferrydock/gateway/_route_dialect.py
@@ -12,7 +12,7 @@
 from ..outcomes import Fault, Invalid
 from ..table import digest_key
 
-__all__ = ["OwnDialect"]
+__all__ = ["FerrydockDialect"]
 
 _BEARER = "Bearer "
 # Headers of the caller that are not passed on: `outgoing` sets its own.
@@ -22,7 +22,7 @@
 MS_PER_S = 1000
 
 
-class OwnDialect:
+class FerrydockDialect:
     """Parses and writes the headers that ``docs/operators/table.md`` defines for routes.
 
     Notes
--- a/ferrydock/gateway/_routes.py
+++ b/ferrydock/gateway/_routes.py
@@ -30,7 +30,7 @@
 from ..scheduling import EndpointCatalog
 from ..table import TableView
 from ..targets import Target, TargetDirectory
-from ._route_dialect import OwnDialect
+from ._route_dialect import FerrydockDialect
 
 __all__ = ["TableRoutes", "configuration_of", "targets_of"]
 
@@ -121,7 +121,7 @@
         self._retry_budgets: dict[str, RetryBudget] = {}
         loads = TargetLoads()
         selector = EndpointSelector(EndpointCatalog(self.directory), loads, hall, clock, rng)
-        dialect = OwnDialect()
+        dialect = FerrydockDialect()
         metrics = RouteMetrics()
         attempts = AttemptRunner(selector, self.upstream, loads, dialect, clock, metrics)
         self.crashes = CrashGuard(CrashHistory(clock), self.directory, metrics, clock)
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -21,7 +21,7 @@
 from ..retry_budget import DEFAULT_RETRY_RATIO, RetryBudget
 from ..table import TableKeeper, Target
 from ._bodies import read_body
-from ._callers import Callers
+from ._callers import Authenticator
 from ._claim_answers import CLAIM_TIMEOUT_S, claim_response, open_claim
 from ._errors import error_response, lost_answer_response, not_run_response
 from ._lasting_work import BackgroundTasks
@@ -58,7 +58,7 @@
     ----------
     keeper : TableKeeper
         Holds the table, which lists the services.
-    callers : Callers
+    authenticator : Authenticator
         Finds the team of a request.
     claims : ClaimStore
         Keeps calls with an idempotency key from running twice.
@@ -76,7 +76,7 @@
         "_session",
         "body_timeout_s",
         "budget",
-        "callers",
+        "authenticator",
         "claims",
         "clock",
         "keeper",
@@ -86,14 +86,14 @@
     def __init__(
         self,
         keeper: TableKeeper,
-        callers: Callers,
+        authenticator: Authenticator,
         claims: ClaimStore,
         clock: Clock,
         body_timeout_s: float,
         background_tasks: BackgroundTasks,
     ):
         self.keeper = keeper
-        self.callers = callers
+        self.authenticator = authenticator
         self.claims = claims
         self.clock = clock
         self.body_timeout_s = body_timeout_s
@@ -114,7 +114,7 @@
 
     async def call(self, request: web.Request) -> web.StreamResponse:
         """Check and run one call of a plain service."""
-        team = self.callers.team(request)
+        team = self.authenticator.team(request)
         if team is None:
             return error_response(401, "unauthorised", "the bearer key belongs to no enabled team")
         name = request.match_info["name"]
--- a/ferrydock/gateway/tests/test_planned_stop.py
+++ b/ferrydock/gateway/tests/test_planned_stop.py
@@ -21,8 +21,8 @@
 
 LIMIT_S = 20.0
 
-# Its answer takes about 3 s, so that it is not complete when a test pauses the engine. One of 0.3 s
-# sometimes was, with 42 processes on 16 cores.
+# Its answer takes about 3 s, so that it is not complete when a test pauses the engine, even on a
+# busy machine. One of 0.3 s was, with 42 processes on 16 cores.
 LONG_TEXT = TEXT * 10
 COMPLETIONS = "/v1/chat/completions"
 
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -9,8 +9,8 @@
 from ..demo_keys import DEMO_DIGESTS
 from ..engines import make_engine_control
 from ..gateway import (
+    Authenticator,
     BackgroundTasks,
-    Callers,
     Gateway,
     ModelRoutes,
     OperatorRoutes,
@@ -169,11 +169,13 @@
         )
         self.claims = ClaimStore(self.platform.store, relaying_writer, clock, 86400.0, self.name)
         refused_digests = frozenset() if settings.store == "embedded" else DEMO_DIGESTS
-        self.callers = Callers(self.keeper, settings.operator_key_digests, refused_digests)
+        self.authenticator = Authenticator(
+            self.keeper, settings.operator_key_digests, refused_digests
+        )
         self.remote_forwarder = RemoteHallForwarder(self.state, clock, self.stop_limit)
         self.model_routes = ModelRoutes(
             state=self.state,
-            callers=self.callers,
+            authenticator=self.authenticator,
             limits=self.limits,
             executor=self.executor,
             remote_forwarder=self.remote_forwarder,
@@ -185,7 +187,7 @@
         )
         self.service_routes = ServiceRoutes(
             self.keeper,
-            self.callers,
+            self.authenticator,
             self.claims,
             clock,
             settings.body_timeout_s,
@@ -195,7 +197,7 @@
             keeper=self.keeper,
             repository=self.repository,
             watcher=self.watcher,
-            callers=self.callers,
+            authenticator=self.authenticator,
             get_status=lambda: status_fields(self),
             get_burn=lambda query: burn_fields(self, query),
             on_edit=self.gossip.spread,
@@ -377,7 +379,7 @@
 
 
 def _warn_of_demo_keys(view: TableView) -> None:
-    """Log an error if the table has publicly known demo keys; `Callers` refuses them."""
+    """Log an error if the table has publicly known demo keys; `Authenticator` refuses them."""
     digests = set(view.site.operator_key_digests)
     for team in view.teams.values():
         digests.update(team.key_digests)
