--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -54,6 +54,7 @@
     "outcomes.py",
     "placement",
     "planned_stop.py",
+    "platform",
     "relay",
     "replicas",
     "reports",
