--- a/ferrydock/crashes/__init__.py
+++ b/ferrydock/crashes/__init__.py
@@ -15,7 +15,7 @@
 from ._exchange import CrashExchange
 from ._history import CrashHistory, CrashListener
 from ._identity import IDENTIFIED_BODY_BYTES, request_identity
-from ._messages import CrashAge, CrashNews, CrashReport, decode_crash_news
+from ._messages import CrashAge, CrashReport, CrashUpdate, decode_crash_update
 from ._probe import TargetPresence, TargetProbe
 from ._rule import CRASHES_TARGETS, CRASHES_TO_KNOW, Crash
 
@@ -28,10 +28,10 @@
     "CrashExchange",
     "CrashHistory",
     "CrashListener",
-    "CrashNews",
     "CrashReport",
+    "CrashUpdate",
     "TargetPresence",
     "TargetProbe",
-    "decode_crash_news",
+    "decode_crash_update",
     "request_identity",
 ]
--- a/ferrydock/crashes/_exchange.py
+++ b/ferrydock/crashes/_exchange.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ._history import CrashHistory
-from ._messages import CrashNews
+from ._messages import CrashUpdate
 
 __all__ = ["CrashExchange"]
 
@@ -71,7 +71,7 @@
         self.history = history
         self._progress_by_peer: OrderedDict[str, _PeerProgress] = OrderedDict()
 
-    def question(self, peer: str) -> CrashNews | None:
+    def question(self, peer: str) -> CrashUpdate | None:
         """Return the update to include in a call to a peer, or None if there is none to send."""
         progress = self._progress_of(peer)
         reports, last_included_change = self.history.reports_since(
@@ -79,7 +79,7 @@
         )
         if not reports and not progress.incarnation:
             return None
-        return CrashNews(
+        return CrashUpdate(
             self.history.life,
             last_included_change,
             progress.incarnation,
@@ -87,12 +87,12 @@
             reports,
         )
 
-    def take_answer(self, peer: str, sent: CrashNews | None, reply: CrashNews | None) -> None:
+    def take_answer(self, peer: str, sent: CrashUpdate | None, reply: CrashUpdate | None) -> None:
         """Merge the update in a peer's reply.
 
         Parameters
         ----------
-        sent, reply : CrashNews or None
+        sent, reply : CrashUpdate or None
             The updates that the call and its reply carried; None for none.
         """
         if reply is None:
@@ -106,17 +106,17 @@
         progress.incarnation, progress.received_change = reply.life, reply.change
         self.history.merge(reply.reports)
 
-    def receive(self, update: CrashNews | None) -> None:
+    def receive(self, update: CrashUpdate | None) -> None:
         """Merge the update that a peer included in its call; None if there was none."""
         if update is not None:
             self.history.merge(update.reports)
 
-    def answer(self, update: CrashNews | None, repeated_only: bool = False) -> CrashNews | None:
+    def answer(self, update: CrashUpdate | None, repeated_only: bool = False) -> CrashUpdate | None:
         """Return the changes that a calling peer has not received, as the update in the reply.
 
         Parameters
         ----------
-        update : CrashNews or None
+        update : CrashUpdate or None
             The update in the peer's call. If it is None and there are no changes, so is the result.
         repeated_only : bool
             Omit requests that have never had two consecutive crashes. A hall's leader receives
@@ -129,13 +129,13 @@
         )
         if update is None and not reports:
             return None
-        return CrashNews(self.history.life, last_included_change, reports=reports)
+        return CrashUpdate(self.history.life, last_included_change, reports=reports)
 
-    def has_news_for(self, update: CrashNews | None) -> bool:
+    def has_news_for(self, update: CrashUpdate | None) -> bool:
         """Return whether a peer lacks a change of any request with two consecutive crashes."""
         return self.history.last_repeated_change > self._change_received_by(update)
 
-    def _change_received_by(self, update: CrashNews | None) -> int:
+    def _change_received_by(self, update: CrashUpdate | None) -> int:
         is_same_incarnation = update is not None and update.known_life == self.history.life
         return update.known_change if update is not None and is_same_incarnation else 0
 
--- a/ferrydock/crashes/_messages.py
+++ b/ferrydock/crashes/_messages.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-__all__ = ["CrashAge", "CrashNews", "CrashReport", "decode_crash_news"]
+__all__ = ["CrashAge", "CrashReport", "CrashUpdate", "decode_crash_update"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CrashNews:
+class CrashUpdate:
     """The changes of the sender's history that the receiver has not received.
 
     Attributes
@@ -71,7 +71,7 @@
     reports: tuple[CrashReport, ...] = ()
 
 
-def decode_crash_news(fields: Mapping | None) -> CrashNews | None:
+def decode_crash_update(fields: Mapping | None) -> CrashUpdate | None:
     """Build the update from the fields of a decoded JSON object; None if `fields` is None.
 
     Raises
@@ -83,13 +83,13 @@
     --------
     >>> from dataclasses import asdict
     >>> crash = CrashAge("a:1", "t", 0.5, 0.1)
-    >>> news = CrashNews("a", 4, "b", 2, (CrashReport("r", (crash,), "a:2", 3.0),))
-    >>> decode_crash_news(asdict(news)) == news, decode_crash_news(None)
+    >>> update = CrashUpdate("a", 4, "b", 2, (CrashReport("r", (crash,), "a:2", 3.0),))
+    >>> decode_crash_update(asdict(update)) == update, decode_crash_update(None)
     (True, None)
     """
     if fields is None:
         return None
-    return CrashNews(
+    return CrashUpdate(
         life=str(fields["life"]),
         change=int(fields["change"]),
         known_life=str(fields["known_life"]),
--- a/ferrydock/relay/_messages.py
+++ b/ferrydock/relay/_messages.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from ..crashes import CrashNews, decode_crash_news
+from ..crashes import CrashUpdate, decode_crash_update
 from ..store import Position
 from ..targets import Membership, ReplicaState, Target
 
@@ -47,7 +47,7 @@
         Replicas, by name and epoch, that it has found broken in the last 8 s.
     sender : str
         Name of the follower.
-    crashes : CrashNews or None
+    crashes : CrashUpdate or None
         Changes of the follower's crash history. Omitted from the message if None, so that a leader
         of an older version can read it.
     leaving : tuple of (str, int)
@@ -60,7 +60,7 @@
     version: int
     broken: tuple[tuple[str, int], ...] = ()
     sender: str = ""
-    crashes: CrashNews | None = None
+    crashes: CrashUpdate | None = None
     leaving: tuple[tuple[str, int], ...] = ()
 
 
@@ -92,7 +92,7 @@
         Replicas, by name and epoch, that the replying daemon considers broken.
     daemons : int
         Number of daemons in the hall, as the replying daemon counts them.
-    crashes : CrashNews or None
+    crashes : CrashUpdate or None
         Changes of the replying daemon's crash history. Omitted from the message if None.
     era : int
         Era of the store that `revision` belongs to. Omitted from the message if 0.
@@ -110,7 +110,7 @@
     age_s: float | None
     broken: tuple[tuple[str, int], ...] = ()
     daemons: int = 1
-    crashes: CrashNews | None = None
+    crashes: CrashUpdate | None = None
     era: int = 0
 
     @property
@@ -169,7 +169,7 @@
     fields = orjson.loads(data)
     decoded = {
         "broken": _decode_pairs(fields.get("broken", ())),
-        "crashes": decode_crash_news(fields.get("crashes")),
+        "crashes": decode_crash_update(fields.get("crashes")),
         "leaving": _decode_pairs(fields.get("leaving", ())),
     }
     return UpdateRequest(**{**fields, **decoded})
@@ -195,7 +195,7 @@
     fields["entries"] = tuple(_decode_target(entry) for entry in fields["entries"])
     fields["removed"] = tuple(fields["removed"])
     fields["broken"] = _decode_pairs(fields.get("broken", ()))
-    fields["crashes"] = decode_crash_news(fields.get("crashes"))
+    fields["crashes"] = decode_crash_update(fields.get("crashes"))
     return UpdateReply(**fields)
 
 
--- a/ferrydock/scheduling/_messages.py
+++ b/ferrydock/scheduling/_messages.py
@@ -10,7 +10,7 @@
 import orjson
 
 from ..backpressure import LimitReport, decode_limits, encode_limits
-from ..crashes import CrashNews, decode_crash_news
+from ..crashes import CrashUpdate, decode_crash_update
 
 __all__ = [
     "HallUpdate",
@@ -156,14 +156,14 @@
     ----------
     running : mapping of str to int
         In a reply, the requests in flight of the hall's daemons, by target id.
-    crashes : CrashNews or None
+    crashes : CrashUpdate or None
         Known requests that crash their targets.
     limits : tuple of LimitReport
         Known rate limits of targets. Omitted from the message if empty.
     """
 
     running: Mapping[str, int] = field(default_factory=dict)
-    crashes: CrashNews | None = None
+    crashes: CrashUpdate | None = None
     limits: tuple[LimitReport, ...] = ()
 
 
@@ -181,7 +181,7 @@
     Raises ValueError, TypeError or KeyError if it is invalid.
     """
     fields = orjson.loads(data)
-    crashes = decode_crash_news(fields["crashes"])
+    crashes = decode_crash_update(fields["crashes"])
     return HallUpdate(crashes=crashes, limits=decode_limits(fields.get("limits")))
 
 
@@ -213,7 +213,7 @@
     running = fields.get("running")
     if not isinstance(running, dict):
         return HallUpdate(fields)
-    crashes = decode_crash_news(fields["crashes"])
+    crashes = decode_crash_update(fields["crashes"])
     return HallUpdate(running, crashes, decode_limits(fields.get("limits")))
 
 
