--- a/ferrydock/hall/_controller.py
+++ b/ferrydock/hall/_controller.py
@@ -191,7 +191,7 @@
             Whether this daemon controls the hall while the store is unreachable.
         """
         await self._maintain_lease(view, candidate)
-        if self.lease.valid:
+        if self.lease.is_valid:
             await self._run_with_store(view)
         elif self._all_leases_expired(view) and is_first_rank and self._isolation_allowed:
             await self._run_isolated(view)
@@ -201,7 +201,7 @@
     async def stand_down(self) -> None:
         """Release the lease before a planned stop."""
         self.mode = ControllerMode.FOLLOWER
-        await self.lease.give_back()
+        await self.lease.release()
 
     # The lease ----------------------------------------------------------------------------
 
@@ -212,10 +212,10 @@
             renew_at_s = held.valid_until_s - view.site.lease_ttl_s * 2 / 3
             if now_s < renew_at_s:
                 return
-            renewal = await self.lease.keep()
+            renewal = await self.lease.renew()
             if isinstance(renewal, Unavailable):
                 self._mark_store_unreachable()
-                if not self.lease.valid:
+                if not self.lease.is_valid:
                     self.lease.held = None
             elif isinstance(renewal, LeaseLost):
                 log_event(_LOG, logging.WARNING, "lease_lost", hall=self.hall)
@@ -272,7 +272,7 @@
         plan = self._make_plan(view, boxes, isolated=False)
         if plan is not self.placement and not await self._write_record(plan):
             return
-        if self.lease.valid:
+        if self.lease.is_valid:
             await self._send_pending_orders(view, boxes, only_checking_boxes=False)
         self._add_shortage(view, boxes)
 
@@ -285,7 +285,7 @@
         self._mark_store_reachable()
         known = max(stored.placement, self.placement, key=lambda p: p.fence)
         await self.observer.refresh(known, list_interval_s=0.0)
-        if not self.lease.valid:
+        if not self.lease.is_valid:
             return False
         held = existing(self.lease.held, "the lease")
         adopted = adopt(known, self.observer.boxes(view), held.term)
@@ -302,7 +302,7 @@
 
     async def _write_record(self, placement: HallPlacement) -> bool:
         """Write a record to the store; apply it and return True if the write succeeded."""
-        if not self.lease.valid:
+        if not self.lease.is_valid:
             return False
         self.counters.writes += 1
         stored = existing(self._stored_record, "the stored placement record")
@@ -315,7 +315,7 @@
         log_event(_LOG, logging.WARNING, "record_not_written", hall=self.hall, why=outcome.reason)
         self._stored_record = None
         if isinstance(outcome, Conflict):
-            await self.lease.give_back()
+            await self.lease.release()
         else:
             self._mark_store_unreachable()
         return False
@@ -401,7 +401,7 @@
             if not only_checking_boxes or view.checks_orders(order.box)
         ]
         for start in range(0, len(orders), MAX_CONCURRENT_ORDERS):
-            if not only_checking_boxes and not self.lease.valid:
+            if not only_checking_boxes and not self.lease.is_valid:
                 return
             batch = orders[start : start + MAX_CONCURRENT_ORDERS]
             await asyncio.gather(*(self._send_order(order) for order in batch))
--- a/ferrydock/hall/tests/test_controller.py
+++ b/ferrydock/hall/tests/test_controller.py
@@ -410,7 +410,7 @@
         assert held.term > 0
         assert isinstance(await other.acquire(LEASE_S), Conflict)
         simulation.clock.advance(LEASE_S)
-        assert not lease.valid
+        assert not lease.is_valid
 
     run(check)
 
--- a/ferrydock/hall_lease.py
+++ b/ferrydock/hall_lease.py
@@ -124,7 +124,7 @@
         self.held: HeldLease | None = None
 
     @property
-    def valid(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether this daemon may currently act as the hall's leader."""
         held = self.held
         if held is None or held.era != self.store.era:
@@ -222,9 +222,9 @@
             return False
         term = Position(read.era, item.create_revision).rank()
         self.held = replace(held, term=term, era=read.era)
-        return self.valid
+        return self.is_valid
 
-    async def keep(self) -> HeldLease | LeaseLost | Unavailable:
+    async def renew(self) -> HeldLease | LeaseLost | Unavailable:
         """Renew the lease; return `LeaseLost` if it has expired in the store."""
         held = self.held
         if held is None:
@@ -243,7 +243,7 @@
         self.held = replace(held, valid_until_s=valid_until_s)
         return self.held
 
-    async def give_back(self) -> None:
+    async def release(self) -> None:
         """Revoke the lease, so that another daemon can acquire it without waiting."""
         held, self.held = self.held, None
         if held is not None and held.era == self.store.era:
--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -217,7 +217,7 @@
         async with Site(tmp_path) as site:
             first = await site.daemon("one")
             site.site.write_configuration()
-            await site.until(lambda: first.leadership.lease.valid and first.current.version > 0)
+            await site.until(lambda: first.leadership.lease.is_valid and first.current.version > 0)
             face = await site.site.open_store()
             second = await site.daemon("two", store=face)
             await site.until(lambda: second.leadership.is_relayed and site.formed(REPLICAS))
@@ -232,7 +232,7 @@
             face.faults.down = ""
             await first.close()
             site.nodes.remove(first)
-            await site.until(lambda: second.leadership.lease.valid, 8.0)
+            await site.until(lambda: second.leadership.lease.is_valid, 8.0)
             assert (await ask(second, "/look/x", key="n"))[0] == 200
 
     play(scenario)
@@ -243,11 +243,11 @@
         async with Site(tmp_path) as site:
             small = await site.daemon("small", cores=0.25)
             site.site.write_configuration()
-            await site.until(lambda: small.leadership.lease.valid and site.formed(REPLICAS))
+            await site.until(lambda: small.leadership.lease.is_valid and site.formed(REPLICAS))
             alike = await site.daemon("alike", cores=0.3)
             large = await site.daemon("large", cores=2.0)
             nodes = [small, alike]
-            await site.until(lambda: large.leadership.lease.valid and large.current.version > 0)
+            await site.until(lambda: large.leadership.lease.is_valid and large.current.version > 0)
             await site.until(lambda: all(node.leadership.is_relayed for node in nodes))
             assert {node.leadership.leader_address for node in nodes} == {
                 large.settings.peer_address
@@ -264,12 +264,12 @@
         async with Site(tmp_path) as site:
             large = await site.daemon("large", cores=2.0)
             site.site.write_configuration()
-            await site.until(lambda: large.leadership.lease.valid and large.current.version > 0)
+            await site.until(lambda: large.leadership.lease.is_valid and large.current.version > 0)
             small = await site.daemon("small", cores=0.25)
             await site.until(lambda: small.leadership.is_relayed)
             await large.close()
             site.nodes.remove(large)
-            await site.until(lambda: small.leadership.lease.valid, 8.0)
+            await site.until(lambda: small.leadership.lease.is_valid, 8.0)
 
     play(scenario)
 
@@ -279,7 +279,7 @@
         async with Site(tmp_path) as site:
             first = await site.daemon("one")
             site.site.write_configuration()
-            await site.until(lambda: first.leadership.lease.valid and first.current.version > 0)
+            await site.until(lambda: first.leadership.lease.is_valid and first.current.version > 0)
             second = await site.daemon("two", store=await site.site.open_store())
             await site.until(lambda: second.leadership.is_relayed and second.current.version > 0)
             site.site.stores[0].faults.down = "silent"
--- a/ferrydock/replicas/_controller.py
+++ b/ferrydock/replicas/_controller.py
@@ -105,7 +105,7 @@
     @property
     def is_acting(self) -> bool:
         """Whether the daemon leads the hall and controller tasks are running."""
-        return self.lease.valid and bool(self._tasks)
+        return self.lease.is_valid and bool(self._tasks)
 
     def suspect(self, target_ids: Iterable[str], reason: str) -> None:
         """Suspect targets, which did not answer a request for a report, for `SUSPICION_S`."""
@@ -125,7 +125,7 @@
 
     async def step(self) -> None:
         """Check the hall's targets and replicas once, and start the tasks that are due."""
-        if self.current.lookup is None or not self.directory.loaded or not self.lease.valid:
+        if self.current.lookup is None or not self.directory.loaded or not self.lease.is_valid:
             return
         if not await self.record.read():
             return
@@ -288,7 +288,7 @@
             f"g{uuid.uuid4().hex[:REPLICA_NAME_DIGITS]}": formation for formation in formations
         }
         epoch = await self.record.write(plans)
-        if epoch is None or not self.lease.valid:
+        if epoch is None or not self.lease.is_valid:
             return
         for name, formation in plans.items():
             self.planner.loads.begin(formation.loads, self.clock.now_s())
--- a/ferrydock/replicas/tests/hall.py
+++ b/ferrydock/replicas/tests/hall.py
@@ -68,11 +68,11 @@
     async def _drive(self, controller):
         try:
             while True:
-                if not controller.lease.valid:
+                if not controller.lease.is_valid:
                     controller.stand_down()
                     await controller.lease.acquire(LEASE_S)
                 elif controller.lease.held.valid_until_s - self.clock.now_s() < LEASE_S / 2:
-                    await controller.lease.keep()
+                    await controller.lease.renew()
                 await controller.step()
                 await asyncio.sleep(ROUND_S)
         finally:
--- a/ferrydock/replicas/tests/test_eras.py
+++ b/ferrydock/replicas/tests/test_eras.py
@@ -37,11 +37,11 @@
         assert isinstance(await daemons.first.acquire(TTL_S), HeldLease)
         term = daemons.first.held.term
         daemons.store.come_back_older(daemons.store.copy())
-        assert not daemons.first.valid
+        assert not daemons.first.is_valid
         assert await daemons.first.reclaim()
-        assert daemons.first.valid
+        assert daemons.first.is_valid
         assert daemons.first.held.term > term
-        assert isinstance(await daemons.first.keep(), HeldLease)
+        assert isinstance(await daemons.first.renew(), HeldLease)
         assert isinstance(await daemons.second.acquire(TTL_S), Conflict)
 
     run_scenario(scenario)
@@ -57,10 +57,10 @@
             "the id is given out again"
         )
         assert not await daemons.first.reclaim()
-        assert not isinstance(await daemons.first.keep(), HeldLease | LeaseGranted)
-        assert not daemons.first.valid
-        await daemons.first.give_back()
-        assert daemons.second.valid
+        assert not isinstance(await daemons.first.renew(), HeldLease | LeaseGranted)
+        assert not daemons.first.is_valid
+        await daemons.first.release()
+        assert daemons.second.is_valid
         assert (await daemons.store.range(controller_key("hall-a"))).items
 
     run_scenario(scenario)
@@ -74,7 +74,7 @@
         await asyncio.sleep(wait_s)
         daemons.store.come_back_older(copy)  # the copy still holds the key
         assert await daemons.first.reclaim() is reclaimed
-        assert daemons.first.valid is reclaimed
+        assert daemons.first.is_valid is reclaimed
 
     run_scenario(scenario)
 
@@ -99,7 +99,7 @@
         store.copy_before = store.copy()
         lease = ControllerLease(store, daemons.clock, "hall-a", "first")
         assert isinstance(await lease.acquire(TTL_S), Conflict)
-        assert not lease.valid
+        assert not lease.is_valid
         assert (await store.range(controller_key("hall-a"))).items == ()
         assert isinstance(await lease.acquire(TTL_S), HeldLease)
 
--- a/ferrydock/route_daemon/_leadership.py
+++ b/ferrydock/route_daemon/_leadership.py
@@ -89,7 +89,7 @@
 
     def holds_lease(self) -> bool:
         """Return whether this daemon holds an unexpired lease, by its own clock."""
-        return self.lease.valid
+        return self.lease.is_valid
 
     def should_step_down(self) -> bool:
         """Return whether this daemon is to release the lease in favour of another daemon."""
@@ -165,12 +165,12 @@
             await self._control_while_lease_valid()
             while await self.lease.reclaim():
                 log_event(_LOG, logging.WARNING, "lease_reclaimed", hall=self.controller.hall)
-                await self.lease.keep()  # little of it remains after an outage
+                await self.lease.renew()  # little of it remains after an outage
                 await self._control_while_lease_valid()
         finally:
             log_event(_LOG, logging.INFO, "controller_ended", hall=self.controller.hall)
-        if self.lease.valid:
-            await self.lease.give_back()
+        if self.lease.is_valid:
+            await self.lease.release()
         if self.is_stopping():
             self.leader_address = ""  # the next leader schedules the requests still queued here
 
@@ -186,7 +186,7 @@
         """
         renewal = LeaseRenewal(self.lease, self.clock)
         try:
-            while self.lease.valid and not self.is_stopping() and not self.should_step_down():
+            while self.lease.is_valid and not self.is_stopping() and not self.should_step_down():
                 if not renewal.step():
                     break
                 if self.settling.is_settled():
--- a/ferrydock/route_daemon/_lease_renewal.py
+++ b/ferrydock/route_daemon/_lease_renewal.py
@@ -31,7 +31,7 @@
         now_s = self.clock.now_s()
         if self._task is None and now_s - self._last_renewal_s >= RENEW_EVERY_S:
             self._last_renewal_s = now_s
-            self._task = asyncio.ensure_future(self.lease.keep())
+            self._task = asyncio.ensure_future(self.lease.renew())
         if self._task is None or not self._task.done():
             return True
         renewed = self._task.result()
--- a/ferrydock/route_daemon/_own_leadership.py
+++ b/ferrydock/route_daemon/_own_leadership.py
@@ -94,7 +94,7 @@
     @property
     def is_relayed(self) -> bool:
         """Whether this daemon need not read the store because the hall leader relays it."""
-        return not self.lease.valid and self.clock.now_s() < self.relayed_until_s
+        return not self.lease.is_valid and self.clock.now_s() < self.relayed_until_s
 
     async def run(self) -> None:
         """Lead the hall or follow its leader until the daemon ends; only follow during a stop."""
@@ -219,7 +219,7 @@
         """
         offered_cores = float(data)
         own_cores = self.lease.processor_cores or 0.0
-        if not self.lease.valid or self._is_stepping_down:
+        if not self.lease.is_valid or self._is_stepping_down:
             return DECLINED
         if not is_better_leader(offered_cores, own_cores, float("inf")):
             return DECLINED
--- a/ferrydock/route_daemon/_replica_failures.py
+++ b/ferrydock/route_daemon/_replica_failures.py
@@ -69,7 +69,7 @@
         A follower accepts the report of its hall leader. The leader checks the replica's members
         itself, because the follower that reported the replica may be cut off from them.
         """
-        if not self.leadership.lease.valid:
+        if not self.leadership.lease.is_valid:
             self.stalls.break_replica(key, REPORTED)
             return
         for replica in self._replicas_with(key):
--- a/ferrydock/route_daemon/_site_daemons.py
+++ b/ferrydock/route_daemon/_site_daemons.py
@@ -30,6 +30,6 @@
 
     def refresh(self, leadership: OwnHallLeadership) -> None:
         """Count the followers if this daemon leads; followers receive the count from it."""
-        if leadership.lease.valid:
+        if leadership.lease.is_valid:
             now_s = self.clock.now_s()
             self.counter.receive(self.counter.count_followers(now_s), now_s)
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -146,7 +146,7 @@
 
     def _until_next_read_s(self) -> float:
         """Return the pause before the next read, in seconds; it ends when a new era has settled."""
-        is_leader = self.leadership.lease.valid
+        is_leader = self.leadership.lease.is_valid
         pause_s = LEADER_CONFIRM_EVERY_S if is_leader else CONFIRM_EVERY_S
         pause_s *= self.rng.uniform(*CONFIRM_JITTER)
         remaining_s = self.settling.remaining_s()
@@ -253,7 +253,7 @@
             return
         until_s = self.clock.now_s() + HEAR_PEER_S
         while self.clock.now_s() < until_s:
-            if self.leadership.is_relayed or self.leadership.lease.valid:
+            if self.leadership.is_relayed or self.leadership.lease.is_valid:
                 return
             await asyncio.sleep(RELAYED_CHECK_S / 2)
 
