--- a/ferrydock/backpressure/__init__.py
+++ b/ferrydock/backpressure/__init__.py
@@ -12,7 +12,7 @@
 """
 
 from ._messages import LimitReport, decode_limits, encode_limits
-from ._pacing import HallPacer, LonePacer
+from ._pacing import HallPacer, LeaderlessPacer
 from ._rate_limits import RateLimit, RateLimits
 from ._rests import TargetBackoffs
 from ._shares import hall_share, leaderless_requests
@@ -20,7 +20,7 @@
 __all__ = [
     "HallPacer",
     "LimitReport",
-    "LonePacer",
+    "LeaderlessPacer",
     "RateLimit",
     "RateLimits",
     "TargetBackoffs",
--- a/ferrydock/backpressure/_pacing.py
+++ b/ferrydock/backpressure/_pacing.py
@@ -12,7 +12,7 @@
 from ._rate_limits import RateLimits
 from ._shares import LEADERLESS_WINDOW_S, MIN_RATE_PER_S, burst_allowance_s, leaderless_requests
 
-__all__ = ["HallPacer", "LonePacer"]
+__all__ = ["HallPacer", "LeaderlessPacer"]
 
 
 class HallPacer:
@@ -79,12 +79,12 @@
             next_s = max(now_s, self._next_permitted_s[target.target_id])
             self._next_permitted_s[target.target_id] = next_s + 1.0 / rate_per_s
 
-    def tidy(self) -> None:
+    def prune(self) -> None:
         """Remove targets without a rate limit."""
         for target_id in [i for i in self._next_permitted_s if self.limits.rate_per_s(i) is None]:
             del self._next_permitted_s[target_id]
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Remove all targets, since another scheduler grants requests.
 
         If this scheduler grants requests again, each target starts with a full interval.
@@ -92,7 +92,7 @@
         self._next_permitted_s.clear()
 
 
-class LonePacer:
+class LeaderlessPacer:
     """Bounds the requests that a daemon without a scheduler sends to targets under a rate limit.
 
     Parameters
@@ -107,7 +107,7 @@
     >>> limits = RateLimits()
     >>> limits.note("t", 10.0, sent_s=0.0, now_s=0.0)
     True
-    >>> pacer = LonePacer(limits, lambda: 9)
+    >>> pacer = LeaderlessPacer(limits, lambda: 9)
     >>> pacer.may_send("t", 1.0), pacer.may_send("unlimited", 1.0)
     (True, True)
     >>> pacer.note_sent("t", 1.0); pacer.may_send("t", 4.9), pacer.may_send("t", 5.0)
@@ -137,7 +137,7 @@
         if self.limits.rate_per_s(target_id) is not None:
             self._sent_s.setdefault(target_id, deque()).append(now_s)
 
-    def tidy(self, now_s: float) -> None:
+    def prune(self, now_s: float) -> None:
         """Remove targets to which nothing was sent for `LEADERLESS_WINDOW_S`."""
         for target_id, sent_s in list(self._sent_s.items()):
             if not sent_s or now_s - sent_s[-1] >= LEADERLESS_WINDOW_S:
--- a/ferrydock/backpressure/_rate_limits.py
+++ b/ferrydock/backpressure/_rate_limits.py
@@ -148,7 +148,7 @@
             if is_newer and self._is_retained(report.target_id, report.age_s):
                 self._set_limit(report.target_id, RateLimit(report.rate_per_s, received_s))
 
-    def tidy(self, now_s: float) -> None:
+    def prune(self, now_s: float) -> None:
         """Remove unlisted targets whose limit was received over `UNLISTED_RETENTION_S` ago."""
         for target_id, limit in list(self._limits.items()):
             if not self._is_retained(target_id, now_s - limit.received_s):
--- a/ferrydock/backpressure/_rests.py
+++ b/ferrydock/backpressure/_rests.py
@@ -76,7 +76,7 @@
             return 0.0
         return max(0.0, backoff.until_s - now_s)
 
-    def tidy(self, now_s: float) -> None:
+    def prune(self, now_s: float) -> None:
         """Remove back-offs that have ended.
 
         Those of unlisted targets are kept until then, since a target may be listed again.
--- a/ferrydock/backpressure/tests/test_limits_are_kept.py
+++ b/ferrydock/backpressure/tests/test_limits_are_kept.py
@@ -6,7 +6,7 @@
 
 from ...emulator import max_arrivals
 from ...targets import Target
-from .. import HallPacer, LimitReport, LonePacer, RateLimits, decode_limits, hall_share
+from .. import HallPacer, LeaderlessPacer, LimitReport, RateLimits, decode_limits, hall_share
 
 WINDOW_S = 4.0
 STEP_S = 0.01
@@ -34,7 +34,7 @@
         self.rate_per_s = rate_per_s
         self.share = hall_share(number == 0, halls)
         self.daemons = [
-            LonePacer(limits_of(rate_per_s), lambda: daemons_of_site)
+            LeaderlessPacer(limits_of(rate_per_s), lambda: daemons_of_site)
             for _ in range(daemons_of_site // halls)
         ]
         self.start_leader(0.0)
@@ -114,10 +114,10 @@
     limits = RateLimits(listed.__contains__)
     limits.note("t", 2.0, 0.0, 0.0)
     listed.clear()
-    limits.tidy(30.0)
+    limits.prune(30.0)
     assert limits.rate_per_s("t") == 2.0 and limits.limited_count == 0
     listed.add("t")
-    limits.tidy(3600.0)
+    limits.prune(3600.0)
     assert limits.rate_per_s("t") == 2.0 and limits.limited_count == 1
 
 
@@ -127,27 +127,27 @@
     for second in range(80):
         for one, other in (daemons, daemons[::-1]):
             other.merge(one.reports(second), second)
-            one.tidy(second)
+            one.prune(second)
     assert [limits.rate_per_s("t") for limits in daemons] == [None, None]
 
 
 def test_a_scheduler_that_becomes_leader_again_waits_a_full_interval():
     pacer = HallPacer(limits_of(2.0), lambda hall: 1.0)
     pacer.wait_s(TARGET, 0.0)
-    pacer.forget()
+    pacer.reset()
     assert pacer.wait_s(TARGET, 9.0) == pytest.approx(0.5)
 
 
 def test_pacers_remove_targets_without_a_limit_and_old_send_times():
     limits = limits_of(20.0)
-    hall, leaderless = HallPacer(limits, lambda hall: 1.0), LonePacer(limits, lambda: 1)
+    hall, leaderless = HallPacer(limits, lambda hall: 1.0), LeaderlessPacer(limits, lambda: 1)
     hall.wait_s(TARGET, 0.0)
     leaderless.note_sent("t", 0.0)
-    leaderless.tidy(3.9)
+    leaderless.prune(3.9)
     assert leaderless._sent_s
-    leaderless.tidy(4.0)
+    leaderless.prune(4.0)
     limits.note("t", None, 1.0, 4.0)
-    hall.tidy()
+    hall.prune()
     assert not leaderless._sent_s and not hall._next_permitted_s
 
 
--- a/ferrydock/backpressure/tests/test_rests.py
+++ b/ferrydock/backpressure/tests/test_rests.py
@@ -29,8 +29,8 @@
     backoffs.note(TARGET, 0.0, 0.0)
     assert backoffs.count({"t"}) == 0
     backoffs.note(TARGET, 3.0, 0.0)
-    backoffs.tidy(2.9)
+    backoffs.prune(2.9)
     assert backoffs.count({"t"}) == 1 and backoffs.count(()) == 0
     assert backoffs.left_s(TARGET, 2.5) == 0.5
-    backoffs.tidy(3.0)
+    backoffs.prune(3.0)
     assert backoffs.count({"t"}) == 0
--- a/ferrydock/forwarding/_endpoint_selector.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from ..backpressure import LonePacer
+from ..backpressure import LeaderlessPacer
 from ..clock import Clock
 from ..scheduling import (
     DAEMON_SELECTION,
@@ -49,7 +49,7 @@
 
     Attributes
     ----------
-    pacer : LonePacer
+    pacer : LeaderlessPacer
         Bounds the request rate to targets that have stated a limit.
     """
 
@@ -70,7 +70,7 @@
         self.clock = clock
         self.rng = rng
         self.daemons = daemons
-        self.pacer = LonePacer(catalog.limits, daemons)
+        self.pacer = LeaderlessPacer(catalog.limits, daemons)
         self._queue: WaitingQueue[Exchange, Endpoint] = WaitingQueue()
 
     @property
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -422,7 +422,7 @@
         self.site_daemons.refresh(self.leadership)
         self.retry_shares.update()
         self.upkeep.run_once()
-        self.scheduler.pacer.tidy()
+        self.scheduler.pacer.prune()
         self.crash_exchange.history.tidy()
         self.store_follower.check_age()
 
@@ -446,4 +446,4 @@
             self.scheduler.assign_free_slots()
         else:
             self.demand.forget()
-            self.scheduler.pacer.forget()
+            self.scheduler.pacer.reset()
--- a/ferrydock/route_daemon/_upkeep.py
+++ b/ferrydock/route_daemon/_upkeep.py
@@ -47,9 +47,9 @@
         attempts = self.gateway.forwarder.attempts
         attempts.notices.forget_others(listed_targets)
         now_s = self.gateway.clock.now_s()
-        attempts.selector.catalog.limits.tidy(now_s)
-        attempts.selector.pacer.tidy(now_s)
-        attempts.selector.catalog.rests.tidy(now_s)
+        attempts.selector.catalog.limits.prune(now_s)
+        attempts.selector.pacer.prune(now_s)
+        attempts.selector.catalog.rests.prune(now_s)
         self.order_sender.forget_others(listed_targets)
         self.gateway.enforce_timeouts()
         self.settings.reread()
