--- a/ferrydock/backpressure/_rests.py
+++ b/ferrydock/backpressure/_rests.py
@@ -36,7 +36,7 @@
     >>> backoffs, target = TargetBackoffs(), Target("t", "s", "127.0.0.1:1", "h", 1)
     >>> backoffs.note(target, backoff_s=3.0, now_s=0.0)
     >>> backoffs.note(target, backoff_s=1.0, now_s=1.0)
-    >>> backoffs.left_s(target, 1.0), backoffs.left_s(target, 3.0)
+    >>> backoffs.remaining_s(target, 1.0), backoffs.remaining_s(target, 3.0)
     (2.0, 0.0)
     """
 
@@ -48,7 +48,7 @@
     def __len__(self) -> int:
         return len(self._backoffs)
 
-    def count(self, target_ids: Container[str]) -> int:
+    def count_among(self, target_ids: Container[str]) -> int:
         """Return how many of the given targets have a back-off."""
         return sum(target_id in target_ids for target_id in self._backoffs)
 
@@ -64,12 +64,14 @@
         """
         if backoff_s <= 0:
             return
-        left_s = self.left_s(target, now_s)
-        self._backoffs[target.target_id] = _Backoff(now_s + max(backoff_s, left_s), target.life)
-        if left_s <= 0:
+        remaining_s = self.remaining_s(target, now_s)
+        self._backoffs[target.target_id] = _Backoff(
+            now_s + max(backoff_s, remaining_s), target.life
+        )
+        if remaining_s <= 0:
             log_event(_LOG, logging.INFO, "target_rests", target=target.target_id, for_s=backoff_s)
 
-    def left_s(self, target: Target, now_s: float) -> float:
+    def remaining_s(self, target: Target, now_s: float) -> float:
         """Return how many seconds remain of a target's back-off; 0 if it has none."""
         backoff = self._backoffs.get(target.target_id)
         if backoff is None or backoff.incarnation != target.life:
--- a/ferrydock/forwarding/_answer_notices.py
+++ b/ferrydock/forwarding/_answer_notices.py
@@ -65,7 +65,7 @@
         if isinstance(backoff_s, Fault):
             self._log_unreadable(target.target_id, backoff_s)
         elif backoff_s is not None:
-            self.catalog.rests.note(target, backoff_s, self.clock.now_s())
+            self.catalog.backoffs.note(target, backoff_s, self.clock.now_s())
 
     def _apply_limit(
         self, target_id: str, limit_per_s: float | None | Fault, sent_s: float
@@ -78,7 +78,7 @@
     def expects_refusals(self, target: Target) -> bool:
         """Return whether a target has stated a rate limit or requested a back-off."""
         is_limited = self.catalog.limits.rate_per_s(target.target_id) is not None
-        return is_limited or self.catalog.rests.left_s(target, self.clock.now_s()) > 0
+        return is_limited or self.catalog.backoffs.remaining_s(target, self.clock.now_s()) > 0
 
     def forget_others(self, target_ids: Container[str]) -> None:
         """Remove targets that are not in `target_ids`."""
--- a/ferrydock/forwarding/_endpoint_selector.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -161,8 +161,8 @@
 
     def _accepting(self, exchange: Exchange, now_s: float) -> list[Endpoint]:
         """Return the endpoints that a request has not tried and that are not backed off."""
-        backoffs = self.catalog.rests
-        return [e for e in self._untried(exchange) if backoffs.left_s(e.target, now_s) <= 0]
+        backoffs = self.catalog.backoffs
+        return [e for e in self._untried(exchange) if backoffs.remaining_s(e.target, now_s) <= 0]
 
     async def _wait_for_backoffs(self, exchange: Exchange, until_s: float) -> bool:
         """Wait while all targets are backed off; return False if that would last past `until_s`.
@@ -178,11 +178,13 @@
 
     def _backoff_remaining_s(self, exchange: Exchange) -> float:
         """Return the seconds until the first back-off ends; 0 if a target is not backed off."""
-        backoffs = self.catalog.rests
+        backoffs = self.catalog.backoffs
         if not backoffs:
             return 0.0
         now_s = self.clock.now_s()
-        return min((backoffs.left_s(e.target, now_s) for e in self._untried(exchange)), default=0.0)
+        return min(
+            (backoffs.remaining_s(e.target, now_s) for e in self._untried(exchange)), default=0.0
+        )
 
     def _is_blocked_by_limits(self, exchange: Exchange) -> bool:
         """Return whether rate limits are what keeps a request from every target it could use."""
--- a/ferrydock/forwarding/_hall_endpoint_selector.py
+++ b/ferrydock/forwarding/_hall_endpoint_selector.py
@@ -75,7 +75,9 @@
         """Return the endpoint of a target id; None if it is not listed here or is backed off."""
         now_s = self.clock.now_s()
         found = (e for e in self._endpoints(exchange) if e.target.target_id == target_id)
-        return next((e for e in found if self.catalog.rests.left_s(e.target, now_s) <= 0), None)
+        return next(
+            (e for e in found if self.catalog.backoffs.remaining_s(e.target, now_s) <= 0), None
+        )
 
     def _slot_request(self, exchange: Exchange, hold_s: float) -> SlotRequest:
         now_s = self.clock.now_s()
@@ -92,10 +94,10 @@
 
     def _backed_off_ids(self, exchange: Exchange, now_s: float) -> tuple[str, ...]:
         """Return the ids of targets that have requested a back-off from this daemon."""
-        if not self.catalog.rests:
+        if not self.catalog.backoffs:
             return ()
         targets = (e.target for e in self._endpoints(exchange))
-        resting = (t.target_id for t in targets if self.catalog.rests.left_s(t, now_s) > 0)
+        resting = (t.target_id for t in targets if self.catalog.backoffs.remaining_s(t, now_s) > 0)
         return tuple(sorted(resting))
 
     def _target_ids_to_avoid(self, exchange: Exchange, now_s: float) -> tuple[str, ...]:
--- a/ferrydock/route_daemon/_gauges.py
+++ b/ferrydock/route_daemon/_gauges.py
@@ -61,8 +61,8 @@
         metrics.in_flight.set(self.gateway.in_flight)
         metrics.waiting.set(self.gateway.forwarder.selector.waiting)
         metrics.targets_limited.set(self.gateway.forwarder.selector.catalog.limits.limited_count)
-        rests = self.gateway.forwarder.selector.catalog.rests
-        metrics.targets_resting.set(rests.count(self.directory.targets))
+        backoffs = self.gateway.forwarder.selector.catalog.backoffs
+        metrics.targets_resting.set(backoffs.count_among(self.directory.targets))
         metrics.version.set(current.version)
         now_s = self.gateway.clock.now_s()
         metrics.age.set(current.age_s(now_s))
--- a/ferrydock/route_daemon/_upkeep.py
+++ b/ferrydock/route_daemon/_upkeep.py
@@ -49,7 +49,7 @@
         now_s = self.gateway.clock.now_s()
         attempts.selector.catalog.limits.prune(now_s)
         attempts.selector.pacer.prune(now_s)
-        attempts.selector.catalog.rests.prune(now_s)
+        attempts.selector.catalog.backoffs.prune(now_s)
         self.order_sender.forget_others(listed_targets)
         self.gateway.enforce_timeouts()
         self.settings.reread()
--- a/ferrydock/scheduling/_endpoints.py
+++ b/ferrydock/scheduling/_endpoints.py
@@ -47,17 +47,17 @@
         leader has abandoned them. Entries are never removed, since an epoch is not reused.
     limits : RateLimits
         Rate limits that targets have set.
-    rests : TargetBackoffs
+    backoffs : TargetBackoffs
         Back-offs that targets have requested of this daemon.
     """
 
-    __slots__ = ("broken", "directory", "limits", "rests")
+    __slots__ = ("broken", "directory", "limits", "backoffs")
 
     def __init__(self, directory: TargetDirectory):
         self.directory = directory
         self.broken: set[tuple[str, int]] = set()
         self.limits = RateLimits(lambda target_id: target_id in directory.targets)
-        self.rests = TargetBackoffs()
+        self.backoffs = TargetBackoffs()
 
     def endpoints(self, service: ServiceSpec, model: str) -> list[Endpoint]:
         """Return the targets of a plain service, or the heads of the open replicas of `model`.
