--- a/ferrydock/backpressure/_rate_limits.py
+++ b/ferrydock/backpressure/_rate_limits.py
@@ -113,7 +113,7 @@
             if limit.rate_per_s is not None or now_s - limit.received_s < ENDED_LIMIT_REPORT_S
         )
 
-    def reports_beyond(
+    def unknown_to_sender(
         self, received: Iterable[LimitReport], now_s: float
     ) -> tuple[LimitReport, ...]:
         """Return the limits that a daemon does not know, or knows another value of.
--- a/ferrydock/backpressure/tests/test_limits_are_kept.py
+++ b/ferrydock/backpressure/tests/test_limits_are_kept.py
@@ -105,7 +105,7 @@
         for report in reports:
             limits.merge([report], now_s=10.0)
         assert limits.rate_per_s("t") is None
-    assert limits.reports_beyond([named], 10.0) == (LimitReport("t", None, 0.5),)
+    assert limits.unknown_to_sender([named], 10.0) == (LimitReport("t", None, 0.5),)
     assert limits.reports(15.0) and not limits.reports(30.0)
 
 
--- a/ferrydock/scheduling/_scheduler.py
+++ b/ferrydock/scheduling/_scheduler.py
@@ -118,7 +118,7 @@
         """
         self.receive_counts(request)
         reply = await self._acquire(request)
-        missing_limits = self.catalog.limits.reports_beyond(request.limits, self.clock.now_s())
+        missing_limits = self.catalog.limits.unknown_to_sender(request.limits, self.clock.now_s())
         return replace(reply, limits=missing_limits) if missing_limits else reply
 
     async def _acquire(self, request: SlotRequest) -> SlotReply:
