--- a/ferrydock/forwarding/_hall_endpoint_selector.py
+++ b/ferrydock/forwarding/_hall_endpoint_selector.py
@@ -64,12 +64,12 @@
     def report(self) -> None:
         """Schedule a report of this daemon's state to the scheduler."""
         if self.scheduler is not None:
-            self.scheduler.report_soon()
+            self.scheduler.schedule_report()
 
     async def _request_slot(self, exchange: Exchange, hold_s: float) -> SlotReply | None:
         if self.scheduler is None:
             return None
-        return await self.scheduler.ask(self._slot_request(exchange, hold_s))
+        return await self.scheduler.request_slot(self._slot_request(exchange, hold_s))
 
     def _find_usable(self, exchange: Exchange, target_id: str) -> Endpoint | None:
         """Return the endpoint of a target id; None if it is not listed here or is backed off."""
--- a/ferrydock/scheduling/_client.py
+++ b/ferrydock/scheduling/_client.py
@@ -91,7 +91,7 @@
         self._grants: deque[tuple[float, int]] = deque()
         self._report_task: asyncio.Task | None = None
 
-    async def ask(self, request: SlotRequest) -> SlotReply | None:
+    async def request_slot(self, request: SlotRequest) -> SlotReply | None:
         """Return the scheduler's reply, or None if the scheduler cannot be reached.
 
         Fills in the fields of `request` that describe this daemon: `sender`, `running`, `seen` and
@@ -140,7 +140,7 @@
     def _limits(self) -> RateLimits:
         return self.scheduler.catalog.limits
 
-    def report_soon(self) -> None:
+    def schedule_report(self) -> None:
         """Report requests in flight and limits within `REPORT_DELAY_S`, unless a report is due."""
         if self._report_task is None or self._report_task.done():
             self._report_task = asyncio.get_running_loop().create_task(self._send_report())
--- a/ferrydock/scheduling/tests/test_scheduler.py
+++ b/ferrydock/scheduling/tests/test_scheduler.py
@@ -262,10 +262,10 @@
     async def scenario():
         async with SchedulerOverNetwork() as network:
             request = SlotRequest("", service="engines", model="large", hold_s=2.0)
-            reply = await network.client.ask(request)
+            reply = await network.client.request_slot(request)
             assert reply.target_id in ("a", "b") and reply.candidates == 2
             network.running = {}
-            network.client.report_soon()
+            network.client.schedule_report()
             async with asyncio.timeout(5.0):
                 while network.hall.scheduler.counts.of_hall():
                     await asyncio.sleep(0.01)
@@ -278,12 +278,12 @@
         async with SchedulerOverNetwork() as network:
             await network.server.close()
             request = SlotRequest("", service="engines", model="large")
-            assert await network.client.ask(request) is None
+            assert await network.client.request_slot(request) is None
             calls, network.client.calls = network.client.calls, None  # a call would raise
-            assert await network.client.ask(request) is None
+            assert await network.client.request_slot(request) is None
             network.client.calls = calls
             network.address = ""
-            assert await network.client.ask(request) is None
+            assert await network.client.request_slot(request) is None
 
     run(scenario)
 
