--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -92,7 +92,7 @@
     meter.sample({}, 0.0)
     for tenth in range(1, 40):
         for number in range(models):
-            meter.asked("engines", f"model-{number:08}")
+            meter.count_request("engines", f"model-{number:08}")
         meter.sample({}, tenth / 10)
     return len(orjson.dumps(meter.hall_slots_wanted(4.0)))
 
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -439,11 +439,11 @@
 
         A daemon that does not lead resets its measured demand and its request pacing instead.
         """
-        self.scheduler.counts.forget_silent(self.clock.now_s())
+        self.scheduler.counts.remove_silent(self.clock.now_s())
         if self.leadership.is_leader:
             self.scheduler.sample_demand()
             await self.remote_halls.step()
             self.scheduler.assign_free_slots()
         else:
-            self.demand.forget()
+            self.demand.reset()
             self.scheduler.pacer.reset()
--- a/ferrydock/scheduling/_demand.py
+++ b/ferrydock/scheduling/_demand.py
@@ -93,8 +93,8 @@
     >>> meter = DemandMeter(halls=1)
     >>> meter.sample({}, now_s=0.0)
     >>> for tenth in range(1, 101):
-    ...     meter.asked("engines", "large")
-    ...     meter.granted("engines", "large")
+    ...     meter.count_request("engines", "large")
+    ...     meter.count_grant("engines", "large")
     ...     meter.sample({("engines", "large"): 8}, now_s=tenth / 10)
     >>> 7.5 < meter.site_slots_wanted("engines", now_s=10.0)["large"] < 8.5
     True
@@ -109,11 +109,11 @@
         self._observed_from_s: float | None = None
         self._last_sample_s: float | None = None
 
-    def asked(self, service: str, model: str) -> None:
+    def count_request(self, service: str, model: str) -> None:
         """Count a request that needs a slot."""
         self._models[service, model].arrivals += 1
 
-    def granted(self, service: str, model: str) -> None:
+    def count_grant(self, service: str, model: str) -> None:
         """Count a request that got a slot."""
         self._models[service, model].granted += 1
 
@@ -172,7 +172,7 @@
                 total[model] += slots * self._halls / len(known)
         return dict(total)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Drop what was observed in this hall, since another daemon schedules it."""
         self._models.clear()
         self._observed_from_s = None
--- a/ferrydock/scheduling/_in_flight.py
+++ b/ferrydock/scheduling/_in_flight.py
@@ -58,7 +58,7 @@
     >>> counts.receive_remote("hall-b", {"t": 4}, now_s=0.2)
     >>> counts.total("t"), counts.of_hall()
     (7, {'t': 3})
-    >>> counts.forget_silent(now_s=3.1)
+    >>> counts.remove_silent(now_s=3.1)
     >>> counts.total("t")
     1
     """
@@ -130,7 +130,7 @@
         """Return how many requests of this hall's daemons are in flight, by target id."""
         return {target_id: count for target_id, count in self._totals.items() if count > 0}
 
-    def forget_silent(self, now_s: float) -> None:
+    def remove_silent(self, now_s: float) -> None:
         """Remove daemons that have been silent for `SILENT_DAEMON_S`, and outdated hall reports."""
         silent = [s for s, at_s in self._last_report_s.items() if now_s - at_s > SILENT_DAEMON_S]
         for sender in silent:
--- a/ferrydock/scheduling/_scheduler.py
+++ b/ferrydock/scheduling/_scheduler.py
@@ -126,7 +126,7 @@
         # A daemon sends a request first with `hold_s` 0 and, if no slot is free, once more with the
         # time that it may wait in the queue; only the first counts as demand.
         if request.model and request.hold_s <= 0:
-            self.demand.asked(request.service, request.model)
+            self.demand.count_request(request.service, request.model)
         endpoints = self._endpoints(request)
         if not endpoints:
             return SlotReply("", 0)
@@ -179,7 +179,7 @@
             return None
         target_id = chosen.target.target_id
         if request.model:
-            self.demand.granted(request.service, request.model)
+            self.demand.count_grant(request.service, request.model)
         self.pacer.note_granted(chosen.target, now_s)
         grant = self.counts.grant(request.sender, target_id, now_s)
         return SlotReply(target_id, len(endpoints), grant)
--- a/ferrydock/scheduling/tests/test_demand.py
+++ b/ferrydock/scheduling/tests/test_demand.py
@@ -22,9 +22,9 @@
         pending += per_s * SAMPLE_S
         while pending >= 1:
             pending -= 1
-            meter.asked("engines", "large")
+            meter.count_request("engines", "large")
             if rng.random() < granted_ratio:
-                meter.granted("engines", "large")
+                meter.count_grant("engines", "large")
                 end_times_s.append(now_s + hold_s)
         end_times_s = [end_s for end_s in end_times_s if end_s > now_s]
         meter.sample({("engines", "large"): len(end_times_s)}, now_s)
@@ -66,7 +66,7 @@
     assert meter.site_slots_wanted("engines", now_s) == {}
     now_s = simulate_requests(meter, 5.0, 20, 1.0, began_s=now_s)
     assert meter.site_slots_wanted("engines", now_s)
-    meter.forget()
+    meter.reset()
     assert meter.site_slots_wanted("engines", now_s) == {}
 
 
--- a/ferrydock/scheduling/tests/test_scheduler.py
+++ b/ferrydock/scheduling/tests/test_scheduler.py
@@ -136,7 +136,7 @@
             assert await hall.acquire_and_send("d1")
         assert not await hall.acquire_and_send("d2")
         hall.clock.advance(3.1)
-        hall.scheduler.counts.forget_silent(hall.clock.now_s())
+        hall.scheduler.counts.remove_silent(hall.clock.now_s())
         assert await hall.acquire_and_send("d2") == "a"
 
     run(scenario)
