--- a/ferrydock/forwarding/_endpoint_selector.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -107,8 +107,8 @@
             needs,
             exchange,
             max_queue_s,
-            leaves_out=tuple(sorted(exchange.tried_target_ids)),
-            give_back=self.release,
+            excluded_targets=tuple(sorted(exchange.tried_target_ids)),
+            release=self.release,
         )
 
     def release(self, endpoint: Endpoint) -> None:
--- a/ferrydock/scheduling/_messages.py
+++ b/ferrydock/scheduling/_messages.py
@@ -77,7 +77,7 @@
     resting: tuple[str, ...] = ()
 
     @property
-    def leaves_out(self) -> tuple[str, ...]:
+    def excluded_targets(self) -> tuple[str, ...]:
         """Ids of targets that the request must not be sent to."""
         return (*self.avoid, *self.resting)
 
--- a/ferrydock/scheduling/_scheduler.py
+++ b/ferrydock/scheduling/_scheduler.py
@@ -139,7 +139,9 @@
             return reply
         limited_for_s = self._limited_for_s(needs, endpoints)
         if request.hold_s > limited_for_s:
-            reply = await self._queue.wait(rank, needs, request, request.hold_s, request.leaves_out)
+            reply = await self._queue.wait(
+                rank, needs, request, request.hold_s, request.excluded_targets
+            )
         return reply or SlotReply("", len(endpoints), limited_for_s=limited_for_s)
 
     def assign_free_slots(self) -> None:
@@ -219,5 +221,5 @@
         if service is None:
             return []
         endpoints = self.catalog.endpoints(service, request.model)
-        excluded = request.leaves_out
+        excluded = request.excluded_targets
         return [e for e in endpoints if e.target.target_id not in excluded]
--- a/ferrydock/scheduling/_waiting_queue.py
+++ b/ferrydock/scheduling/_waiting_queue.py
@@ -27,7 +27,7 @@
         Rank of the request and the number of its arrival; the queue is sorted by it.
     needs : hashable
         What the request needs (`WaitingQueue`).
-    leaves_out : tuple of str
+    excluded_targets : tuple of str
         Ids of targets that the request must not be sent to. Other requests with the same needs may
         use a slot there.
     """
@@ -36,7 +36,7 @@
     needs: Hashable
     request: Request
     future: asyncio.Future
-    leaves_out: tuple[str, ...]
+    excluded_targets: tuple[str, ...]
 
     @property
     def has_slot(self) -> bool:
@@ -67,7 +67,8 @@
         targets do not count: a slot that is free while they wait is one that they cannot use.
         """
         return any(
-            q.needs == needs and not q.leaves_out and q.sort_key[0] <= rank for q in self._queued
+            q.needs == needs and not q.excluded_targets and q.sort_key[0] <= rank
+            for q in self._queued
         )
 
     def waiting_for(self, needs: Hashable) -> int:
@@ -80,21 +81,21 @@
         needs: Hashable,
         request: Request,
         timeout_s: float,
-        leaves_out: tuple[str, ...] = (),
-        give_back: Callable[[Slot], None] = lambda slot: None,
+        excluded_targets: tuple[str, ...] = (),
+        release: Callable[[Slot], None] = lambda slot: None,
     ) -> Slot | None:
         """Wait for a slot; return None if none was assigned within `timeout_s`.
 
         Parameters
         ----------
-        leaves_out : tuple of str, optional
+        excluded_targets : tuple of str, optional
             Ids of targets that the request must not be sent to.
-        give_back : callable, optional
+        release : callable, optional
             Called with the slot if the waiting task is cancelled after a slot was assigned to it.
         """
         future = asyncio.get_running_loop().create_future()
         queued = _QueuedRequest(
-            (rank, next(self._arrival_numbers)), needs, request, future, leaves_out
+            (rank, next(self._arrival_numbers)), needs, request, future, excluded_targets
         )
         bisect.insort(self._queued, queued, key=lambda q: q.sort_key)
         try:
@@ -105,7 +106,7 @@
             return queued.future.result() if queued.has_slot else None
         except asyncio.CancelledError:
             if queued.has_slot:
-                give_back(queued.future.result())
+                release(queued.future.result())
             raise
         finally:
             if queued in self._queued:
@@ -124,7 +125,7 @@
         """
         full: set[tuple[Hashable, tuple[str, ...]]] = set()
         for queued in list(self._queued):
-            kind = (queued.needs, queued.leaves_out)
+            kind = (queued.needs, queued.excluded_targets)
             if queued.future.done() or kind in full or (queued.needs, ()) in full:
                 continue
             slot = take(queued.request)
--- a/ferrydock/scheduling/tests/test_waiting_queue.py
+++ b/ferrydock/scheduling/tests/test_waiting_queue.py
@@ -62,7 +62,7 @@
         loop = asyncio.get_running_loop()
         # Both timers are due at the same moment: the slot is assigned just before the timeout.
         loop.call_at(loop.time() + 5.0, queue.assign_free_slots, lambda request: "slot")
-        slot = await queue.wait((1,), "x", "r", 5.0, give_back=released.append)
+        slot = await queue.wait((1,), "x", "r", 5.0, release=released.append)
         assert [slot, *released] in (["slot"], [None, "slot"])
 
     run_virtually(scenario())
@@ -71,7 +71,7 @@
 def test_a_slot_assigned_to_a_cancelled_request_is_released():
     async def scenario():
         queue, released = WaitingQueue(), []
-        waiting = asyncio.ensure_future(queue.wait((1,), "x", "r", 5.0, give_back=released.append))
+        waiting = asyncio.ensure_future(queue.wait((1,), "x", "r", 5.0, release=released.append))
         await asyncio.sleep(0)
         queue.assign_free_slots(lambda r: "slot")
         waiting.cancel()
