--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -86,11 +86,11 @@
     messages, size = 0, 0
     began_s = time.perf_counter()
     while peer.history.remembered_count < history.remembered_count:
-        asked = own.question("peer")
+        asked = own.request_update("peer")
         size += len(orjson.dumps(asdict(asked)))
         messages += 1
-        peer.receive(asked)
-        own.take_answer("peer", asked, peer.answer(asked))
+        peer.merge_request(asked)
+        own.merge_reply("peer", asked, peer.reply_update(asked))
     return messages, size, time.perf_counter() - began_s
 
 
--- a/ferrydock/crashes/_exchange.py
+++ b/ferrydock/crashes/_exchange.py
@@ -54,13 +54,13 @@
     >>> clock = ManualClock()
     >>> one, two = CrashHistory(clock), CrashHistory(clock)
     >>> caller, callee = CrashExchange(one), CrashExchange(two)
-    >>> caller.question("two") is None
+    >>> caller.request_update("two") is None
     True
     >>> one.note_crash("r", "t1", 0.0, 1.0)
     >>> two.note_crash("r", "t2", 2.0, 3.0)
-    >>> sent = caller.question("two")
-    >>> callee.receive(sent)
-    >>> caller.take_answer("two", sent, callee.answer(sent))
+    >>> sent = caller.request_update("two")
+    >>> callee.merge_request(sent)
+    >>> caller.merge_reply("two", sent, callee.reply_update(sent))
     >>> one.crashes_of("r"), two.crashes_of("r")
     (2, 2)
     """
@@ -71,7 +71,7 @@
         self.history = history
         self._progress_by_peer: OrderedDict[str, _PeerProgress] = OrderedDict()
 
-    def question(self, peer: str) -> CrashUpdate | None:
+    def request_update(self, peer: str) -> CrashUpdate | None:
         """Return the update to include in a call to a peer, or None if there is none to send."""
         progress = self._progress_of(peer)
         reports, last_included_change = self.history.reports_since(
@@ -87,7 +87,7 @@
             reports,
         )
 
-    def take_answer(self, peer: str, sent: CrashUpdate | None, reply: CrashUpdate | None) -> None:
+    def merge_reply(self, peer: str, sent: CrashUpdate | None, reply: CrashUpdate | None) -> None:
         """Merge the update in a peer's reply.
 
         Parameters
@@ -106,12 +106,14 @@
         progress.incarnation, progress.received_change = reply.life, reply.change
         self.history.merge(reply.reports)
 
-    def receive(self, update: CrashUpdate | None) -> None:
+    def merge_request(self, update: CrashUpdate | None) -> None:
         """Merge the update that a peer included in its call; None if there was none."""
         if update is not None:
             self.history.merge(update.reports)
 
-    def answer(self, update: CrashUpdate | None, repeated_only: bool = False) -> CrashUpdate | None:
+    def reply_update(
+        self, update: CrashUpdate | None, repeated_only: bool = False
+    ) -> CrashUpdate | None:
         """Return the changes that a calling peer has not received, as the update in the reply.
 
         Parameters
@@ -131,7 +133,7 @@
             return None
         return CrashUpdate(self.history.life, last_included_change, reports=reports)
 
-    def has_news_for(self, update: CrashUpdate | None) -> bool:
+    def has_update_for(self, update: CrashUpdate | None) -> bool:
         """Return whether a peer lacks a change of any request with two consecutive crashes."""
         return self.history.last_repeated_change > self._change_received_by(update)
 
--- a/ferrydock/crashes/tests/test_history.py
+++ b/ferrydock/crashes/tests/test_history.py
@@ -43,12 +43,12 @@
     def sync(self, number):
         """Let a daemon exchange updates with the first one; each direction takes 2 ms."""
         caller, callee = self.exchanges[number], self.exchanges[0]
-        request = caller.question("one")
+        request = caller.request_update("one")
         self.advance(0.002)
-        callee.receive(request)
-        answer = callee.answer(request)
+        callee.merge_request(request)
+        answer = callee.reply_update(request)
         self.advance(0.002)
-        caller.take_answer("one", request, answer)
+        caller.merge_reply("one", request, answer)
         return request, answer
 
     def sync_all(self):
@@ -325,10 +325,10 @@
 
     def sync(number):
         caller, leader = daemons.exchanges[number], daemons.exchanges[0]
-        request = caller.question("one")
-        leader.receive(request)
-        answer = leader.answer(request, repeated_only=True)
-        caller.take_answer("one", request, answer)
+        request = caller.request_update("one")
+        leader.merge_request(request)
+        answer = leader.reply_update(request, repeated_only=True)
+        caller.merge_reply("one", request, answer)
         return answer.reports if answer else ()
 
     for n in range(100):
@@ -336,11 +336,11 @@
     daemons.crash(1, "r", "t1")
     daemons.advance(0.3)
     assert [sync(number) for number in (1, 2, 3)] == [(), (), ()]
-    assert not daemons.exchanges[0].has_news_for(daemons.exchanges[3].question("one"))
+    assert not daemons.exchanges[0].has_update_for(daemons.exchanges[3].request_update("one"))
     daemons.crash(2, "r", "t2")
     daemons.advance(0.3)
     sync(2)
-    assert daemons.exchanges[0].has_news_for(daemons.exchanges[3].question("one"))
+    assert daemons.exchanges[0].has_update_for(daemons.exchanges[3].request_update("one"))
     assert [report.identity for report in sync(3)] == ["r"]
     daemons.crash(3, "r", "t3")
     for number in (3, 1, 2):
--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -128,7 +128,7 @@
             self.current.version,
             self.broken.to_report(sent_s),
             self.name,
-            self.crashes.question(address),
+            self.crashes.request_update(address),
             self.directory.leaving_reports(),
         )
         data = await self._calls.call(address, NEWS_METHOD, encode(request), REPLY_TIMEOUT_S)
@@ -141,7 +141,7 @@
             log_event(_LOG, logging.ERROR, "news_unreadable", address=address, why=repr(error))
             await self.close()
             return False
-        self.crashes.take_answer(address, request.crashes, reply.crashes)
+        self.crashes.merge_reply(address, request.crashes, reply.crashes)
         is_sufficient = self._apply_reply(reply, sent_s)
         if reply.configuration:
             is_frequent = sent_s - self._last_configuration_s < FREQUENT_CONFIGURATION_S
--- a/ferrydock/relay/_server.py
+++ b/ferrydock/relay/_server.py
@@ -135,7 +135,7 @@
     async def _handle_update_request(self, data: bytes) -> bytes:
         """Reply to a follower once there are changes, or after `LONG_POLL_S`."""
         request = decode_request(data)
-        self.crashes.receive(request.crashes)
+        self.crashes.merge_request(request.crashes)
         self.broken.receive(request.broken)
         self._receive_leaving(request)
         self.daemon_counter.record_request(request.sender, self.clock.now_s())
@@ -143,7 +143,7 @@
         until_s = self.clock.now_s() + LONG_POLL_S
         while (
             self._is_up_to_date(request)
-            and not self.crashes.has_news_for(request.crashes)
+            and not self.crashes.has_update_for(request.crashes)
             and self.broken.noted_count == noted_before
             and self.clock.now_s() < until_s
             and self.reads_store()
@@ -186,7 +186,7 @@
             age_s=age_s if age_s != float("inf") else None,
             broken=self.broken.to_report(now_s),
             daemons=self.daemon_counter.count_followers(now_s),
-            crashes=self.crashes.answer(request.crashes, repeated_only=True),
+            crashes=self.crashes.reply_update(request.crashes, repeated_only=True),
         )
 
     def _target_changes_for(self, request: UpdateRequest) -> tuple[bool, tuple, tuple[str, ...]]:
--- a/ferrydock/scheduling/_remote_halls.py
+++ b/ferrydock/scheduling/_remote_halls.py
@@ -92,7 +92,7 @@
     async def _poll_running(self, hall: str, address: str) -> bool:
         """Exchange counts, crashes and limits with one scheduler; return whether it replied."""
         sent_s = self.clock.now_s()
-        crashes = self.crashes.question(address)
+        crashes = self.crashes.request_update(address)
         request = encode_hall_request(
             HallUpdate(crashes=crashes, limits=self.limits.reports(sent_s))
         )
@@ -105,7 +105,7 @@
             log_event(_LOG, logging.ERROR, "hall_unreadable", address=address, why=repr(error))
             return False
         self.counts.receive_remote(hall, reply.running, self.clock.now_s())
-        self.crashes.take_answer(address, crashes, reply.crashes)
+        self.crashes.merge_reply(address, crashes, reply.crashes)
         self.limits.merge(reply.limits, sent_s)
         return True
 
--- a/ferrydock/scheduling/_server.py
+++ b/ferrydock/scheduling/_server.py
@@ -43,10 +43,10 @@
         if not data:
             return orjson.dumps(running)
         request = decode_hall_request(data)
-        crashes.receive(request.crashes)
+        crashes.merge_request(request.crashes)
         limits, now_s = scheduler.catalog.limits, scheduler.clock.now_s()
         limits.merge(request.limits, now_s)
-        reply = HallUpdate(running, crashes.answer(request.crashes), limits.reports(now_s))
+        reply = HallUpdate(running, crashes.reply_update(request.crashes), limits.reports(now_s))
         return encode_hall_reply(reply)
 
     async def demand(data: bytes) -> bytes:
