--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -76,7 +76,7 @@
     history = history_of(requests, crashes)
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return used / history.remembered_count
+    return used / history.record_count
 
 
 def tell_a_peer(history: CrashHistory) -> tuple[int, int, float]:
@@ -85,7 +85,7 @@
     own = CrashExchange(history)
     messages, size = 0, 0
     began_s = time.perf_counter()
-    while peer.history.remembered_count < history.remembered_count:
+    while peer.history.record_count < history.record_count:
         asked = own.request_update("peer")
         size += len(orjson.dumps(asdict(asked)))
         messages += 1
--- a/ferrydock/crashes/_exchange.py
+++ b/ferrydock/crashes/_exchange.py
@@ -61,7 +61,7 @@
     >>> sent = caller.request_update("two")
     >>> callee.merge_request(sent)
     >>> caller.merge_reply("two", sent, callee.reply_update(sent))
-    >>> one.crashes_of("r"), two.crashes_of("r")
+    >>> one.consecutive_crashes_of("r"), two.consecutive_crashes_of("r")
     (2, 2)
     """
 
@@ -80,7 +80,7 @@
         if not reports and not progress.incarnation:
             return None
         return CrashUpdate(
-            self.history.life,
+            self.history.incarnation,
             last_included_change,
             progress.incarnation,
             progress.received_change,
@@ -131,14 +131,14 @@
         )
         if update is None and not reports:
             return None
-        return CrashUpdate(self.history.life, last_included_change, reports=reports)
+        return CrashUpdate(self.history.incarnation, last_included_change, reports=reports)
 
     def has_update_for(self, update: CrashUpdate | None) -> bool:
         """Return whether a peer lacks a change of any request with two consecutive crashes."""
         return self.history.last_repeated_change > self._change_received_by(update)
 
     def _change_received_by(self, update: CrashUpdate | None) -> int:
-        is_same_incarnation = update is not None and update.known_life == self.history.life
+        is_same_incarnation = update is not None and update.known_life == self.history.incarnation
         return update.known_change if update is not None and is_same_incarnation else 0
 
     def _progress_of(self, peer: str) -> _PeerProgress:
--- a/ferrydock/crashes/_history.py
+++ b/ferrydock/crashes/_history.py
@@ -78,7 +78,7 @@
 
     Attributes
     ----------
-    life : str
+    incarnation : str
         Incarnation of this history: a random id, different in each process.
     changes : int
         Number of the last change of a record. Peers request the changes after a number.
@@ -108,14 +108,14 @@
         "changes",
         "clock",
         "last_repeated_change",
-        "life",
+        "incarnation",
         "listener",
     )
 
     def __init__(self, clock: Clock, listener: CrashListener | None = None):
         self.clock = clock
         self.listener: CrashListener = listener or CrashLog()
-        self.life = uuid.uuid4().hex[:12]
+        self.incarnation = uuid.uuid4().hex[:12]
         self.changes = 0
         self.last_repeated_change = 0
         self._observation_numbers = itertools.count(1)
@@ -150,32 +150,34 @@
             return 0.0
         return max(0.0, self._refused_until_s(record) - self.clock.now_s())
 
-    def is_known_since(self, identity: str, since_s: float) -> bool:
-        """Return whether a request is refused because of crashes detected at `since_s` or later.
+    def was_detected_since(self, identity: str, admitted_s: float) -> bool:
+        """Return whether a request is refused because of crashes detected since `admitted_s`.
 
-        `since_s` is the time at which an attempt of the request was admitted.
+        `admitted_s` is the time at which an attempt of the request was admitted.
         """
         record = self._records.get(identity)
-        return record is not None and record.detected_s is not None and record.detected_s >= since_s
+        return (
+            record is not None and record.detected_s is not None and record.detected_s >= admitted_s
+        )
 
-    def crashes_of(self, identity: str) -> int:
+    def consecutive_crashes_of(self, identity: str) -> int:
         """Return the number of consecutive crashes of a request."""
         record = self._records.get(identity)
         return record.consecutive_count if record else 0
 
     @property
-    def known_count(self) -> int:
+    def refused_count(self) -> int:
         """Number of requests that are refused."""
         return len(self._refused)
 
     @property
-    def remembered_count(self) -> int:
+    def record_count(self) -> int:
         """Number of requests with a record."""
         return len(self._records)
 
     def _refused_until_s(self, record: RequestRecord) -> float:
         last_crash = max(record.crashes, key=lambda crash: crash.ended_s)
-        is_own = last_crash.finder == self.life
+        is_own = last_crash.finder == self.incarnation
         factor = 1.0 if is_own else 1.0 + OTHER_DAEMONS_DELAY_FRACTION
         return last_crash.ended_s + record.refusal_s * factor
 
@@ -206,9 +208,9 @@
 
     def _new_observation_id(self) -> str:
         """Return an id, unique among all daemons, for a crash or answer that this daemon saw."""
-        return f"{self.life}:{next(self._observation_numbers)}"
+        return f"{self.incarnation}:{next(self._observation_numbers)}"
 
-    def tidy(self) -> None:
+    def prune(self) -> None:
         """Remove the records and answers that have exceeded their retention time."""
         now_s = self.clock.now_s()
         expired = [
--- a/ferrydock/crashes/_rule.py
+++ b/ferrydock/crashes/_rule.py
@@ -61,8 +61,8 @@
     Attributes
     ----------
     crash_id : str
-        Id of the observation, unique among all daemons: `CrashHistory.life` of the daemon that
-        observed it, and a number.
+        Id of the observation, unique among all daemons: `CrashHistory.incarnation` of the daemon
+        that observed it, and a number.
     began_s, ended_s : float
         When the request was sent to the target, and when its connection broke, by this daemon's
         clock.
@@ -75,7 +75,7 @@
 
     @property
     def finder(self) -> str:
-        """`CrashHistory.life` of the daemon that observed the crash."""
+        """`CrashHistory.incarnation` of the daemon that observed the crash."""
         return self.crash_id.partition(":")[0]
 
 
--- a/ferrydock/crashes/tests/test_history.py
+++ b/ferrydock/crashes/tests/test_history.py
@@ -97,7 +97,7 @@
             daemons.crash(0, "hot", f"t{n}", ran_s=0.5)
             daemons.advance(0.01)
         daemons.advance(1.0)
-    assert history.crashes_of("hot") == 2 and history.admit("hot") == 0
+    assert history.consecutive_crashes_of("hot") == 2 and history.admit("hot") == 0
 
 
 def test_a_request_sharing_targets_with_the_cause_is_released_by_a_further_crash_of_the_cause(
@@ -112,7 +112,7 @@
         daemons.crash(0, "beside", f"t{n}")
         daemons.crash(0, "worse", f"t{n}")
         daemons.advance(0.3)
-    assert history.known_count == 2  # both have the same crashes
+    assert history.refused_count == 2  # both have the same crashes
     assert history.admit("beside") <= TIED_REFUSAL_S
     daemons.advance(TIED_REFUSAL_S + TIED_REFUSAL_STEP_S)
     assert history.admit("worse") == 0
@@ -130,7 +130,7 @@
     daemons.advance(TIED_REFUSAL_S)
     assert history.admit("beside") == 0 < history.admit("worse")
     history.note_answer("beside")
-    assert history.admit("beside") == 0 and history.known_count == 1
+    assert history.admit("beside") == 0 and history.refused_count == 1
 
 
 def test_a_request_that_was_answered_before_is_refused_only_after_six_crashes(single_daemon):
@@ -165,7 +165,7 @@
     for _ in range(3):
         daemons.sync_all()
     assert [history.admit("r") for history in daemons.histories] == [0, 0, 0]
-    assert [history.known_count for history in daemons.histories] == [0, 0, 0]
+    assert [history.refused_count for history in daemons.histories] == [0, 0, 0]
     crash_consecutively(daemons, "r", 3, number=1)
     assert daemons.histories[1].admit("r") > 0
 
@@ -198,7 +198,7 @@
     daemons.advance(60)
     assert history.admit("r") == 0
     history.note_answer("r")
-    assert history.admit("r") == 0 and history.known_count == 0
+    assert history.admit("r") == 0 and history.refused_count == 0
     assert history.listener.verdict_changes == [("r", "known"), ("r", "answered")]
 
 
@@ -220,11 +220,11 @@
     crash_consecutively(daemons, "kept", 3)
     for n in range(MAX_REQUESTS + 50):
         daemons.crash(0, f"r{n}", "t")
-    assert history.remembered_count == MAX_REQUESTS
-    assert history.admit("kept") > 0 and history.crashes_of("r0") == 0
+    assert history.record_count == MAX_REQUESTS
+    assert history.admit("kept") > 0 and history.consecutive_crashes_of("r0") == 0
     daemons.advance(RETENTION_S + 1)
-    history.tidy()
-    assert history.remembered_count == 0
+    history.prune()
+    assert history.record_count == 0
     assert history.listener.verdict_changes == [("kept", "known"), ("kept", "quiet")]
 
 
@@ -249,7 +249,7 @@
     daemons.histories[1].note_answer("r")
     daemons.sync_all()
     daemons.sync_all()
-    assert [history.crashes_of("r") for history in daemons.histories] == [0, 0, 0]
+    assert [history.consecutive_crashes_of("r") for history in daemons.histories] == [0, 0, 0]
 
 
 def test_reports_that_a_peer_has_received_are_not_sent_again():
@@ -279,7 +279,7 @@
     daemons.restart(number)
     for _ in range(3):
         daemons.sync(1)
-    assert [history.crashes_of("r") for history in daemons.histories] == [3, 3]
+    assert [history.consecutive_crashes_of("r") for history in daemons.histories] == [3, 3]
 
 
 def test_many_reports_are_split_into_several_messages():
@@ -291,7 +291,7 @@
         request, _ = daemons.sync(1)
         sizes.append(len(request.reports))
     assert sizes[:3] == [500, 500, 200]
-    assert daemons.histories[0].remembered_count == 1200
+    assert daemons.histories[0].record_count == 1200
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -312,7 +312,7 @@
     for _ in range(4):
         daemons.sync_all()
     for identity in (f"r{n}" for n in range(5)):
-        verdicts = [history.crashes_of(identity) for history in daemons.histories]
+        verdicts = [history.consecutive_crashes_of(identity) for history in daemons.histories]
         assert len(set(verdicts)) == 1, (identity, verdicts)
 
 
--- a/ferrydock/forwarding/_crash_guard.py
+++ b/ferrydock/forwarding/_crash_guard.py
@@ -73,7 +73,7 @@
 
     def is_known_since_admission(self, exchange: Exchange) -> bool:
         """Return whether a request was found to crash its targets after it had been admitted."""
-        return self.history.is_known_since(exchange.identity, exchange.admitted_s)
+        return self.history.was_detected_since(exchange.identity, exchange.admitted_s)
 
     def refused_for_s(self, exchange: Exchange) -> float:
         """Return the seconds until a refused request may be retried."""
@@ -111,7 +111,7 @@
         )
         self._checks.add(check)
         check.add_done_callback(self._checks.discard)
-        if self.history.crashes_of(exchange.identity) + 1 >= CRASHES_TO_KNOW:
+        if self.history.consecutive_crashes_of(exchange.identity) + 1 >= CRASHES_TO_KNOW:
             await asyncio.wait({check}, timeout=MAX_CHECK_WAIT_S)
 
     def _is_planned_shutdown(self, target: Target) -> bool:
@@ -134,7 +134,7 @@
             identity=exchange.identity,
             target=target.target_id,
             ran_ms=(ended_s - sent_s) * 1000,
-            crashes=self.history.crashes_of(exchange.identity) + 1,
+            crashes=self.history.consecutive_crashes_of(exchange.identity) + 1,
         )
         self.history.note_crash(exchange.identity, target.target_id, sent_s, ended_s)
 
--- a/ferrydock/forwarding/tests/test_crashes.py
+++ b/ferrydock/forwarding/tests/test_crashes.py
@@ -37,7 +37,7 @@
 async def ask_until_known(rig, **request):
     """Send a request until it is known to crash its targets; return all answers."""
     received = []
-    while not rig.history.known_count:
+    while not rig.history.refused_count:
         received.append(await rig.ask("POST", **request))
         await asyncio.sleep(0.02)
     return received
@@ -85,7 +85,7 @@
             for _ in range(6):
                 assert (await rig.ask("POST", body=b"hi")).startswith(b"HTTP/1.1 502")
             await asyncio.sleep(0.1)
-            assert rig.history.remembered_count == 0
+            assert rig.history.record_count == 0
 
     play(scenario)
 
@@ -107,7 +107,7 @@
         async with Rig([route(attempts=1)], [ScriptedTarget(shuts_down)]) as rig:
             assert (await rig.ask("POST", body=b"hi")).startswith(b"HTTP/1.1 502")
             await asyncio.sleep(0.1)
-            assert rig.history.remembered_count == 0
+            assert rig.history.record_count == 0
 
     play(scenario)
 
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -176,7 +176,7 @@
         """Abandon attempts whose replica has not been whole for too long, until the daemon ends."""
         while True:
             await asyncio.sleep(WATCH_S)
-            self.crashes.tidy()
+            self.crashes.prune()
             self.look_after(self.clock.now_s())
 
     def look_after(self, now_s: float) -> None:
@@ -279,7 +279,7 @@
                     why=outcome.reason,
                 )
                 await self._look_for_a_crash(chosen.replica, sent_s)
-                if self.executor.crashes.is_known_since(self.identity, self.admitted_s):
+                if self.executor.crashes.was_detected_since(self.identity, self.admitted_s):
                     return GaveUp(CRASHES_TARGETS, self.life.give_up())
             stop = await self._before_retry(outcome)
             if stop is not None:
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -131,7 +131,7 @@
         for _ in range(2):
             outcome = await run(executor)
             assert isinstance(outcome, GaveUp) and outcome.reason == "reset"
-        assert executor.crashes.remembered_count == 0
+        assert executor.crashes.record_count == 0
         server.close()
         await executor.close()
 
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -423,7 +423,7 @@
         self.retry_shares.update()
         self.upkeep.run_once()
         self.scheduler.pacer.prune()
-        self.crash_exchange.history.tidy()
+        self.crash_exchange.history.prune()
         self.store_follower.check_age()
 
     async def _set_gather_time(self) -> None:
--- a/ferrydock/route_daemon/_gauges.py
+++ b/ferrydock/route_daemon/_gauges.py
@@ -73,8 +73,8 @@
         for result, calls in self.deployment.store_calls.items():
             metrics.store_calls.labels(result).set(calls)
         crashes = self.gateway.forwarder.crashes.history
-        metrics.crashing_known.set(crashes.known_count)
-        metrics.crashes_remembered.set(crashes.remembered_count)
+        metrics.crashing_known.set(crashes.refused_count)
+        metrics.crashes_remembered.set(crashes.record_count)
         metrics.log_lines_left_out.set(_count_dropped_log_lines())
         return metrics.text().decode()
 
