--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -23,7 +23,7 @@
 
 from ferrydock.clock import SystemClock
 from ferrydock.crashes import CrashExchange, CrashHistory, request_identity
-from ferrydock.crashes._history import MAX_CRASHES_KEPT, MAX_REQUESTS
+from ferrydock.crashes._history import MAX_CRASHES_PER_REQUEST, MAX_REQUESTS
 
 from ._report import print_check, print_row
 
@@ -41,10 +41,10 @@
 class Silent:
     """Takes verdicts and logs nothing."""
 
-    def became_known(self, identity, crashes, for_s):
+    def refusal_started(self, identity, crashes, for_s):
         """Do nothing."""
 
-    def released(self, identity, why):
+    def refusal_ended(self, identity, why):
         """Do nothing."""
 
 
@@ -112,7 +112,7 @@
             print_row(NAME, known=known, body_bytes=size, before_us=0, added_us=each_us)
             if known == "nothing" and size == BODY_BYTES[1]:
                 good &= print_check(NAME, "added_us", each_us, f"<={MAX_ADDED_US}")
-    for crashes in (1, MAX_CRASHES_KEPT):
+    for crashes in (1, MAX_CRASHES_PER_REQUEST):
         each_bytes = bytes_of_record(crashes, 100)
         print_row(NAME, crashes=crashes, record_bytes=each_bytes)
     full_mb = each_bytes * MAX_REQUESTS / 1e6
--- a/ferrydock/crashes/__init__.py
+++ b/ferrydock/crashes/__init__.py
@@ -17,11 +17,11 @@
 from ._identity import IDENTIFIED_BODY_BYTES, request_identity
 from ._messages import CrashAge, CrashReport, CrashUpdate, decode_crash_update
 from ._probe import TargetPresence, TargetProbe
-from ._rule import CRASHES_TARGETS, CRASHES_TO_KNOW, Crash
+from ._rule import CRASHES_TARGETS, CRASHES_TO_REFUSE, Crash
 
 __all__ = [
     "CRASHES_TARGETS",
-    "CRASHES_TO_KNOW",
+    "CRASHES_TO_REFUSE",
     "IDENTIFIED_BODY_BYTES",
     "Crash",
     "CrashAge",
--- a/ferrydock/crashes/_history.py
+++ b/ferrydock/crashes/_history.py
@@ -24,7 +24,7 @@
 # with 9 requests each that crash at once. A record of one crash takes 0.56 kB, of eight 2.4 kB, so
 # all records take at most 4.8 MB.
 MAX_REQUESTS = 2000
-MAX_CRASHES_KEPT = 8
+MAX_CRASHES_PER_REQUEST = 8
 
 # Most recently answered requests, kept so that a later crash of one of them needs the higher
 # threshold. They cover some seconds of distinct requests, and all requests that many callers send
@@ -59,10 +59,12 @@
 class CrashListener(Protocol):
     """Receives each change of the verdict on a request."""
 
-    def became_known(self, identity: str, crashes: tuple[Crash, ...], refused_for_s: float) -> None:
+    def refusal_started(
+        self, identity: str, crashes: tuple[Crash, ...], refused_for_s: float
+    ) -> None:
         """Handle the start of a refusal, which lasts at least `refused_for_s` seconds."""
 
-    def released(self, identity: str, reason: str) -> None:
+    def refusal_ended(self, identity: str, reason: str) -> None:
         """Handle the end of a refusal."""
 
 
@@ -177,7 +179,7 @@
 
     def _refused_until_s(self, record: RequestRecord) -> float:
         last_crash = max(record.crashes, key=lambda crash: crash.ended_s)
-        is_own = last_crash.finder == self.incarnation
+        is_own = last_crash.observer == self.incarnation
         factor = 1.0 if is_own else 1.0 + OTHER_DAEMONS_DELAY_FRACTION
         return last_crash.ended_s + record.refusal_s * factor
 
@@ -289,7 +291,7 @@
         recorded_ids = {crash.crash_id for crash in recorded}
         answered_s = record.answered_s if record else float("-inf")
         new = [c for c in crashes if c.crash_id not in recorded_ids and c.ended_s > answered_s]
-        retained = select_retained([*recorded, *new], MAX_CRASHES_KEPT)
+        retained = select_retained([*recorded, *new], MAX_CRASHES_PER_REQUEST)
         if retained == recorded:
             return False
         record = record or self._create_record(identity)
@@ -349,7 +351,7 @@
         record.detected_s = self.clock.now_s()
         if identity not in self._refused:
             self._refused.add(identity)
-            self.listener.became_known(identity, tuple(record.crashes), record.refusal_s)
+            self.listener.refusal_started(identity, tuple(record.crashes), record.refusal_s)
         for other in refused_at_same_targets(identity, self._records, self._refused):
             if not self._is_cause(other):
                 self._release(other, self._records[other], EXPLAINED)
@@ -361,4 +363,4 @@
     def _release(self, identity: str, record: RequestRecord, reason: str) -> None:
         record.detected_s = None
         self._refused.discard(identity)
-        self.listener.released(identity, reason)
+        self.listener.refusal_ended(identity, reason)
--- a/ferrydock/crashes/_log.py
+++ b/ferrydock/crashes/_log.py
@@ -19,7 +19,9 @@
 
     __slots__ = ()
 
-    def became_known(self, identity: str, crashes: tuple[Crash, ...], refused_for_s: float) -> None:
+    def refusal_started(
+        self, identity: str, crashes: tuple[Crash, ...], refused_for_s: float
+    ) -> None:
         """Log that a request is refused because it crashes its targets."""
         log_event(
             _LOG,
@@ -27,11 +29,11 @@
             "crashing_request_known",
             identity=identity,
             crashes=len(crashes),
-            seen_by_daemons=len({crash.finder for crash in crashes}),
+            seen_by_daemons=len({crash.observer for crash in crashes}),
             targets=",".join(crash.target_id for crash in crashes),
             refused_for_s=refused_for_s,
         )
 
-    def released(self, identity: str, reason: str) -> None:
+    def refusal_ended(self, identity: str, reason: str) -> None:
         """Log that the refusal of a request has ended, and why."""
         log_event(_LOG, logging.WARNING, "crashing_request_released", identity=identity, why=reason)
--- a/ferrydock/crashes/_rule.py
+++ b/ferrydock/crashes/_rule.py
@@ -11,7 +11,7 @@
 
 __all__ = [
     "CRASHES_TARGETS",
-    "CRASHES_TO_KNOW",
+    "CRASHES_TO_REFUSE",
     "Crash",
     "count_consecutive_crashes",
     "refusal_threshold",
@@ -27,7 +27,7 @@
 # Consecutive crashes after which a request is refused. Two also occur to harmless requests: in an
 # emulated day with 60 target crashes that broke 278 attempts, 46 requests lost two attempts. The
 # platform tolerates three crashes before it counts them.
-CRASHES_TO_KNOW = 3
+CRASHES_TO_REFUSE = 3
 
 # Threshold for a request that a target has answered before. A request that many callers send runs
 # on all targets, also on those that another request crashes consecutively. With six, a request that
@@ -74,7 +74,7 @@
     ended_s: float
 
     @property
-    def finder(self) -> str:
+    def observer(self) -> str:
         """`CrashHistory.incarnation` of the daemon that observed the crash."""
         return self.crash_id.partition(":")[0]
 
@@ -144,11 +144,11 @@
     is_answered : bool
         Whether a target has answered the request before.
     """
-    return CRASHES_TO_REFUSE_ANSWERED if is_answered else CRASHES_TO_KNOW
+    return CRASHES_TO_REFUSE_ANSWERED if is_answered else CRASHES_TO_REFUSE
 
 
 def refusal_duration_s(
-    crashes: int, threshold: int = CRASHES_TO_KNOW, tie_rank: int | None = None
+    crashes: int, threshold: int = CRASHES_TO_REFUSE, tie_rank: int | None = None
 ) -> float:
     """Return the seconds for which a request is refused after `crashes` consecutive crashes.
 
--- a/ferrydock/crashes/tests/test_history.py
+++ b/ferrydock/crashes/tests/test_history.py
@@ -6,7 +6,7 @@
 
 from ...clock import ManualClock
 from .. import CrashExchange, CrashHistory
-from .._history import MAX_CRASHES_KEPT, MAX_REQUESTS, RETENTION_S, TRIAL_INTERVAL_S
+from .._history import MAX_CRASHES_PER_REQUEST, MAX_REQUESTS, RETENTION_S, TRIAL_INTERVAL_S
 from .._rule import TIED_REFUSAL_S, TIED_REFUSAL_STEP_S
 
 
@@ -16,10 +16,10 @@
     def __init__(self):
         self.verdict_changes = []
 
-    def became_known(self, identity, crashes, refused_for_s):
+    def refusal_started(self, identity, crashes, refused_for_s):
         self.verdict_changes.append((identity, "known"))
 
-    def released(self, identity, reason):
+    def refusal_ended(self, identity, reason):
         self.verdict_changes.append((identity, reason))
 
 
@@ -255,7 +255,7 @@
 def test_reports_that_a_peer_has_received_are_not_sent_again():
     daemons = Daemons(2)
     assert daemons.sync(1) == (None, None)
-    crash_consecutively(daemons, "r", 3 * MAX_CRASHES_KEPT, number=1)
+    crash_consecutively(daemons, "r", 3 * MAX_CRASHES_PER_REQUEST, number=1)
     daemons.histories[1].note_answer("r")
     daemons.crash(0, "s", "t")
     for _ in range(3):
--- a/ferrydock/forwarding/_crash_guard.py
+++ b/ferrydock/forwarding/_crash_guard.py
@@ -9,7 +9,7 @@
 import logging
 
 from ..clock import Clock
-from ..crashes import CRASHES_TO_KNOW, CrashHistory, TargetPresence, TargetProbe
+from ..crashes import CRASHES_TO_REFUSE, CrashHistory, TargetPresence, TargetProbe
 from ..logs import log_event
 from ..route_metrics import RouteMetrics
 from ..targets import Target, TargetDirectory
@@ -111,7 +111,7 @@
         )
         self._checks.add(check)
         check.add_done_callback(self._checks.discard)
-        if self.history.consecutive_crashes_of(exchange.identity) + 1 >= CRASHES_TO_KNOW:
+        if self.history.consecutive_crashes_of(exchange.identity) + 1 >= CRASHES_TO_REFUSE:
             await asyncio.wait({check}, timeout=MAX_CHECK_WAIT_S)
 
     def _is_planned_shutdown(self, target: Target) -> bool:
