--- a/ferrydock/forwarding/tests/test_crashes.py
+++ b/ferrydock/forwarding/tests/test_crashes.py
@@ -130,7 +130,7 @@
 
     async def scenario():
         probe = TargetProbe()
-        monkeypatch.setattr(_probe, "_look_once", look_once)
+        monkeypatch.setattr(_probe, "_connect_once", look_once)
         monkeypatch.setattr(_probe, "LOOK_AGAIN_S", (0.01, 0.01))
         looks = [probe.look("t", "127.0.0.1:1") for _ in range(3)]
         assert {await look for look in looks} == {TargetPresence(expected)}
@@ -146,7 +146,7 @@
         return TargetPresence.SILENT
 
     async def scenario():
-        monkeypatch.setattr(_probe, "_look_once", silent)
+        monkeypatch.setattr(_probe, "_connect_once", silent)
         async with Rig([route()], [ScriptedTarget(resets(), answers(whole()))] * 1) as rig:
             other = ScriptedTarget(resets(), answers(whole()))
             await other.start()
