--- a/ferrydock/crashes/_probe.py
+++ b/ferrydock/crashes/_probe.py
@@ -13,22 +13,22 @@
 
 # Time for connecting to a target's port. A live host responds within milliseconds. Equal to the
 # time-out for a member of a silent replica (`forwarding._stalls.REPORT_TIMEOUT_S`).
-ANSWER_WITHIN_S = 0.12
+CONNECT_TIMEOUT_S = 0.12
 
 # Pauses before the second and third probe of a target that did not respond. They outlast a short
 # network cut or pause of the process, and add up to less than the seconds in which a target
 # restarts, after which its port would accept connections again.
-LOOK_AGAIN_S = (0.3, 0.6)
+RETRY_PAUSES_S = (0.3, 0.6)
 
 
 class TargetPresence(StrEnum):
     """Result of probing a target's port; the values appear in log lines.
 
-    ``GONE``: the port refused the connection, so the process has terminated. ``PRESENT``: it
+    ``TERMINATED``: the port refused the connection, so the process has terminated. ``PRESENT``: it
     accepted the connection. ``SILENT``: it did not respond in time, or connecting failed otherwise.
     """
 
-    GONE = "gone"
+    TERMINATED = "gone"
     PRESENT = "present"
     SILENT = "silent"
 
@@ -41,7 +41,7 @@
     def __init__(self):
         self._probes: dict[str, asyncio.Task[TargetPresence]] = {}
 
-    def look(self, target_id: str, address: str) -> asyncio.Task[TargetPresence]:
+    def probe(self, target_id: str, address: str) -> asyncio.Task[TargetPresence]:
         """Return the probe of a target in progress, or start one of its ``IP:PORT`` address."""
         probe = self._probes.get(target_id)
         if probe is None:
@@ -60,7 +60,7 @@
 
 async def _probe_with_retries(address: str) -> TargetPresence:
     presence = await _connect_once(address)
-    for pause_s in LOOK_AGAIN_S:
+    for pause_s in RETRY_PAUSES_S:
         if presence is not TargetPresence.SILENT:
             break
         await asyncio.sleep(pause_s)
@@ -71,10 +71,10 @@
 async def _connect_once(address: str) -> TargetPresence:
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(ANSWER_WITHIN_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
-        return TargetPresence.GONE
+        return TargetPresence.TERMINATED
     except (TimeoutError, OSError):
         return TargetPresence.SILENT
     writer.close()
--- a/ferrydock/forwarding/_crash_guard.py
+++ b/ferrydock/forwarding/_crash_guard.py
@@ -20,7 +20,7 @@
 _LOG = logging.getLogger("ferrydock.forwarding")
 
 # How long a request that may have crashed its third target waits for the check of that target: a
-# little longer than one probe takes (`crashes._probe.ANSWER_WITHIN_S`). A request with fewer
+# little longer than one probe takes (`crashes._probe.CONNECT_TIMEOUT_S`). A request with fewer
 # crashes is retried without waiting.
 MAX_CHECK_WAIT_S = 0.15
 
@@ -122,8 +122,8 @@
     async def _check_for_crash(
         self, exchange: Exchange, target: Target, sent_s: float, ended_s: float
     ) -> None:
-        presence = await self.probe.look(target.target_id, target.address)
-        if presence is not TargetPresence.GONE:
+        presence = await self.probe.probe(target.target_id, target.address)
+        if presence is not TargetPresence.TERMINATED:
             return
         self.metrics.target_crashes.inc()
         log_event(
--- a/ferrydock/forwarding/tests/test_crashes.py
+++ b/ferrydock/forwarding/tests/test_crashes.py
@@ -131,8 +131,8 @@
     async def scenario():
         probe = TargetProbe()
         monkeypatch.setattr(_probe, "_connect_once", look_once)
-        monkeypatch.setattr(_probe, "LOOK_AGAIN_S", (0.01, 0.01))
-        looks = [probe.look("t", "127.0.0.1:1") for _ in range(3)]
+        monkeypatch.setattr(_probe, "RETRY_PAUSES_S", (0.01, 0.01))
+        looks = [probe.probe("t", "127.0.0.1:1") for _ in range(3)]
         assert {await look for look in looks} == {TargetPresence(expected)}
         assert remaining == []
         await probe.close()
@@ -142,7 +142,7 @@
 
 def test_request_is_retried_without_waiting_for_the_probe_of_a_silent_target(monkeypatch):
     async def silent(address):
-        await asyncio.sleep(_probe.ANSWER_WITHIN_S)
+        await asyncio.sleep(_probe.CONNECT_TIMEOUT_S)
         return TargetPresence.SILENT
 
     async def scenario():
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -293,9 +293,9 @@
         executor = self.executor
         ended_s = executor.clock.now_s()
         address = replica.head.url.split("://", 1)[1].split("/", 1)[0]
-        look = executor.probe.look(replica.head.url, address)
+        look = executor.probe.probe(replica.head.url, address)
         await asyncio.wait({look}, timeout=LOOK_WITHIN_S)
-        if look.done() and not look.cancelled() and look.result() is TargetPresence.GONE:
+        if look.done() and not look.cancelled() and look.result() is TargetPresence.TERMINATED:
             executor.crashes.note_crash(self.identity, replica.head.url, sent_s, ended_s)
 
     async def _choose(self) -> Candidate | NotRun:
