--- a/ferrydock/backpressure/_rests.py
+++ b/ferrydock/backpressure/_rests.py
@@ -66,7 +66,7 @@
             return
         remaining_s = self.remaining_s(target, now_s)
         self._backoffs[target.target_id] = _Backoff(
-            now_s + max(backoff_s, remaining_s), target.life
+            now_s + max(backoff_s, remaining_s), target.incarnation
         )
         if remaining_s <= 0:
             log_event(_LOG, logging.INFO, "target_rests", target=target.target_id, for_s=backoff_s)
@@ -74,7 +74,7 @@
     def remaining_s(self, target: Target, now_s: float) -> float:
         """Return how many seconds remain of a target's back-off; 0 if it has none."""
         backoff = self._backoffs.get(target.target_id)
-        if backoff is None or backoff.incarnation != target.life:
+        if backoff is None or backoff.incarnation != target.incarnation:
             return 0.0
         return max(0.0, backoff.until_s - now_s)
 
--- a/ferrydock/forwarding/_answer_notices.py
+++ b/ferrydock/forwarding/_answer_notices.py
@@ -59,7 +59,7 @@
         if isinstance(is_leaving, Fault):
             self._log_unreadable(target.target_id, is_leaving)
         elif is_leaving:
-            self.catalog.directory.note_leaving(target.target_id, target.life)
+            self.catalog.directory.note_leaving(target.target_id, target.incarnation)
 
     def _apply_backoff(self, target: Target, backoff_s: float | None | Fault) -> None:
         if isinstance(backoff_s, Fault):
--- a/ferrydock/replicas/_hall_state.py
+++ b/ferrydock/replicas/_hall_state.py
@@ -88,7 +88,7 @@
 
     def has_left(self, target: Target) -> bool:
         """Return whether a target is known to have left the replica that its entry shows."""
-        membership = target.joined
+        membership = target.existing_membership
         return self._left_replicas.get(target.target_id) == (membership.replica, membership.epoch)
 
     def is_idle(self, target: Target) -> bool:
--- a/ferrydock/replicas/_health.py
+++ b/ferrydock/replicas/_health.py
@@ -206,7 +206,7 @@
     """Return why a replica cannot go on serving; `DissolveReason.NONE` if it can."""
     if has_dead:
         return DissolveReason.DEAD
-    if any(t.joined.state is ReplicaState.BROKEN for t in replica.members):
+    if any(t.existing_membership.state is ReplicaState.BROKEN for t in replica.members):
         return DissolveReason.BROKEN
     if model is not None and len(replica.members) < model.size:
         return DissolveReason.MEMBER_GONE
--- a/ferrydock/replicas/_observed.py
+++ b/ferrydock/replicas/_observed.py
@@ -30,12 +30,12 @@
     def head(self) -> Target | None:
         """The member that takes its requests; None if it has no entry."""
         first = self.members[0]
-        return first if first.joined.rank == 0 else None
+        return first if first.existing_membership.rank == 0 else None
 
     @property
     def is_open(self) -> bool:
         """Whether its head reports that it serves."""
-        return self.head is not None and self.head.joined.state is ReplicaState.OPEN
+        return self.head is not None and self.head.existing_membership.state is ReplicaState.OPEN
 
     @property
     def is_leaving(self) -> bool:
@@ -52,8 +52,8 @@
     """Return the replicas that the given targets, each with a membership, belong to."""
     found: dict[tuple[str, int], ObservedReplica] = {}
     for target in members:
-        key = (target.joined.replica, target.joined.epoch)
+        key = (target.existing_membership.replica, target.existing_membership.epoch)
         found.setdefault(key, ObservedReplica(*key, [])).members.append(target)
     for replica in found.values():
-        replica.members.sort(key=lambda target: target.joined.rank)
+        replica.members.sort(key=lambda target: target.existing_membership.rank)
     return list(found.values())
--- a/ferrydock/targets/_directory.py
+++ b/ferrydock/targets/_directory.py
@@ -182,7 +182,7 @@
         Parameters
         ----------
         incarnation : int
-            Incarnation of the target that announced it (`Target.life`).
+            Incarnation of the target that announced it (`Target.incarnation`).
         """
         if not self._leaving_targets.note(target_id, incarnation):
             return
@@ -205,7 +205,7 @@
         return replace(target, last_model=previous.last_model) if previous else target
 
     def _note_member(self, target: Target) -> None:
-        key = (target.joined.replica, target.joined.epoch)
+        key = (target.existing_membership.replica, target.existing_membership.epoch)
         if key not in self._members_by_replica:
             self._members_by_replica[key] = {}
             if len(self._members_by_replica) > MAX_REPLICAS_REMEMBERED:
@@ -251,11 +251,16 @@
                 by_replica.setdefault(key, []).append(target)
         found: dict[str, list[ReplicaView]] = {}
         for (service, name, epoch), members in by_replica.items():
-            members.sort(key=lambda target: target.joined.rank)
+            members.sort(key=lambda target: target.existing_membership.rank)
             head = members[0]
-            if head.joined.rank != 0 or head.joined.state is not ReplicaState.OPEN:
+            if (
+                head.existing_membership.rank != 0
+                or head.existing_membership.state is not ReplicaState.OPEN
+            ):
                 continue
-            if any(t.draining or t.joined.state is ReplicaState.BROKEN for t in members):
+            if any(
+                t.draining or t.existing_membership.state is ReplicaState.BROKEN for t in members
+            ):
                 continue
             if not head.models:
                 continue
--- a/ferrydock/targets/_leaving.py
+++ b/ferrydock/targets/_leaving.py
@@ -52,7 +52,7 @@
     def mark(self, entry: Target) -> Target:
         """Return the entry, as draining if its incarnation or a later one has announced it."""
         incarnation = self._incarnations.get(entry.target_id)
-        if incarnation is None or entry.life > incarnation:
+        if incarnation is None or entry.incarnation > incarnation:
             return entry
         return replace(entry, draining=True)
 
--- a/ferrydock/targets/_target.py
+++ b/ferrydock/targets/_target.py
@@ -82,12 +82,12 @@
     age_mark: tuple[int, int] = (0, 0)
 
     @property
-    def joined(self) -> Membership:
+    def existing_membership(self) -> Membership:
         """Membership of a target that belongs to a replica; an error for any other target."""
         return existing(self.membership, f"the membership of {self.target_id}")
 
     @property
-    def life(self) -> int:
+    def incarnation(self) -> int:
         """Incarnation of the target: start time of its process, by its own clock; 0 if unknown."""
         return self.age_mark[0]
 
