--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -174,7 +174,7 @@
             return False  # this daemon has already read newer targets
         self.note_era(reply.era)
         self._leader_incarnation, self._last_change = reply.life, reply.change
-        self.directory.take(
+        self.directory.apply(
             TargetChanges(reply.whole, reply.entries, reply.removed, reply.position)
         )
         if reply.age_s is not None:
--- a/ferrydock/relay/_server.py
+++ b/ferrydock/relay/_server.py
@@ -218,9 +218,13 @@
         while the leader's lease lasts 1.8 s.
         """
         if request.life == self.incarnation:
-            return self.directory.changed_since(request.change)
+            return self.directory.ids_changed_since(request.change)
         known_position = decode_known_position(request.life)
-        return self.directory.changed_after(known_position) if known_position is not None else None
+        return (
+            self.directory.ids_changed_after_position(known_position)
+            if known_position is not None
+            else None
+        )
 
     def _configuration_for(self, request: UpdateRequest) -> str:
         """Return the encoded configuration, or "" if the follower has it."""
--- a/ferrydock/relay/tests/test_relay.py
+++ b/ferrydock/relay/tests/test_relay.py
@@ -188,9 +188,11 @@
 def test_a_follower_of_another_leader_gets_only_the_changes_after_its_position():
     async def scenario():
         async with LeaderAndFollower() as pair:
-            pair.directory.take(TargetChanges(True, (target("a"), target("b")), (), Position(0, 7)))
+            pair.directory.apply(
+                TargetChanges(True, (target("a"), target("b")), (), Position(0, 7))
+            )
             assert await pair.client.pull(pair.address)
-            pair.directory.take(TargetChanges(False, (target("c"),), ("b",), Position(0, 9)))
+            pair.directory.apply(TargetChanges(False, (target("c"),), ("b",), Position(0, 9)))
             # The next leader is another process, which numbers its changes differently.
             await pair.client.close()
             pair.server.incarnation = "another"
@@ -208,7 +210,7 @@
 
 def test_a_follower_with_a_list_older_than_the_leaders_changes_gets_the_complete_list():
     pair = LeaderAndFollower()
-    pair.directory.take(TargetChanges(True, (target("a"),), (), Position(0, 7)))
+    pair.directory.apply(TargetChanges(True, (target("a"),), (), Position(0, 7)))
     assert pair.server.reply_to(UpdateRequest("@6", 0, -1)).whole
     assert not pair.server.reply_to(UpdateRequest("@7", 0, -1)).whole
     assert pair.server.reply_to(UpdateRequest("@x", 0, -1)).whole
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -240,7 +240,7 @@
     def _apply_changes(self, changes: TargetChanges, requested_s: float) -> None:
         """Apply changes requested at local time `requested_s` unless the known list is newer."""
         if changes.position >= self.directory.position:
-            self.directory.take(changes)
+            self.directory.apply(changes)
             self.directory.confirmation.confirm(requested_s)
 
     async def _wait_for_leader(self) -> None:
--- a/ferrydock/targets/_directory.py
+++ b/ferrydock/targets/_directory.py
@@ -119,7 +119,7 @@
         self._changes_complete_after = self.position
         self._record_change()
 
-    def take(self, changes: TargetChanges) -> None:
+    def apply(self, changes: TargetChanges) -> None:
         """Apply a change that the source reports, either the whole list or a delta."""
         is_new_era = self.loaded and changes.position.era > self.position.era
         self.position = max(self.position, changes.position)
@@ -150,7 +150,7 @@
         """Return the seconds since the list was certainly complete; infinite if it never was."""
         return self.confirmation.age_s(now_s)
 
-    def changed_since(self, change: int) -> tuple[str, ...] | None:
+    def ids_changed_since(self, change: int) -> tuple[str, ...] | None:
         """Return the ids that changed after change number `change`; None if it is too old."""
         behind = self.changes - change
         if behind < 0 or behind > len(self._changed_ids):
@@ -158,7 +158,7 @@
         recent = list(self._changed_ids)
         return tuple(dict.fromkeys(recent[len(recent) - behind :]))
 
-    def changed_after(self, position: Position) -> tuple[str, ...] | None:
+    def ids_changed_after_position(self, position: Position) -> tuple[str, ...] | None:
         """Return the ids that changed after a position of the source; None if it is too old.
 
         For a daemon that followed another daemon's list before: the two number their changes
--- a/ferrydock/targets/tests/test_leaving.py
+++ b/ferrydock/targets/tests/test_leaving.py
@@ -10,7 +10,7 @@
 
 def directory_with(entry=ENTRY):
     directory = TargetDirectory()
-    directory.take(TargetChanges(True, (entry,), (), Position(0, 1)))
+    directory.apply(TargetChanges(True, (entry,), (), Position(0, 1)))
     return directory
 
 
@@ -19,11 +19,11 @@
     changes = directory.changes
     directory.note_leaving("t", 7)
     assert directory.of_service("s") == [] and directory.changes == changes + 1
-    directory.take(TargetChanges(True, (ENTRY,), (), Position(0, 2)))
-    directory.take(TargetChanges(False, (replace(ENTRY, age_mark=(7, 9)),), (), Position(0, 3)))
+    directory.apply(TargetChanges(True, (ENTRY,), (), Position(0, 2)))
+    directory.apply(TargetChanges(False, (replace(ENTRY, age_mark=(7, 9)),), (), Position(0, 3)))
     assert directory.of_service("s") == []
     directory.remove("t")
-    directory.take(TargetChanges(True, (ENTRY,), (), Position(0, 4)))
+    directory.apply(TargetChanges(True, (ENTRY,), (), Position(0, 4)))
     assert directory.of_service("s") == []
 
 
--- a/ferrydock/targets/tests/test_older_lists.py
+++ b/ferrydock/targets/tests/test_older_lists.py
@@ -20,9 +20,9 @@
 
 def known_list():
     directory = TargetDirectory()
-    directory.take(whole(0, 100, entry("leaving", 5), entry("gone", 5), entry("member", 5)))
+    directory.apply(whole(0, 100, entry("leaving", 5), entry("gone", 5), entry("member", 5)))
     open_member = Membership("g", 7, 0, ReplicaState.OPEN)
-    directory.take(
+    directory.apply(
         change(
             0,
             900,
@@ -40,7 +40,7 @@
 
 def test_an_older_copy_neither_undoes_a_leave_nor_adds_a_removed_target():
     directory = known_list()
-    directory.take(whole(1, 40, *COPY))
+    directory.apply(whole(1, 40, *COPY))
     assert directory.targets["leaving"].draining
     assert "gone" not in directory.targets
     assert directory.targets["member"].membership is not None, "it is in a replica, not idle"
@@ -51,10 +51,10 @@
 
 def test_new_entries_are_applied_and_the_next_whole_list_replaces_kept_entries():
     directory = known_list()
-    directory.take(whole(1, 40, *COPY))
-    directory.take(change(1, 44, entry("member", 11)))
+    directory.apply(whole(1, 40, *COPY))
+    directory.apply(change(1, 44, entry("member", 11)))
     assert directory.targets["member"].membership is None
-    directory.take(whole(1, 60, entry("leaving", 10), entry("member", 11), entry("gone", 8)))
+    directory.apply(whole(1, 60, entry("leaving", 10), entry("member", 11), entry("gone", 8)))
     assert not directory.targets["leaving"].draining, "its own newer word"
     assert set(directory.targets) == {"leaving", "member"}, "new did not come again, gone is dead"
     assert not directory.is_provisional
@@ -62,21 +62,21 @@
 
 def test_a_target_whose_entry_had_only_expired_returns_with_its_next_entry():
     directory = known_list()
-    directory.take(whole(1, 40, *COPY))
-    directory.take(change(1, 45, entry("gone", 9)))
+    directory.apply(whole(1, 40, *COPY))
+    directory.apply(change(1, 45, entry("gone", 9)))
     assert "gone" in directory.targets
 
 
 def test_a_restart_under_the_same_id_is_newer_whatever_its_number_of_entries():
     directory = known_list()
     again = Target("leaving", "s", "127.0.0.1:1", "h", 1, age_mark=(2, 1))
-    directory.take(whole(1, 40, again))
+    directory.apply(whole(1, 40, again))
     assert not directory.targets["leaving"].draining
 
 
 def test_a_position_of_an_older_era_requires_the_whole_list():
     directory = known_list()
-    assert directory.changed_after(Position(0, 850)) is not None
-    directory.take(whole(1, 40, *COPY))
-    assert directory.changed_after(Position(0, 900)) is None
-    assert directory.changed_after(Position(1, 40)) == ()
+    assert directory.ids_changed_after_position(Position(0, 850)) is not None
+    directory.apply(whole(1, 40, *COPY))
+    assert directory.ids_changed_after_position(Position(0, 900)) is None
+    assert directory.ids_changed_after_position(Position(1, 40)) == ()
