--- a/ferrydock/platform/_targets.py
+++ b/ferrydock/platform/_targets.py
@@ -34,25 +34,25 @@
     ----------
     store : PlatformStore
         Where the list lies.
-    gather_s : float
+    batch_window_s : float
         Pause after each answer, so that changes which come together cost one call.
     """
 
-    __slots__ = ("_store", "gather_s")
+    __slots__ = ("_store", "batch_window_s")
 
-    def __init__(self, store: PlatformStore, gather_s: float):
+    def __init__(self, store: PlatformStore, batch_window_s: float):
         self._store = store
-        self.gather_s = gather_s
+        self.batch_window_s = batch_window_s
 
     async def follow(
-        self, since: Position | None = None
+        self, known_position: Position | None = None
     ) -> AsyncIterator[TargetChanges | Unavailable]:
         """Yield the whole list, then changes; read the list again where history was dropped.
 
         A daemon that lost its leader and knows the list up to a position asks only for what came
         after it, and not for an entry of each worker.
         """
-        known = since
+        known = known_position
         found: TargetChanges | HistoryGone | Unavailable
         while True:
             if known is None:
@@ -67,9 +67,9 @@
                 # After an answer and not before the first question: a daemon that has lost its
                 # leader learns 0.4 s sooner what it has missed.
                 known = found.position
-                await asyncio.sleep(self.gather_s)
+                await asyncio.sleep(self.batch_window_s)
 
-    async def changes_since(self, known: Position) -> TargetChanges | Unavailable:
+    async def changes_after(self, known: Position) -> TargetChanges | Unavailable:
         """Ask once for what changed after a position; the whole list if its history is gone."""
         found = await self._changes_after(known, 0)
         return await self._whole_list() if isinstance(found, HistoryGone) else found
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -70,12 +70,12 @@
 
 # How long changes of the target list may be batched before one store call returns them: shorter
 # while this daemon forms or dissolves replicas, because each step waits for a change.
-GATHER_WHILE_CONTROLLING_S = 0.2
-GATHER_S = 0.4
+BATCH_WHILE_CONTROLLING_S = 0.2
+BATCH_S = 0.4
 
 # The same while a new era of the store settles: all targets rewrite their entries, and every daemon
 # reads them itself because no hall has a leader yet.
-GATHER_SETTLING_S = 1.0
+BATCH_SETTLING_S = 1.0
 
 # Width of the random number of the first slot grant: wide enough that two leaders of a hall do not
 # use the same numbers.
@@ -429,10 +429,10 @@
     async def _set_gather_time(self) -> None:
         """Batch changes of the target list for less time while this daemon forms replicas."""
         is_controlling = any(controller.is_acting for controller in self.controllers)
-        gather_s = GATHER_WHILE_CONTROLLING_S if is_controlling else GATHER_S
+        batch_window_s = BATCH_WHILE_CONTROLLING_S if is_controlling else BATCH_S
         if not self.settling.is_settled():
-            gather_s = GATHER_SETTLING_S
-        self.deployment.target_source.gather_s = gather_s
+            batch_window_s = BATCH_SETTLING_S
+        self.deployment.target_source.batch_window_s = batch_window_s
 
     async def _poll_remote_halls(self) -> None:
         """Fetch in-flight counts from other halls while this daemon schedules its hall.
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -203,7 +203,7 @@
         ahead_for_s = self.directory.confirmation.ahead_for_s(now_s)
         if not self.directory.loaded or ahead_for_s is None or now_s < self._next_check_s:
             return False
-        waited_s = now_s - self._wait_began_s - self.deployment.target_source.gather_s
+        waited_s = now_s - self._wait_began_s - self.deployment.target_source.batch_window_s
         return min(ahead_for_s, waited_s) >= UNANSWERED_S
 
     async def _fetch_missed_changes(self) -> bool:
@@ -217,7 +217,7 @@
             return False
         known = self.directory.position
         ahead_for_s = self.directory.confirmation.ahead_for_s(now_s)
-        changes = await self.deployment.target_source.changes_since(known)
+        changes = await self.deployment.target_source.changes_after(known)
         if isinstance(changes, Unavailable):
             log_event(_LOG, logging.WARNING, "targets_unavailable", why=changes.reason, beside=True)
             self._next_check_s = self.clock.now_s() + self._failure_pause_s(self._check_backoff)
--- a/ferrydock/route_daemon/tests/test_store_follower.py
+++ b/ferrydock/route_daemon/tests/test_store_follower.py
@@ -37,12 +37,12 @@
 
     def __init__(self, store):
         self.store = store
-        self.gather_s = 0.2
+        self.batch_window_s = 0.2
         self.watches = 0
         self.list_duration_s = CALL_S
 
-    async def follow(self, since=None):
-        if since is None:
+    async def follow(self, known_position=None):
+        if known_position is None:
             await asyncio.sleep(self.list_duration_s)
             yield TargetChanges(True, (target(False),), (), Position(0, self.store.revision))
         while True:
@@ -50,7 +50,7 @@
             await asyncio.sleep(WATCH_TIMEOUT_S)
             yield Unavailable("no answer")
 
-    async def changes_since(self, known):
+    async def changes_after(self, known):
         self.store.change_requests += 1
         return await self.store.call(
             lambda: TargetChanges(
@@ -350,8 +350,8 @@
         position = Position(self.store.era, self.store.revision)
         return TargetChanges(True, (target(False),), (), position)
 
-    async def follow(self, since=None):
-        era = since.era if since is not None else None
+    async def follow(self, known_position=None):
+        era = known_position.era if known_position is not None else None
         while True:
             if era != self.store.era:
                 self.list_reads += 1
@@ -360,7 +360,7 @@
                 yield self.full_list()
             await asyncio.sleep(0.1)
 
-    async def changes_since(self, known):
+    async def changes_after(self, known):
         return TargetChanges(False, (), (), known)
 
 
--- a/ferrydock/standins/fleet/_ports.py
+++ b/ferrydock/standins/fleet/_ports.py
@@ -111,7 +111,9 @@
             3 * self.heartbeat_s, self._queue.put_nowait, (worker.worker_id, None)
         )
 
-    async def follow(self, since: int | None = None) -> AsyncIterator[TargetChanges | Unavailable]:
+    async def follow(
+        self, known_position: int | None = None
+    ) -> AsyncIterator[TargetChanges | Unavailable]:
         yield TargetChanges(True, ())
         while True:
             news = [await self._queue.get()]
--- a/ferrydock/targets/_ports.py
+++ b/ferrydock/targets/_ports.py
@@ -50,28 +50,30 @@
 
     Attributes
     ----------
-    gather_s : float
+    batch_window_s : float
         How long changes may be collected, in seconds, before they are reported together.
     """
 
-    gather_s: float
+    batch_window_s: float
 
-    def follow(self, since: Position | None = None) -> AsyncIterator[TargetChanges | Unavailable]:
+    def follow(
+        self, known_position: Position | None = None
+    ) -> AsyncIterator[TargetChanges | Unavailable]:
         """Yield the whole list, then its changes; the whole list again if changes were lost.
 
         An empty change means that nothing changed up to its position. Each change is requested
         after the caller has taken the one before, and is no older than that.
 
-        With `since`, a position up to which the caller knows the list, yields only the changes
-        after it.
+        With `known_position`, a position up to which the caller knows the list, yields only the
+        changes after it.
 
         Yields `Unavailable` for each call to the source that failed; the call is repeated when the
         caller asks for the next change.
 
-        The source may stop reporting for good without an error; only `changes_since` detects this.
+        The source may stop reporting for good without an error; only `changes_after` detects this.
         """
 
-    async def changes_since(self, known: Position) -> TargetChanges | Unavailable:
+    async def changes_after(self, known: Position) -> TargetChanges | Unavailable:
         """Request the changes after a position, without waiting; the whole list if too old."""
 
 
