--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -357,7 +357,7 @@
 
             def counted():
                 now_s = site.nodes[0].clock.now_s()
-                return [node.daemon_counter.daemons(now_s) for node in site.nodes] == sizes
+                return [node.daemon_counter.daemon_count(now_s) for node in site.nodes] == sizes
 
             await site.until(counted)
             for node in site.nodes:
--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -113,7 +113,7 @@
         self._last_change = 0
         self._last_configuration_s = float("-inf")
 
-    async def pull(self, address: str) -> bool:
+    async def poll(self, address: str) -> bool:
         """Poll the leader once; return whether its reply suffices without reading the store."""
         if address != self._address:
             await self.close()
@@ -150,7 +150,7 @@
                 await asyncio.sleep(CONFIGURATION_PAUSE_S)
         return is_sufficient
 
-    async def ask_leader(self, address: str, method: str, data: bytes) -> bytes | None:
+    async def call_leader(self, address: str, method: str, data: bytes) -> bytes | None:
         """Call another method of the leader; return its reply, or None if there was none."""
         return await self._calls.call(address, method, data, REPLY_TIMEOUT_S)
 
--- a/ferrydock/relay/_daemon_counter.py
+++ b/ferrydock/relay/_daemon_counter.py
@@ -30,13 +30,13 @@
     Examples
     --------
     >>> counter = DaemonCounter()
-    >>> counter.daemons(now_s=0.0)
+    >>> counter.daemon_count(now_s=0.0)
     16
     >>> counter.record_request("edge-2", now_s=0.0); counter.record_request("edge-3", now_s=3.0)
-    >>> counter.count_followers(now_s=3.5), counter.count_followers(now_s=5.0)
+    >>> counter.count_daemons(now_s=3.5), counter.count_daemons(now_s=5.0)
     (3, 2)
     >>> counter.receive(3, now_s=5.0); counter.receive(2, now_s=9.0)
-    >>> [counter.daemons(now_s) for now_s in (10.0, 21.0, 99.0)]
+    >>> [counter.daemon_count(now_s) for now_s in (10.0, 21.0, 99.0)]
     [3, 2, 2]
     """
 
@@ -51,7 +51,7 @@
         if sender:
             self._last_request_s[sender] = now_s
 
-    def count_followers(self, now_s: float) -> int:
+    def count_daemons(self, now_s: float) -> int:
         """Return the number of followers that poll this daemon, plus one for this daemon."""
         for sender in [
             s
@@ -67,7 +67,7 @@
             self._received_counts.pop()
         self._received_counts.append((now_s, daemons))
 
-    def daemons(self, now_s: float) -> int:
+    def daemon_count(self, now_s: float) -> int:
         """Return the number of daemons among which limits of the hall are divided."""
         while (
             len(self._received_counts) > 1
--- a/ferrydock/relay/_server.py
+++ b/ferrydock/relay/_server.py
@@ -185,7 +185,7 @@
             configuration=self._configuration_for(request),
             age_s=age_s if age_s != float("inf") else None,
             broken=self.broken.to_report(now_s),
-            daemons=self.daemon_counter.count_followers(now_s),
+            daemons=self.daemon_counter.count_daemons(now_s),
             crashes=self.crashes.reply_update(request.crashes, repeated_only=True),
         )
 
--- a/ferrydock/relay/tests/test_relay.py
+++ b/ferrydock/relay/tests/test_relay.py
@@ -57,14 +57,14 @@
 def test_a_follower_receives_target_list_configuration_and_its_age():
     async def scenario():
         async with LeaderAndFollower() as pair:
-            assert await pair.client.pull(pair.address)
+            assert await pair.client.poll(pair.address)
             assert set(pair.follower_directory.targets) == {"a", "b"}
             assert pair.follower_directory.position == Position(0, 7)
             assert pair.follower_current.version == 3
             assert pair.follower_current.age_s(5.0) == 0.5
             pair.directory.put(target("a", draining=True))
             pair.directory.remove("b")
-            assert await pair.client.pull(pair.address)
+            assert await pair.client.poll(pair.address)
             assert list(pair.follower_directory.targets) == ["a"]
             assert pair.follower_directory.targets["a"].draining
 
@@ -75,7 +75,7 @@
     async def scenario():
         async with LeaderAndFollower() as pair:
             pair.follower_current.offer(configuration(8), None)
-            await pair.client.pull(pair.address)
+            await pair.client.poll(pair.address)
             assert pair.follower_current.version == 8
             assert pair.follower_current.confirmed_s is None
 
@@ -87,7 +87,7 @@
         async with LeaderAndFollower() as pair:
             pair.follower_directory.replace([target("c")])
             pair.follower_directory.position = Position(0, 9)
-            assert not await pair.client.pull(pair.address)
+            assert not await pair.client.poll(pair.address)
             assert list(pair.follower_directory.targets) == ["c"]
 
     run_scenario(scenario)
@@ -97,12 +97,12 @@
     async def scenario():
         async with LeaderAndFollower() as pair:
             pair.serves = False
-            assert not await pair.client.pull(pair.address)
+            assert not await pair.client.poll(pair.address)
             pair.serves = True
             pair.clock.advance(1.0)  # last confirmed 1.5 s ago
-            assert not await pair.client.pull(pair.address)
+            assert not await pair.client.poll(pair.address)
             await pair.server.close()
-            assert not await pair.client.pull(pair.address)
+            assert not await pair.client.poll(pair.address)
 
     run_scenario(scenario)
 
@@ -111,7 +111,7 @@
     async def scenario():
         async with LeaderAndFollower() as pair:
             pair.current.confirm(3, 1000.0)
-            assert await pair.client.pull(pair.address)
+            assert await pair.client.poll(pair.address)
             assert round(pair.follower_directory.age_s(5.0), 6) == 0.4
             assert round(pair.follower_current.age_s(5.0), 6) == 0.4
 
@@ -123,10 +123,10 @@
         async with LeaderAndFollower() as pair:
             pair.clock.advance(0.9)
             pair.current.confirm(3, pair.clock.now_s())
-            assert not await pair.client.pull(pair.address)
+            assert not await pair.client.poll(pair.address)
             assert round(pair.follower_directory.age_s(5.0), 6) == 1.3
             pair.serves = False
-            assert not await pair.client.pull(pair.address)
+            assert not await pair.client.poll(pair.address)
             assert pair.follower_current.age_s(5.0) == 0.0
 
     run_scenario(scenario)
@@ -136,7 +136,7 @@
     async def scenario():
         async with LeaderAndFollower() as pair:
             pair.directory.confirmation.confirmed_s = None
-            assert not await pair.client.pull(pair.address)
+            assert not await pair.client.poll(pair.address)
             assert pair.follower_directory.confirmation.confirmed_s is None
 
     run_scenario(scenario)
@@ -159,15 +159,15 @@
             received_by_leader, received_by_follower = [], []
             pair.server.broken.on_received = received_by_leader.append
             pair.client.broken.on_received = received_by_follower.append
-            assert await pair.client.pull(pair.address)
+            assert await pair.client.poll(pair.address)
             pair.client.broken.note(("g1", 3), pair.follower_clock.now_s())
-            pulling = asyncio.ensure_future(pair.client.pull(pair.address))
+            polling = asyncio.ensure_future(pair.client.poll(pair.address))
             await asyncio.sleep(0.1)
             assert received_by_leader == [("g1", 3)]
             pair.server.broken.note(
                 ("g2", 4), pair.clock.now_s()
             )  # the clock stands still, so the delay cannot expire
-            assert await asyncio.wait_for(pulling, 2.0)
+            assert await asyncio.wait_for(polling, 2.0)
             assert received_by_follower == [("g2", 4)]
 
     run_scenario(scenario)
@@ -178,9 +178,9 @@
         async with LeaderAndFollower() as pair:
             pair.client.name = "edge-2"
             pair.server.daemon_counter.record_request("edge-3", 1000.0)
-            assert await pair.client.pull(pair.address)
-            assert pair.client.daemon_counter.daemons(5.0) == 3
-            assert pair.server.daemon_counter.count_followers(1000.0) == 3
+            assert await pair.client.poll(pair.address)
+            assert pair.client.daemon_counter.daemon_count(5.0) == 3
+            assert pair.server.daemon_counter.count_daemons(1000.0) == 3
 
     run_scenario(scenario)
 
@@ -191,7 +191,7 @@
             pair.directory.apply(
                 TargetChanges(True, (target("a"), target("b")), (), Position(0, 7))
             )
-            assert await pair.client.pull(pair.address)
+            assert await pair.client.poll(pair.address)
             pair.directory.apply(TargetChanges(False, (target("c"),), ("b",), Position(0, 9)))
             # The next leader is another process, which numbers its changes differently.
             await pair.client.close()
@@ -201,7 +201,7 @@
             )
             assert not reply.whole
             assert [entry.target_id for entry in reply.entries] == ["c"]
-            assert await pair.client.pull(pair.address)
+            assert await pair.client.poll(pair.address)
             assert set(pair.follower_directory.targets) == {"a", "c"}
             assert pair.follower_directory.position == Position(0, 9)
 
--- a/ferrydock/route_daemon/_own_leadership.py
+++ b/ferrydock/route_daemon/_own_leadership.py
@@ -164,7 +164,7 @@
         """
         failed_pulls = 0
         while self.leader_address and not self.is_leader and failed_pulls < MAX_FAILED_PULLS:
-            if await self.relay.pull(self.leader_address):
+            if await self.relay.poll(self.leader_address):
                 failed_pulls = 0
                 self.relayed_until_s = self.clock.now_s() + RELAY_VALID_S + self.extra_valid_s
                 await self._offer_to_lead()
@@ -191,7 +191,7 @@
         if isinstance(await self.store.range(self.key), Unavailable):
             return  # without the store this daemon could not acquire the lease
         offer = str(cores).encode()
-        answer = await self.relay.ask_leader(self.leader_address, OFFER_METHOD, offer)
+        answer = await self.relay.call_leader(self.leader_address, OFFER_METHOD, offer)
         self._is_offer_accepted = answer == ACCEPTED
         log_event(
             _LOG,
--- a/ferrydock/route_daemon/_site_daemons.py
+++ b/ferrydock/route_daemon/_site_daemons.py
@@ -26,10 +26,10 @@
 
     def count(self) -> int:
         """Return the estimated number of daemons of the site."""
-        return len(self.settings.current.halls) * self.counter.daemons(self.clock.now_s())
+        return len(self.settings.current.halls) * self.counter.daemon_count(self.clock.now_s())
 
     def refresh(self, leadership: OwnHallLeadership) -> None:
         """Count the followers if this daemon leads; followers receive the count from it."""
         if leadership.lease.is_valid:
             now_s = self.clock.now_s()
-            self.counter.receive(self.counter.count_followers(now_s), now_s)
+            self.counter.receive(self.counter.count_daemons(now_s), now_s)
