--- a/ferrydock/configuration/_current.py
+++ b/ferrydock/configuration/_current.py
@@ -37,7 +37,7 @@
         """The version in force; -1 before the first."""
         return -1 if self.lookup is None else self.lookup.configuration.version
 
-    def offer(self, configuration: Configuration, confirmed_s: float | None) -> bool:
+    def apply_if_newer(self, configuration: Configuration, confirmed_s: float | None) -> bool:
         """Put a configuration in force if it is newer; return whether it is newer.
 
         Parameters
--- a/ferrydock/configuration/_source.py
+++ b/ferrydock/configuration/_source.py
@@ -33,18 +33,18 @@
 
     Attributes
     ----------
-    found : Configuration, ConfigurationUnchanged or ConfigurationUnreadable
+    result : Configuration, ConfigurationUnchanged or ConfigurationUnreadable
         The newest configuration, or why there is none.
     store_position : Position
         Position of the store, no earlier than the start of the call; revision 0 if the answer does
         not contain it. Data with all changes up to it is complete as of the start of the call.
-    written : Position
+    written_position : Position
         Position at which the value was written; revision 0 if there is no value.
     """
 
-    found: Configuration | ConfigurationUnchanged | ConfigurationUnreadable
+    result: Configuration | ConfigurationUnchanged | ConfigurationUnreadable
     store_position: Position = Position()
-    written: Position = Position()
+    written_position: Position = Position()
 
 
 class ConfigurationSource(Protocol):
--- a/ferrydock/forwarding/tests/rig.py
+++ b/ferrydock/forwarding/tests/rig.py
@@ -171,7 +171,9 @@
         )
 
     async def __aenter__(self):
-        self.current.offer(self.configuration, self.clock.now_s() if self.is_confirmed else None)
+        self.current.apply_if_newer(
+            self.configuration, self.clock.now_s() if self.is_confirmed else None
+        )
         for number, target in enumerate(self.targets):
             await target.start()
             entry = Target(f"t{number}", "plain", target.address, "hall-a", 6)
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -94,7 +94,7 @@
             assert (await rig.ask(headers=("Authorization: Bearer no",))).startswith(
                 b"HTTP/1.1 401"
             )
-            rig.current.offer(Configuration(2, tuple(private), {}, TENANTS), None)
+            rig.current.apply_if_newer(Configuration(2, tuple(private), {}, TENANTS), None)
             assert (await rig.ask(headers=key)).startswith(b"HTTP/1.1 503")
 
     play(scenario)
--- a/ferrydock/gateway/_routes.py
+++ b/ferrydock/gateway/_routes.py
@@ -132,7 +132,7 @@
         """Put a revision of the table in force."""
         self.ratio = view.site.retry_budget_ratio
         self.directory.replace(targets_of(view))
-        self.current.offer(configuration_of(view), now_s)
+        self.current.apply_if_newer(configuration_of(view), now_s)
 
     async def start(self, listen: str) -> str:
         """Begin to listen; return the address."""
--- a/ferrydock/platform/tests/test_store_eras.py
+++ b/ferrydock/platform/tests/test_store_eras.py
@@ -138,16 +138,16 @@
         copy = site.store.copy()
         site.write_configuration()
         first = await source.read()
-        assert isinstance((await source.read()).found, ConfigurationUnchanged)
+        assert isinstance((await source.read()).result, ConfigurationUnchanged)
         site.store.come_back_older(copy)
         site.write_configuration()
         second = await source.read()
         while isinstance(second, Unavailable):  # the call that noticed it
             second = await source.read()
-        assert isinstance(second.found, Configuration)
-        assert second.found.version > first.found.version
-        assert second.written.revision == first.written.revision
-        assert second.written > first.written
+        assert isinstance(second.result, Configuration)
+        assert second.result.version > first.result.version
+        assert second.written_position.revision == first.written_position.revision
+        assert second.written_position > first.written_position
         await store.close()
         await site.close()
 
--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -186,7 +186,7 @@
         if reply.configuration:
             decoded = self.decode(reply.configuration.encode())
             if isinstance(decoded, Configuration):
-                self.current.offer(decoded, None)
+                self.current.apply_if_newer(decoded, None)
             else:
                 log_event(_LOG, logging.ERROR, "configuration_unreadable", why=decoded.reason)
         if reply.age_s is not None:
--- a/ferrydock/relay/tests/test_relay.py
+++ b/ferrydock/relay/tests/test_relay.py
@@ -42,7 +42,7 @@
         self.directory.replace([target("a"), target("b")])
         self.directory.position = Position(0, 7)
         self.directory.confirmation.confirm(999.6)
-        self.current.offer(configuration(3), 999.5)
+        self.current.apply_if_newer(configuration(3), 999.5)
         return self
 
     async def __aexit__(self, *error):
@@ -74,7 +74,7 @@
 def test_an_older_version_neither_replaces_nor_confirms_a_newer_one():
     async def scenario():
         async with LeaderAndFollower() as pair:
-            pair.follower_current.offer(configuration(8), None)
+            pair.follower_current.apply_if_newer(configuration(8), None)
             await pair.client.poll(pair.address)
             assert pair.follower_current.version == 8
             assert pair.follower_current.confirmed_s is None
--- a/ferrydock/replicas/tests/hall.py
+++ b/ferrydock/replicas/tests/hall.py
@@ -25,7 +25,7 @@
         self.fleet = Fleet(two_models(), self.rng)
         self.current = CurrentConfiguration()
         services = {"engines": ServiceSpec("engines", 100, two_models())}
-        self.current.offer(Configuration(1, (), services, ()), 0.0)
+        self.current.apply_if_newer(Configuration(1, (), services, ()), 0.0)
         for domain in range(domains):
             for number in range(workers):
                 self.fleet.add(f"w{domain}-{number}", "hall-a", f"d{domain}")
--- a/ferrydock/replicas/tests/test_services.py
+++ b/ferrydock/replicas/tests/test_services.py
@@ -13,11 +13,11 @@
         services = {**hall.current.lookup.configuration.services}
         # Replaces the service that the hall's targets belong to.
         empty = ServiceSpec("engines", 100, EngineSpec(9, 5.0, ()))
-        hall.current.offer(Configuration(2, (), {"engines": empty}, ()), 0.0)
+        hall.current.apply_if_newer(Configuration(2, (), {"engines": empty}, ()), 0.0)
         hall.start_controller()
         await asyncio.sleep(5.0)
         assert not hall.task.done()
-        hall.current.offer(Configuration(3, (), services, ()), 0.0)
+        hall.current.apply_if_newer(Configuration(3, (), services, ()), 0.0)
         assert await hall.until(lambda: hall.models() == {"large": 2, "small": 4}, 60.0)
 
     run_virtually(scenario())
@@ -50,11 +50,11 @@
         third = ModelSpec("third", 2, 0.5, 1.0, 0.2)
         engine = EngineSpec(9, 5.0, (*both, third))
         services = {"engines": ServiceSpec("engines", 100, engine)}
-        hall.current.offer(Configuration(2, (), services, ()), 0.0)
+        hall.current.apply_if_newer(Configuration(2, (), services, ()), 0.0)
         await asyncio.sleep(5.0)
         assert not hall.task.done()
         assert "third" in hall.controller.planner.weights("engines", engine)
-        hall.current.offer(Configuration(3, (), with_models("small"), ()), 0.0)
+        hall.current.apply_if_newer(Configuration(3, (), with_models("small"), ()), 0.0)
         await asyncio.sleep(5.0)
         assert not hall.task.done()
 
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -259,11 +259,11 @@
 
     def _apply_configuration(self, read: ConfigurationRead, began_s: float) -> None:
         """Apply the result of a read; `began_s` is the local time at which the call began."""
-        found = read.found
+        found = read.result
         confirmed_s = began_s if self._is_newest(read) else None
         if isinstance(found, Configuration):
             self._last_read_version = found.version
-            self.current.offer(found, confirmed_s)
+            self.current.apply_if_newer(found, confirmed_s)
             self.on_change()
         elif isinstance(found, ConfigurationUnchanged):
             self.current.confirm(self._last_read_version, confirmed_s)
@@ -279,7 +279,7 @@
         """
         if read.store_position.era != self._first_position_in_era.era:
             self._first_position_in_era = read.store_position
-        return self.settling.is_settled() or read.written > self._first_position_in_era
+        return self.settling.is_settled() or read.written_position > self._first_position_in_era
 
     async def _read_targets(self) -> None:
         """Apply what the target source yields until it ends; the caller restarts it."""
