--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -12,7 +12,7 @@
 from ferrydock.clock import ManualClock
 from ferrydock.configuration import EngineSpec, ModelSpec
 from ferrydock.replicas import ControllerSettings, HallPlanner, HallState, observed_replicas
-from ferrydock.replicas._controller import FOLLOW_DEMAND_EVERY_S
+from ferrydock.replicas._controller import DEMAND_CHECK_INTERVAL_S
 from ferrydock.scheduling import DemandMeter
 from ferrydock.targets import Membership, ReplicaState, Target, TargetDirectory
 
@@ -75,9 +75,9 @@
     began_s = time.process_time()
     for number in range(rounds):
         clock.advance(1 / ROUNDS_PER_S)
-        if number % int(FOLLOW_DEMAND_EVERY_S * ROUNDS_PER_S) == 0:
+        if number % int(DEMAND_CHECK_INTERVAL_S * ROUNDS_PER_S) == 0:
             asked_s = time.process_time()
-            planner.turn_over("engines", targets, replicas, spec)
+            planner.next_reassignment("engines", targets, replicas, spec)
             planner.plan("engines", targets, spec)
             demand_s += time.process_time() - asked_s
         planner.formations("engines", targets, replicas, spec)
--- a/ferrydock/hall/_controller.py
+++ b/ferrydock/hall/_controller.py
@@ -198,7 +198,7 @@
         else:
             self.mode = ControllerMode.FOLLOWER
 
-    async def stand_down(self) -> None:
+    async def step_down(self) -> None:
         """Release the lease before a planned stop."""
         self.mode = ControllerMode.FOLLOWER
         await self.lease.release()
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -249,7 +249,7 @@
         for listener in listeners:
             listener.announce_stop()
         self.state.members.change_own(self.clock.now_s(), stopping=True)
-        await self.controller.stand_down()
+        await self.controller.step_down()
         within_s = None
         if settings.stop_longest_s is not None:
             within_s = settings.stop_readiness_s + settings.stop_longest_s
--- a/ferrydock/replicas/_controller.py
+++ b/ferrydock/replicas/_controller.py
@@ -35,7 +35,7 @@
 STAGE_ORDER_TIMEOUT_S = 2.0
 
 # Interval between two evaluations of the demand, whose average decays over 5 s.
-FOLLOW_DEMAND_EVERY_S = 0.5
+DEMAND_CHECK_INTERVAL_S = 0.5
 
 # Hexadecimal digits in the name of a replica: enough to keep the names in a hall distinct.
 REPLICA_NAME_DIGITS = 8
@@ -100,18 +100,18 @@
         self._tasks: set[asyncio.Task] = set()
         self._reported_all_dead: set[tuple[str, int]] = set()
         self.plans: dict[str, HallPlan] = {}
-        self._demand_checked_s = -FOLLOW_DEMAND_EVERY_S
+        self._demand_checked_s = -DEMAND_CHECK_INTERVAL_S
 
     @property
     def is_acting(self) -> bool:
         """Whether the daemon leads the hall and controller tasks are running."""
         return self.lease.is_valid and bool(self._tasks)
 
-    def suspect(self, target_ids: Iterable[str], reason: str) -> None:
+    def mark_suspected(self, target_ids: Iterable[str], reason: str) -> None:
         """Suspect targets, which did not answer a request for a report, for `SUSPICION_S`."""
         self.state.suspect(target_ids, reason)
 
-    def stand_down(self) -> None:
+    def step_down(self) -> None:
         """Cancel all tasks and clear the state, after the lease was lost or released."""
         for task in list(self._tasks):
             task.cancel()
@@ -130,7 +130,7 @@
         if not await self.record.read():
             return
         now_s = self.clock.now_s()
-        is_demand_due = now_s - self._demand_checked_s >= FOLLOW_DEMAND_EVERY_S
+        is_demand_due = now_s - self._demand_checked_s >= DEMAND_CHECK_INTERVAL_S
         if is_demand_due:
             self._demand_checked_s = now_s
         for service in self.current.engine_services():
@@ -181,10 +181,10 @@
         engine: EngineSpec,
     ) -> None:
         """Dissolve a replica if another model needs its targets; remove it from `staying`."""
-        turn_over = self.planner.turn_over(service, targets, staying, engine)
-        if turn_over is not None:
-            self._begin_reassignment(turn_over, service)
-            staying.remove(turn_over.replica)
+        reassignment = self.planner.next_reassignment(service, targets, staying, engine)
+        if reassignment is not None:
+            self._begin_reassignment(reassignment, service)
+            staying.remove(reassignment.replica)
         self._note_plan(service, targets, engine)
 
     def _handle_replica(self, replica: ObservedReplica, engine: EngineSpec) -> bool:
--- a/ferrydock/replicas/_order_sender.py
+++ b/ferrydock/replicas/_order_sender.py
@@ -131,7 +131,7 @@
                 return unknown or outcome
             await asyncio.sleep(RESEND_PAUSE_S)
 
-    def forget_others(self, target_ids: Container[str]) -> None:
+    def prune(self, target_ids: Container[str]) -> None:
         """Remove the state of targets other than those in `target_ids`."""
         for target_id in [i for i in self._known if i not in target_ids]:
             del self._known[target_id]
--- a/ferrydock/replicas/_planning.py
+++ b/ferrydock/replicas/_planning.py
@@ -224,7 +224,7 @@
             planned.update(desired_counts(len(members), engine, shares[name]))
         return HallPlan(self.demand(service), weights, planned)
 
-    def turn_over(
+    def next_reassignment(
         self,
         service: str,
         targets: list[Target],
--- a/ferrydock/replicas/tests/hall.py
+++ b/ferrydock/replicas/tests/hall.py
@@ -69,14 +69,14 @@
         try:
             while True:
                 if not controller.lease.is_valid:
-                    controller.stand_down()
+                    controller.step_down()
                     await controller.lease.acquire(LEASE_S)
                 elif controller.lease.held.valid_until_s - self.clock.now_s() < LEASE_S / 2:
                     await controller.lease.renew()
                 await controller.step()
                 await asyncio.sleep(ROUND_S)
         finally:
-            controller.stand_down()
+            controller.step_down()
 
     def kill_controller(self):
         """Cancel the controller's task; orders that it has sent may still be executed."""
--- a/ferrydock/replicas/tests/test_controller.py
+++ b/ferrydock/replicas/tests/test_controller.py
@@ -55,7 +55,7 @@
         await asyncio.sleep(30.0)
         head = next(w for w in hall.fleet.open_heads() if w.model == "large")
         hall.kill_worker(head.members[2])
-        hall.controller.suspect([head.members[2]], "test")
+        hall.controller.mark_suspected([head.members[2]], "test")
         took_s = await hall.until(lambda: hall.models() == ALL_REPLICAS, 20.0)
         assert took_s is not None and took_s < 3.0
         assert hall.fleet.violations == []
@@ -69,7 +69,7 @@
         await asyncio.sleep(30.0)
         head = next(w for w in hall.fleet.open_heads() if w.model == "large")
         hall.kill_worker(head.worker_id)
-        hall.controller.suspect([head.worker_id], "test")
+        hall.controller.mark_suspected([head.worker_id], "test")
         took_s = await hall.until(lambda: hall.models() == ALL_REPLICAS, 20.0)
         assert took_s is not None and took_s < 3.0
         assert hall.fleet.violations == []
@@ -131,7 +131,7 @@
         await asyncio.sleep(30.0)
         for head in [h for h in hall.fleet.open_heads() if h.model == "large"]:
             hall.kill_worker(head.members[1])
-            hall.controller.suspect([head.members[1]], "test")
+            hall.controller.mark_suspected([head.members[1]], "test")
         took_s = await hall.until(lambda: hall.models() == ALL_REPLICAS, 20.0)
         assert took_s is not None and took_s < 3.0
         assert hall.fleet.violations == []
@@ -148,7 +148,7 @@
             known = KnownOrders(worker.orders + 1, worker.group_key)
             hall.controller.order_sender._known[worker.worker_id] = known
         hall.kill_worker(head.members[1])
-        hall.controller.suspect([head.members[1]], "test")
+        hall.controller.mark_suspected([head.members[1]], "test")
         took_s = await hall.until(lambda: hall.models() == ALL_REPLICAS, 20.0)
         assert took_s is not None and took_s < 4.0
         assert hall.fleet.violations == []
@@ -195,7 +195,7 @@
         victims = [h for h in hall.fleet.open_heads() if h.model == "large"][:1]
         for head in victims:
             hall.kill_worker(head.members[1])
-            hall.controller.suspect([head.members[1]], "test")
+            hall.controller.mark_suspected([head.members[1]], "test")
         await hall.until(lambda: False, 20.0)
         hall.fleet.faults.late_share = 0.0
         took_s = await hall.until(lambda: sum(hall.models().values()) >= 5, 60.0)
@@ -252,7 +252,7 @@
 def kill_and_suspect(hall, worker_id):
     """Kill a worker and let the controller suspect it."""
     hall.kill_worker(worker_id)
-    hall.controller.suspect([worker_id], "test")
+    hall.controller.mark_suspected([worker_id], "test")
 
 
 def test_survivors_form_a_replica_without_a_target_that_must_first_load():
--- a/ferrydock/replicas/tests/test_services.py
+++ b/ferrydock/replicas/tests/test_services.py
@@ -30,7 +30,7 @@
         assert await hall.until(lambda: hall.models() == {"large": 2, "small": 4}, 60.0)
         assert controller.plans["engines"].replicas == {"large": 2, "small": 4}
         hall.kill_controller()
-        controller.stand_down()
+        controller.step_down()
         assert controller.plans == {}
 
     run_virtually(scenario())
--- a/ferrydock/route_daemon/_leadership.py
+++ b/ferrydock/route_daemon/_leadership.py
@@ -194,7 +194,7 @@
                 await asyncio.sleep(CONTROLLER_ROUND_S * self.rng.uniform(*ROUND_JITTER))
         finally:
             renewal.cancel()
-            self.controller.stand_down()
+            self.controller.step_down()
 
     @abstractmethod
     async def run(self) -> None:
--- a/ferrydock/route_daemon/_replica_failures.py
+++ b/ferrydock/route_daemon/_replica_failures.py
@@ -57,7 +57,7 @@
             target = self._directory.targets.get(target_id)
             for controller in self.controllers:
                 if target is not None and target.hall == controller.hall:
-                    controller.suspect([target_id], reason)
+                    controller.mark_suspected([target_id], reason)
 
     def replica_broken(self, key: tuple[str, int]) -> None:
         """Report to peers a replica that this daemon found broken."""
--- a/ferrydock/route_daemon/_upkeep.py
+++ b/ferrydock/route_daemon/_upkeep.py
@@ -50,7 +50,7 @@
         attempts.selector.catalog.limits.prune(now_s)
         attempts.selector.pacer.prune(now_s)
         attempts.selector.catalog.backoffs.prune(now_s)
-        self.order_sender.forget_others(listed_targets)
+        self.order_sender.prune(listed_targets)
         self.gateway.enforce_timeouts()
         self.settings.reread()
 
