--- a/ferrydock/forwarding/tests/test_interruptions.py
+++ b/ferrydock/forwarding/tests/test_interruptions.py
@@ -53,7 +53,7 @@
         super().__init__([route(kind=kind, time_limit_s=8.0, max_pause_s=MAX_PAUSE_S)], targets)
         service = ServiceSpec("plain", 10, ENGINE)
         self.configuration = Configuration(1, self.configuration.routes, {"plain": service}, ())
-        self.budget = RetryBudget(0.0, start=retries)
+        self.budget = RetryBudget(0.0, initial=retries)
         self.forwarder.budgets = lambda service: self.budget
         self.stalls = StallDetector(self.forwarder.attempts, None, self.clock, USUAL_TIMES)
 
@@ -189,7 +189,7 @@
 
 def exchange(begun, retries=1.0, attempts=1, kind=RouteKind.RESUMABLE_STREAM):
     """Return a request in flight."""
-    budget = RetryBudget(0.0, start=retries)
+    budget = RetryBudget(0.0, initial=retries)
     return Exchange(
         request=None,
         inbound=None,
