--- a/ferrydock/forwarding/_answer_notices.py
+++ b/ferrydock/forwarding/_answer_notices.py
@@ -80,7 +80,7 @@
         is_limited = self.catalog.limits.rate_per_s(target.target_id) is not None
         return is_limited or self.catalog.backoffs.remaining_s(target, self.clock.now_s()) > 0
 
-    def forget_others(self, target_ids: Container[str]) -> None:
+    def remove_unlisted(self, target_ids: Container[str]) -> None:
         """Remove targets that are not in `target_ids`."""
         for target_id in [i for i in self._unreadable if i not in target_ids]:
             del self._unreadable[target_id]
--- a/ferrydock/forwarding/_endpoint_selector.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -204,7 +204,7 @@
         candidates = []
         for endpoint in endpoints:
             target_id = endpoint.target.target_id
-            in_flight = self.loads.of(target_id).running
+            in_flight = self.loads.of(target_id).in_flight
             if in_flight < connections and self.pacer.may_send(target_id, now_s):
                 slots = max_requests(exchange.service, endpoint.target)
                 candidates.append(Candidate(endpoint, in_flight, slots))
--- a/ferrydock/forwarding/_target_loads.py
+++ b/ferrydock/forwarding/_target_loads.py
@@ -27,7 +27,7 @@
 
     Attributes
     ----------
-    running : int
+    in_flight : int
         This daemon's requests in flight at the target.
     last_progress_s : float
         Local time of the last progress: an event or answer received from the target, or a request
@@ -42,7 +42,7 @@
         Local time at which the current or last ejection ends.
     """
 
-    running: int = 0
+    in_flight: int = 0
     last_progress_s: float = 0.0
     last_answer_s: float = float("-inf")
     consecutive_failures: int = 0
@@ -79,14 +79,14 @@
         """Return pairs of target id and load."""
         return self._loads.items()
 
-    def running(self) -> dict[str, int]:
+    def in_flight_by_target(self) -> dict[str, int]:
         """Return this daemon's requests in flight, by target id."""
-        return {i: load.running for i, load in self._loads.items() if load.running > 0}
+        return {i: load.in_flight for i, load in self._loads.items() if load.in_flight > 0}
 
-    def forget_others(self, target_ids: Container[str]) -> None:
+    def remove_unlisted(self, target_ids: Container[str]) -> None:
         """Remove targets that are not in `target_ids` and have no request in flight."""
         unlisted = [
-            i for i, load in self._loads.items() if i not in target_ids and not load.running
+            i for i, load in self._loads.items() if i not in target_ids and not load.in_flight
         ]
         for target_id in unlisted:
             del self._loads[target_id]
@@ -94,13 +94,13 @@
     def request_started(self, target_id: str, now_s: float) -> None:
         """Count a request that is sent to a target."""
         load = self.of(target_id)
-        if load.running == 0:
+        if load.in_flight == 0:
             load.last_progress_s = now_s
-        load.running += 1
+        load.in_flight += 1
 
     def request_ended(self, target_id: str) -> None:
         """Count a request at a target as finished."""
-        self.of(target_id).running -= 1
+        self.of(target_id).in_flight -= 1
 
     def record_progress(self, target_id: str, now_s: float) -> None:
         """Record that an event or answer was received from a target."""
--- a/ferrydock/forwarding/_upstream.py
+++ b/ferrydock/forwarding/_upstream.py
@@ -95,7 +95,7 @@
             session = self._pools[target.target_id] = _open_session(keep_alive=True)
         return session
 
-    def forget_others(self, target_ids: Container[str], busy_ids: Container[str]) -> None:
+    def close_unlisted(self, target_ids: Container[str], busy_ids: Container[str]) -> None:
         """Close the connections to targets that are neither listed nor busy."""
         for target_id in [i for i in self._pools if i not in target_ids and i not in busy_ids]:
             session = self._pools.pop(target_id)
--- a/ferrydock/forwarding/tests/test_crashes.py
+++ b/ferrydock/forwarding/tests/test_crashes.py
@@ -176,7 +176,7 @@
             received = await rig.ask("POST", body=b"hi")
             assert received.startswith(b"HTTP/1.1 503") and code_of(received) == b"crashes_targets"
             assert retry_after_of(received) > 50
-            assert target.requests == [] and rig.loads.running() == {}
+            assert target.requests == [] and rig.loads.in_flight_by_target() == {}
 
     play(scenario)
 
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -310,7 +310,7 @@
             async with asyncio.timeout(2):
                 await disconnected.wait()
             await asyncio.sleep(0.05)
-            assert rig.loads.of("t0").running == 0
+            assert rig.loads.of("t0").in_flight == 0
         assert len(target.requests) == 1
 
     play(scenario)
@@ -528,7 +528,7 @@
             async with asyncio.timeout(LONG_TIMEOUT_S):
                 while rig.selector.waiting < 3 or target.connections < 2:
                     await asyncio.sleep(0.01)
-            assert rig.loads.of("t0").running == target.connections == 2
+            assert rig.loads.of("t0").in_flight == target.connections == 2
             release.set()
             assert all(b"200 OK" in received for received in await asyncio.gather(*asked))
             assert target.connections == 2
--- a/ferrydock/forwarding/tests/test_planned_stop.py
+++ b/ferrydock/forwarding/tests/test_planned_stop.py
@@ -313,7 +313,7 @@
             received = await caller.read_to_end()
             assert received.startswith(b"HTTP/1.1 502") and b"stopping" in received
             assert b"Retry-After" not in received
-            assert rig.loads.of("t0").running == 0
+            assert rig.loads.of("t0").in_flight == 0
 
     play(scenario)
 
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -278,7 +278,7 @@
             self.scheduler,
             self.leadership.known_leader_address,
             self.settings.peer_address,
-            self.selector.loads.running,
+            self.selector.loads.in_flight_by_target,
             self.clock,
         )
         self.selector.scheduler = self.scheduler_client
--- a/ferrydock/route_daemon/_upkeep.py
+++ b/ferrydock/route_daemon/_upkeep.py
@@ -41,11 +41,11 @@
         Connections to a target that still has requests running stay open.
         """
         listed_targets = self.directory.targets
-        busy_ids = {target_id for target_id, load in self._loads.items() if load.running}
-        self._upstream.forget_others(listed_targets, busy_ids)
-        self._loads.forget_others(listed_targets)
+        busy_ids = {target_id for target_id, load in self._loads.items() if load.in_flight}
+        self._upstream.close_unlisted(listed_targets, busy_ids)
+        self._loads.remove_unlisted(listed_targets)
         attempts = self.gateway.forwarder.attempts
-        attempts.notices.forget_others(listed_targets)
+        attempts.notices.remove_unlisted(listed_targets)
         now_s = self.gateway.clock.now_s()
         attempts.selector.catalog.limits.prune(now_s)
         attempts.selector.pacer.prune(now_s)
