--- a/ferrydock/backpressure/_rate_limits.py
+++ b/ferrydock/backpressure/_rate_limits.py
@@ -1,7 +1,8 @@
 """The rate limits that targets set in their answers.
 
 Owns the newest known rate limit of each target, in memory. The sources are the answers to this
-daemon's own attempts (`forwarding.AnswerNotices`) and the reports of other daemons (`scheduling`).
+daemon's own attempts (`forwarding.TargetStatements`) and the reports of other daemons
+(`scheduling`).
 """
 
 import logging
--- a/ferrydock/backpressure/_rests.py
+++ b/ferrydock/backpressure/_rests.py
@@ -1,8 +1,8 @@
 """Back-offs that targets have requested of this daemon: how long each must get no request from it.
 
 Owns the ends of the back-offs by target id, in memory. They come from the answers to this daemon's
-own attempts (`forwarding.AnswerNotices`): a back-off that a target requests of one daemon does not
-apply to the others.
+own attempts (`forwarding.TargetStatements`): a back-off that a target requests of one daemon does
+not apply to the others.
 """
 
 import logging
--- a/ferrydock/forwarding/_answer_notices.py
+++ b/ferrydock/forwarding/_answer_notices.py
@@ -15,12 +15,12 @@
 from ..targets import Target
 from ._dialect import AnswerHeaders
 
-__all__ = ["AnswerNotices"]
+__all__ = ["TargetStatements"]
 
 _LOG = logging.getLogger("ferrydock.forwarding")
 
 
-class AnswerNotices:
+class TargetStatements:
     """Applies the statements of targets about themselves.
 
     Parameters
--- a/ferrydock/forwarding/_attempts.py
+++ b/ferrydock/forwarding/_attempts.py
@@ -13,7 +13,7 @@
 from ..route_metrics import RouteMetrics
 from ..scheduling import Endpoint
 from ..targets import ReplicaView, Target
-from ._answer_notices import AnswerNotices
+from ._answer_notices import TargetStatements
 from ._answer_relay import AnswerRelay
 from ._dialect import Outbound, RequestDialect
 from ._endpoint_selector import EndpointSelector
@@ -61,7 +61,7 @@
         "dialect",
         "loads",
         "metrics",
-        "notices",
+        "statements",
         "selector",
         "upstream",
     )
@@ -81,7 +81,7 @@
         self.dialect = dialect
         self.clock = clock
         self.metrics = metrics
-        self.notices = AnswerNotices(selector.catalog, clock)
+        self.statements = TargetStatements(selector.catalog, clock)
         self._relay = AnswerRelay(loads, clock)
         self._in_flight: dict[str, set[Attempt]] = {}
 
@@ -170,7 +170,7 @@
         now_s = self.clock.now_s()
         if end.is_complete and end.status < FIRST_SERVER_ERROR_STATUS:
             self.loads.record_success(target.target_id)
-        elif end.reason == AttemptReason.REFUSED and self.notices.expects_refusals(target):
+        elif end.reason == AttemptReason.REFUSED and self.statements.expects_refusals(target):
             return
         elif end.reason in _FAILURES_OF_TARGET:
             eject_immediately = end.reason == AttemptReason.NOT_SENT
@@ -218,7 +218,7 @@
         if head.request_id and head.request_id != exchange.inbound.request_id:
             answer.close()  # left over in the connection from an earlier request
             return AttemptEnd(False, True, AttemptReason.WRONG_ANSWER)
-        if self.notices.apply(endpoint.target, head, sent_s):
+        if self.statements.apply(endpoint.target, head, sent_s):
             self.selector.report()
         if head.not_executed:
             return AttemptEnd(False, False, AttemptReason.REFUSED, status=answer.status)
--- a/ferrydock/forwarding/_endpoint_selector.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -74,7 +74,7 @@
         self._queue: WaitingQueue[Exchange, Endpoint] = WaitingQueue()
 
     @property
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Number of requests in this daemon's queue."""
         return len(self._queue)
 
--- a/ferrydock/forwarding/_forwarder.py
+++ b/ferrydock/forwarding/_forwarder.py
@@ -177,7 +177,7 @@
             exchange.may_have_run,
             since_arrival_s=self._since_arrival_s(exchange),
             endpoint_count=self.selector.endpoint_count(exchange),
-            queued=self.selector.waiting,
+            queued=self.selector.queue_length,
         )
         if exchange.response is not None:
             if exchange.request.transport is not None:
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -526,7 +526,7 @@
         async with Rig([long_route], [target], daemons=4) as rig:  # of 10 connections
             asked = [asyncio.ensure_future(rig.ask(timeout_s=LONG_TIMEOUT_S)) for _ in range(5)]
             async with asyncio.timeout(LONG_TIMEOUT_S):
-                while rig.selector.waiting < 3 or target.connections < 2:
+                while rig.selector.queue_length < 3 or target.connections < 2:
                     await asyncio.sleep(0.01)
             assert rig.loads.of("t0").in_flight == target.connections == 2
             release.set()
--- a/ferrydock/forwarding/tests/test_planned_stop.py
+++ b/ferrydock/forwarding/tests/test_planned_stop.py
@@ -292,7 +292,7 @@
         async with Rig([route(kind=RouteKind.AT_MOST_ONCE, first_answer_s=4.0)], []) as rig:
             caller = await Caller.connect(rig)
             caller.send(REQUEST)
-            await until(lambda: rig.selector.waiting)
+            await until(lambda: rig.selector.queue_length)
             assert not await start_planned_stop(rig, within_s=0.1)
             await rig.gateway.close()
             received = await caller.read_to_end()
--- a/ferrydock/route_daemon/_gauges.py
+++ b/ferrydock/route_daemon/_gauges.py
@@ -59,7 +59,7 @@
         self._set_plans()
         metrics.targets.set(len(self.directory.targets))
         metrics.in_flight.set(self.gateway.in_flight)
-        metrics.waiting.set(self.gateway.forwarder.selector.waiting)
+        metrics.waiting.set(self.gateway.forwarder.selector.queue_length)
         metrics.targets_limited.set(self.gateway.forwarder.selector.catalog.limits.limited_count)
         backoffs = self.gateway.forwarder.selector.catalog.backoffs
         metrics.targets_resting.set(backoffs.count_among(self.directory.targets))
--- a/ferrydock/route_daemon/_upkeep.py
+++ b/ferrydock/route_daemon/_upkeep.py
@@ -45,7 +45,7 @@
         self._upstream.close_unlisted(listed_targets, busy_ids)
         self._loads.remove_unlisted(listed_targets)
         attempts = self.gateway.forwarder.attempts
-        attempts.notices.remove_unlisted(listed_targets)
+        attempts.statements.remove_unlisted(listed_targets)
         now_s = self.gateway.clock.now_s()
         attempts.selector.catalog.limits.prune(now_s)
         attempts.selector.pacer.prune(now_s)
