--- a/ferrydock/forwarding/_stalls.py
+++ b/ferrydock/forwarding/_stalls.py
@@ -66,10 +66,10 @@
 class FailureListener(Protocol):
     """Receives the findings of a `StallDetector`."""
 
-    def targets_dead(self, target_ids: list[str], reason: str) -> None:
+    def on_targets_dead(self, target_ids: list[str], reason: str) -> None:
         """Handle targets that did not answer a poll."""
 
-    def replica_broken(self, key: tuple[str, int]) -> None:
+    def on_replica_broken(self, key: tuple[str, int]) -> None:
         """Handle a replica, given by name and epoch, that this daemon stops using."""
 
 
@@ -168,7 +168,7 @@
         last_progress_s = self.attempts.loads.of(replica.head.target_id).last_progress_s
         return now_s - max(last_progress_s, self._resumed_s)
 
-    def check_reported(self, replica: ReplicaView) -> None:
+    def verify_reported(self, replica: ReplicaView) -> None:
         """Poll the members of a replica that a peer reports as broken.
 
         The peer itself may be cut off from the members, so its report is verified first.
@@ -177,20 +177,20 @@
         if replica.key not in self.catalog.broken and self._may_poll(replica, now_s):
             self._start_polling(replica, now_s, is_reported_by_peer=True)
 
-    def break_replica(self, key: tuple[str, int], reason: str) -> None:
+    def mark_broken(self, key: tuple[str, int], reason: str) -> None:
         """Stop sending requests to a replica, and interrupt its attempts for a retry."""
         if key not in self.catalog.broken:
             self.catalog.broken.add(key)
             self.attempts.interrupt(key, reason)
             if self.listener is not None:
-                self.listener.replica_broken(key)
+                self.listener.on_replica_broken(key)
 
-    def replica_given_up(self, key: tuple[str, int]) -> None:
+    def handle_leader_decision(self, key: tuple[str, int]) -> None:
         """Handle a decision of the hall leader, which runs in this daemon, against a replica.
 
         The leader has decided that the replica cannot serve.
         """
-        self.break_replica(key, GIVEN_UP)
+        self.mark_broken(key, GIVEN_UP)
 
     def _may_poll(self, replica: ReplicaView, now_s: float) -> bool:
         return now_s - self._last_poll_s.get(replica.key, -POLL_INTERVAL_S) >= POLL_INTERVAL_S
@@ -260,8 +260,8 @@
         )
         if unresponsive:
             if self.listener is not None:
-                self.listener.targets_dead(unresponsive, f"silent in {replica.name}")
-            self.break_replica(replica.key, MEMBER_DEAD)
+                self.listener.on_targets_dead(unresponsive, f"silent in {replica.name}")
+            self.mark_broken(replica.key, MEMBER_DEAD)
         elif is_stuck:
             self.attempts.loads.record_failure(
                 replica.head.target_id, self.clock.now_s(), eject_immediately=True
--- a/ferrydock/forwarding/tests/test_interruptions.py
+++ b/ferrydock/forwarding/tests/test_interruptions.py
@@ -78,7 +78,7 @@
 
     def break_all(self):
         for key in KEYS:
-            self.stalls.break_replica(key, MEMBER_DEAD)
+            self.stalls.mark_broken(key, MEMBER_DEAD)
 
     async def until(self, condition):
         async with asyncio.timeout(5.0):
@@ -130,7 +130,7 @@
             streaming = asyncio.ensure_future(rig.stream())
             await rig.until(lambda: any(a.count for a in _streams_of(rig)))
             first = next(n for n, target in enumerate(targets) if target.requests)
-            rig.stalls.break_replica(KEYS[first], MEMBER_DEAD)
+            rig.stalls.mark_broken(KEYS[first], MEMBER_DEAD)
             assert body_of(await streaming) == (COMPLETE_BODY, True)
             assert [len(target.requests) for target in targets] == [1, 1]
             assert rig.budget.left == 0
@@ -171,7 +171,7 @@
             await rig.until(lambda: sum(a.count == 2 for a in _streams_of(rig)) == 6)
             # Both break at once: moved streams find no other replica and wait for one.
             first, second = KEYS
-            rig.stalls.break_replica(first, MEMBER_DEAD)
+            rig.stalls.mark_broken(first, MEMBER_DEAD)
             moved = [len(target.requests) for target in targets]
             resume.set()
             answers = [body_of(await each) for each in streaming]
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -254,7 +254,7 @@
             store,
             self.current,
             self.order_sender,
-            self.stalls.replica_given_up,
+            self.stalls.handle_leader_decision,
             self.metrics,
             self._slots_wanted,
         )
--- a/ferrydock/route_daemon/_replica_failures.py
+++ b/ferrydock/route_daemon/_replica_failures.py
@@ -51,7 +51,7 @@
         stalls.listener = self
         broken.on_received = self.report_received
 
-    def targets_dead(self, target_ids: list[str], reason: str) -> None:
+    def on_targets_dead(self, target_ids: list[str], reason: str) -> None:
         """Report targets that did not answer to the controller of their hall."""
         for target_id in target_ids:
             target = self._directory.targets.get(target_id)
@@ -59,7 +59,7 @@
                 if target is not None and target.hall == controller.hall:
                     controller.mark_suspected([target_id], reason)
 
-    def replica_broken(self, key: tuple[str, int]) -> None:
+    def on_replica_broken(self, key: tuple[str, int]) -> None:
         """Report to peers a replica that this daemon found broken."""
         self.broken.note(key, self.clock.now_s())
 
@@ -70,10 +70,10 @@
         itself, because the follower that reported the replica may be cut off from them.
         """
         if not self.leadership.lease.is_valid:
-            self.stalls.break_replica(key, REPORTED)
+            self.stalls.mark_broken(key, REPORTED)
             return
         for replica in self._replicas_with(key):
-            self.stalls.check_reported(replica)
+            self.stalls.verify_reported(replica)
 
     def _replicas_with(self, key: tuple[str, int]) -> list[ReplicaView]:
         services = self.current.engine_services()
