--- a/ferrydock/forwarding/_answer_notices.py
+++ b/ferrydock/forwarding/_answer_notices.py
@@ -52,7 +52,7 @@
         if not head.is_targets_own:
             return False
         self._apply_leaving(target, head.is_leaving)
-        self._apply_backoff(target, head.rest_s)
+        self._apply_backoff(target, head.backoff_s)
         return self._apply_limit(target.target_id, head.rate_limit_per_s, sent_s)
 
     def _apply_leaving(self, target: Target, is_leaving: bool | Fault) -> None:
--- a/ferrydock/forwarding/_attempts.py
+++ b/ferrydock/forwarding/_attempts.py
@@ -180,11 +180,11 @@
         request = exchange.request
         outbound = Outbound(
             target_id=endpoint.target.target_id,
-            left_s=self._remaining_s(exchange),
+            remaining_s=self._remaining_s(exchange),
             team=exchange.team,
             last_event_id=exchange.events.last_id if exchange.events else None,
         )
-        headers = self.dialect.outgoing(request.headers.items(), exchange.inbound, outbound)
+        headers = self.dialect.target_headers(request.headers.items(), exchange.inbound, outbound)
         body = exchange.body if exchange.body is not None else _streamed_body(exchange)
         runs_once = not exchange.route.kind.is_repeatable
         sent_s = self.clock.now_s()
@@ -214,16 +214,16 @@
     ) -> AttemptEnd:
         """Check the head of an answer, and forward the answer if it is the final one."""
         target_id = endpoint.target.target_id
-        head = self.dialect.answer(answer.status, answer.headers)
+        head = self.dialect.parse_answer(answer.status, answer.headers)
         if head.request_id and head.request_id != exchange.inbound.request_id:
             answer.close()  # left over in the connection from an earlier request
             return AttemptEnd(False, True, AttemptReason.WRONG_ANSWER)
         if self.statements.apply(endpoint.target, head, sent_s):
             self.selector.report()
-        if head.not_executed:
+        if head.is_not_executed:
             return AttemptEnd(False, False, AttemptReason.REFUSED, status=answer.status)
         self.loads.record_progress(target_id, self.clock.now_s())
-        if self._is_unacceptable(exchange, answer, head.signed):
+        if self._is_unacceptable(exchange, answer, head.is_signed):
             return AttemptEnd(False, True, AttemptReason.ERROR, status=answer.status)
         if exchange.route.kind.is_stream and answer.status < FIRST_NON_SUCCESS_STATUS:
             return await self._relay.relay_stream(exchange, target_id, answer)
--- a/ferrydock/forwarding/_dialect.py
+++ b/ferrydock/forwarding/_dialect.py
@@ -23,7 +23,7 @@
     ----------
     request_id : str
         Id that the caller gave the request; empty if it gave none.
-    left_s : float or None
+    remaining_s : float or None
         Seconds until the caller's deadline; None if the caller gave none.
     key : str
         API key of the caller's team; empty if none was given.
@@ -34,7 +34,7 @@
     """
 
     request_id: str
-    left_s: float | None
+    remaining_s: float | None
     key: str
     model: str
     last_event_id: int | None
@@ -49,7 +49,7 @@
     target_id : str
         Incarnation that the request is for. Addresses are reused, so a different incarnation at
         the same address must refuse the request.
-    left_s : float
+    remaining_s : float
         Seconds until the caller's deadline.
     team : str
         Name of the caller's team; empty on public routes.
@@ -58,7 +58,7 @@
     """
 
     target_id: str
-    left_s: float
+    remaining_s: float
     team: str
     last_event_id: int | None
 
@@ -69,11 +69,11 @@
 
     Attributes
     ----------
-    not_executed : bool
+    is_not_executed : bool
         Whether the target guarantees that the request did not run and will not.
     request_id : str
         Id of the request that the answer belongs to; empty if the head has none.
-    signed : bool
+    is_signed : bool
         Whether a target made the answer, and not an intermediary such as a proxy.
     is_targets_own : bool
         Whether the answer, possibly a refusal, was made by the target that the request was for.
@@ -82,30 +82,30 @@
     rate_limit_per_s : float, None or Fault
         Requests per second that the target accepts from all daemons together; None if it states no
         limit, a fault if the header is invalid.
-    rest_s : float, None or Fault
+    backoff_s : float, None or Fault
         Back-off that a target requests when it refuses a request: for so many seconds this daemon
         is to send it none. None if it requests none, a fault if the header is invalid.
     """
 
-    not_executed: bool
+    is_not_executed: bool
     request_id: str
-    signed: bool
+    is_signed: bool
     is_targets_own: bool = False
     is_leaving: bool | Fault = False
     rate_limit_per_s: float | None | Fault = None
-    rest_s: float | None | Fault = None
+    backoff_s: float | None | Fault = None
 
 
 class RequestDialect(Protocol):
     """Names and formats of the headers from callers and to and from targets."""
 
-    def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
+    def parse_request(self, headers: Mapping[str, str]) -> Inbound | Invalid:
         """Parse a caller's headers; return `Invalid` with the fault if one cannot be parsed."""
 
-    def outgoing(
+    def target_headers(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
     ) -> CIMultiDict[str]:
         """Return the headers for a target: the caller's end-to-end headers and `outbound`."""
 
-    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+    def parse_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
         """Parse the head of a target's answer."""
--- a/ferrydock/forwarding/_gateway.py
+++ b/ferrydock/forwarding/_gateway.py
@@ -252,7 +252,7 @@
             return refusal(SERVICE_UNAVAILABLE, "no_configuration", NOT_CONFIGURED_RETRY_S)
         if _head_bytes(request) > lookup.configuration.limits.header_bytes:
             return refusal(HEADERS_TOO_LARGE, "headers_too_large", None, close=True)
-        inbound = self.dialect.read(request.headers)
+        inbound = self.dialect.parse_request(request.headers)
         if isinstance(inbound, Invalid):
             log_event(
                 _LOG, logging.INFO, "request_unreadable", status=BAD_REQUEST, why=inbound.reason
@@ -311,7 +311,7 @@
         service = lookup.configuration.services.get(self._pick_service(route.services))
         if service is None:
             return refusal(SERVICE_UNAVAILABLE, "no_service", NOT_CONFIGURED_RETRY_S)
-        left_s = min(route.time_limit_s, inbound.left_s or DEFAULT_DEADLINE_S)
+        left_s = min(route.time_limit_s, inbound.remaining_s or DEFAULT_DEADLINE_S)
         try:
             async with self.forwarder.stop_limit.hold():
                 read = await _read_body(request, length, limits)
--- a/ferrydock/gateway/_route_dialect.py
+++ b/ferrydock/gateway/_route_dialect.py
@@ -33,7 +33,7 @@
 
     __slots__ = ()
 
-    def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
+    def parse_request(self, headers: Mapping[str, str]) -> Inbound | Invalid:
         """Return what a request says, or the header that cannot be read."""
         try:
             timeout = headers.get("X-Request-Timeout-Ms")
@@ -42,7 +42,7 @@
             token = key[len(_BEARER) :].strip() if key.startswith(_BEARER) else ""
             return Inbound(
                 request_id=headers.get("X-Request-Id") or uuid.uuid4().hex,
-                left_s=float(timeout) / MS_PER_S if timeout else None,
+                remaining_s=float(timeout) / MS_PER_S if timeout else None,
                 key=digest_key(token) if token else "",
                 model="",
                 last_event_id=int(after) if after else None,
@@ -50,23 +50,23 @@
         except ValueError as error:
             return Invalid((Fault("headers", str(error)),))
 
-    def outgoing(
+    def target_headers(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
     ) -> CIMultiDict[str]:
         """Return the headers for a service."""
         kept = CIMultiDict(pair for pair in end_to_end(headers) if pair[0].lower() not in _SET_HERE)
         kept["X-Request-Id"] = inbound.request_id
-        kept["X-Request-Timeout-Ms"] = str(max(1, int(outbound.left_s * MS_PER_S)))
+        kept["X-Request-Timeout-Ms"] = str(max(1, int(outbound.remaining_s * MS_PER_S)))
         if outbound.team:
             kept["X-Team"] = outbound.team
         if outbound.last_event_id is not None:
             kept["Last-Event-Id"] = str(outbound.last_event_id)
         return kept
 
-    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+    def parse_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
         """Read the head of a service's answer."""
         return AnswerHeaders(
-            not_executed="X-Not-Run" in headers or status == MISDIRECTED,
+            is_not_executed="X-Not-Run" in headers or status == MISDIRECTED,
             request_id=headers.get("X-Request-Id", ""),
-            signed=True,
+            is_signed=True,
         )
--- a/ferrydock/platform/_dialect.py
+++ b/ferrydock/platform/_dialect.py
@@ -38,7 +38,7 @@
 
     __slots__ = ()
 
-    def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
+    def parse_request(self, headers: Mapping[str, str]) -> Inbound | Invalid:
         """Return what a request says, or the header that cannot be read."""
         try:
             # No decision reads the counts of tokens, but a bad one makes a request unreadable.
@@ -49,7 +49,7 @@
             key = headers.get("Authorization", "")
             return Inbound(
                 request_id=headers.get("X-Attempt-Id", ""),
-                left_s=float(left_ms) / MS_PER_S if left_ms else None,
+                remaining_s=float(left_ms) / MS_PER_S if left_ms else None,
                 key=key[len(_BEARER) :].strip() if key.startswith(_BEARER) else "",
                 model=headers.get("X-Model", ""),
                 last_event_id=int(after) if after else None,
@@ -57,12 +57,12 @@
         except ValueError as error:
             return Invalid((Fault("headers", str(error)),))
 
-    def outgoing(
+    def target_headers(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
     ) -> CIMultiDict[str]:
         """Return the headers for a worker."""
         kept = CIMultiDict(pair for pair in end_to_end(headers) if pair[0].lower() not in _SET_HERE)
-        kept["X-Deadline-Ms"] = str(max(1, int(outbound.left_s * MS_PER_S)))
+        kept["X-Deadline-Ms"] = str(max(1, int(outbound.remaining_s * MS_PER_S)))
         kept["X-Expect-Instance"] = outbound.target_id
         if outbound.team:
             kept["X-Tenant"] = outbound.team
@@ -70,20 +70,20 @@
             kept["Last-Event-Id"] = str(outbound.last_event_id)
         return kept
 
-    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+    def parse_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
         """Read the head of a worker's answer; 421 says that another worker has the address now."""
         is_misdirected = status == MISDIRECTED
         is_refused = "X-Not-Executed" in headers
         signed = "X-Server-Stamp" in headers
         may_ask_for_rest = is_refused and status == SERVICE_UNAVAILABLE
         return AnswerHeaders(
-            not_executed=is_refused or is_misdirected,
+            is_not_executed=is_refused or is_misdirected,
             request_id=headers.get("X-Attempt-Id", ""),
-            signed=signed,
+            is_signed=signed,
             is_targets_own=(signed or is_refused) and not is_misdirected,
             is_leaving=read_flag(headers, "Server-Leaving"),
             rate_limit_per_s=read_number(headers, "Server-Limit"),
-            rest_s=read_number(headers, "Retry-After") if may_ask_for_rest else None,
+            backoff_s=read_number(headers, "Retry-After") if may_ask_for_rest else None,
         )
 
 
--- a/ferrydock/platform/tests/test_dialect.py
+++ b/ferrydock/platform/tests/test_dialect.py
@@ -12,13 +12,13 @@
 @pytest.mark.parametrize("marks", [SIGNED, REFUSED])
 @pytest.mark.parametrize("text, per_s", [("1.1", 1.1), ("0", 0.0), ("50", 50.0), (" 2 ", 2.0)])
 def test_a_limit_is_read_from_successes_and_refusals(marks, text, per_s):
-    head = PlatformDialect().answer(503, {**marks, "Server-Limit": text})
+    head = PlatformDialect().parse_answer(503, {**marks, "Server-Limit": text})
     assert head.is_targets_own and head.rate_limit_per_s == per_s
 
 
 @pytest.mark.parametrize("text", ["nan", "-3", "1e999", "-inf", "", "one", "1" * 33, "1,5"])
 def test_a_limit_that_is_no_amount_is_a_fault_that_names_the_header(text):
-    head = PlatformDialect().answer(200, {**SIGNED, "Server-Limit": text})
+    head = PlatformDialect().parse_answer(200, {**SIGNED, "Server-Limit": text})
     assert isinstance(head.rate_limit_per_s, Fault)
     assert head.rate_limit_per_s.place == "Server-Limit"
 
@@ -26,28 +26,32 @@
 @pytest.mark.parametrize("marks", [SIGNED, REFUSED])
 def test_that_a_worker_leaves_is_read_from_successes_and_refusals(marks):
     dialect = PlatformDialect()
-    assert dialect.answer(200, {**marks, "Server-Leaving": "1"}).is_leaving is True
-    assert dialect.answer(200, {**marks, "Server-Leaving": "0"}).is_leaving is False
-    assert dialect.answer(200, marks).is_leaving is False
-    assert isinstance(dialect.answer(200, {**marks, "Server-Leaving": "soon"}).is_leaving, Fault)
+    assert dialect.parse_answer(200, {**marks, "Server-Leaving": "1"}).is_leaving is True
+    assert dialect.parse_answer(200, {**marks, "Server-Leaving": "0"}).is_leaving is False
+    assert dialect.parse_answer(200, marks).is_leaving is False
+    assert isinstance(
+        dialect.parse_answer(200, {**marks, "Server-Leaving": "soon"}).is_leaving, Fault
+    )
 
 
 @pytest.mark.parametrize("text, rest_s", [("3", 3.0), ("0.5", 0.5), ("0", 0.0), ("3600", 3600.0)])
 def test_a_rest_is_read_from_a_503_that_refuses(text, rest_s):
     dialect = PlatformDialect()
-    assert dialect.answer(503, {**REFUSED, "Retry-After": text}).rest_s == rest_s
-    assert dialect.answer(429, {**REFUSED, "Retry-After": text}).rest_s is None
-    assert dialect.answer(503, {**SIGNED, "Retry-After": text}).rest_s is None
+    assert dialect.parse_answer(503, {**REFUSED, "Retry-After": text}).backoff_s == rest_s
+    assert dialect.parse_answer(429, {**REFUSED, "Retry-After": text}).backoff_s is None
+    assert dialect.parse_answer(503, {**SIGNED, "Retry-After": text}).backoff_s is None
 
 
 @pytest.mark.parametrize("text", ["Fri, 31 Dec 1999 23:59:59 GMT", "nan", "-3", "1e999", ""])
 def test_a_rest_that_is_no_time_is_a_fault_and_hides_no_limit(text):
-    head = PlatformDialect().answer(503, {**REFUSED, "Retry-After": text, "Server-Limit": "2"})
-    assert isinstance(head.rest_s, Fault) and head.rest_s.place == "Retry-After"
+    head = PlatformDialect().parse_answer(
+        503, {**REFUSED, "Retry-After": text, "Server-Limit": "2"}
+    )
+    assert isinstance(head.backoff_s, Fault) and head.backoff_s.place == "Retry-After"
     assert head.rate_limit_per_s == 2.0
 
 
 @pytest.mark.parametrize("status, headers", [(200, {}), (421, SIGNED), (421, REFUSED)])
 def test_what_the_asked_worker_did_not_write_says_nothing_of_it(status, headers):
-    head = PlatformDialect().answer(status, {**headers, "Server-Limit": "1"})
+    head = PlatformDialect().parse_answer(status, {**headers, "Server-Limit": "1"})
     assert not head.is_targets_own
