--- a/ferrydock/forwarding/_forwarder.py
+++ b/ferrydock/forwarding/_forwarder.py
@@ -14,7 +14,7 @@
 from ..clock import Clock
 from ..crashes import CRASHES_TARGETS
 from ..invariants import existing
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..retry_budget import RetryBudget
 from ..scheduling import Endpoint
 from ._admission import queue_times
@@ -91,10 +91,10 @@
     async def _serve(self, exchange: Exchange) -> web.StreamResponse:
         """Serve one request; end it if the time for a planned stop is over first."""
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 return await self._attempt_until_final(exchange)
         except DaemonStopping:
-            return self._end_without_answer(exchange, STOPPING)
+            return self._end_without_answer(exchange, STOPPING_REASON)
 
     async def _attempt_until_final(self, exchange: Exchange) -> web.StreamResponse:
         """Make attempts until there is a final answer."""
--- a/ferrydock/forwarding/_gateway.py
+++ b/ferrydock/forwarding/_gateway.py
@@ -25,7 +25,7 @@
 from ..invariants import existing
 from ..logs import log_event
 from ..outcomes import Invalid
-from ..planned_stop import STOPPING, STOPPING_RETRY_S, DaemonStopping, log_listeners
+from ..planned_stop import STOPPING_REASON, STOPPING_RETRY_S, DaemonStopping, log_listeners
 from ._dialect import Inbound, RequestDialect
 from ._events import NumberedEvents
 from ._exchange import CallerGone, Exchange
@@ -175,9 +175,9 @@
         self.has_stopped_listening = True
         if self._server is not None:
             self._server.refuse_new_requests()
-            asyncio.get_running_loop().call_later(CLOSE_IDLE_DELAY_S, self.close_resting)
+            asyncio.get_running_loop().call_later(CLOSE_IDLE_DELAY_S, self.close_idle)
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Close the listening socket and the idle connections."""
         if self._sockets is not None:
             self._sockets.close()
@@ -291,8 +291,8 @@
 
     def _refuse_stopping(self, inbound: Inbound, route: Route) -> web.Response:
         """Refuse a request, which no target has received, because this daemon is stopping."""
-        self._log_refused(inbound, route, STOPPING)
-        return refusal(SERVICE_UNAVAILABLE, STOPPING, STOPPING_RETRY_S, close=True)
+        self._log_refused(inbound, route, STOPPING_REASON)
+        return refusal(SERVICE_UNAVAILABLE, STOPPING_REASON, STOPPING_RETRY_S, close=True)
 
     async def _forward(
         self,
@@ -313,7 +313,7 @@
             return refusal(SERVICE_UNAVAILABLE, "no_service", NOT_CONFIGURED_RETRY_S)
         left_s = min(route.time_limit_s, inbound.remaining_s or DEFAULT_DEADLINE_S)
         try:
-            async with self.forwarder.stop_limit.hold():
+            async with self.forwarder.stop_limit.apply():
                 read = await _read_body(request, length, limits)
         except DaemonStopping:
             return self._refuse_stopping(inbound, route)
--- a/ferrydock/forwarding/_listener.py
+++ b/ferrydock/forwarding/_listener.py
@@ -13,7 +13,7 @@
 
 from ..invariants import BrokenInvariant
 from ..logs import log_event
-from ..planned_stop import is_resting
+from ..planned_stop import is_idle
 from ._refusal import refusal
 from ._target_loads import FIRST_SERVER_ERROR_STATUS
 
@@ -91,7 +91,7 @@
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request was read that is not answered yet."""
-        if is_resting(self):
+        if is_idle(self):
             self.force_close()
 
     def close_if_timed_out(
--- a/ferrydock/forwarding/_refusal.py
+++ b/ferrydock/forwarding/_refusal.py
@@ -8,7 +8,7 @@
 import orjson
 from aiohttp import web
 
-from ..planned_stop import STOPPING, STOPPING_RETRY_S
+from ..planned_stop import STOPPING_REASON, STOPPING_RETRY_S
 from ._exchange import Exchange
 
 __all__ = [
@@ -59,7 +59,7 @@
 
 def retry_after_s(reason: str, exchange: Exchange, rng: random.Random) -> float:
     """Return the Retry-After, in seconds, for a caller refused for `reason`."""
-    if reason == STOPPING:
+    if reason == STOPPING_REASON:
         return STOPPING_RETRY_S
     no_endpoint = exchange.no_endpoint
     unavailable_s = no_endpoint.retry_after_s if reason == no_endpoint.reason else 0.0
--- a/ferrydock/forwarding/_request_log.py
+++ b/ferrydock/forwarding/_request_log.py
@@ -170,7 +170,7 @@
 
     def _count(self, exchange: Exchange, outcome: str) -> None:
         kind = exchange.route.kind
-        self.metrics.ended(exchange.route.name, kind.value, outcome, exchange.first_bytes_s)
+        self.metrics.count_request(exchange.route.name, kind.value, outcome, exchange.first_bytes_s)
         self.metrics.queue_wait.observe(exchange.queued_s)
         if kind.is_stream and exchange.first_bytes_s is not None:
             self.metrics.longest_gap.observe(exchange.longest_gap_s)
--- a/ferrydock/gateway/_app.py
+++ b/ferrydock/gateway/_app.py
@@ -13,7 +13,7 @@
 from ..invariants import existing
 from ..logs import log_event
 from ..outcomes import Run
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit, log_listeners
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit, log_listeners
 from ._connections import ConnectionGuard
 from ._errors import error_response, stopping_response
 
@@ -142,10 +142,10 @@
             self._guard.note_listening_ends()
         self.has_stopped_listening = True
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Close the connections without a request."""
         if self._guard is not None:
-            self._guard.close_resting()
+            self._guard.close_idle()
 
     async def close(self) -> None:
         """End what is left: each request with its true answer, then the connections.
@@ -219,5 +219,5 @@
 
 def _refuse_stopping(request: web.Request) -> web.Response:
     """Refuse a request that was not sent to any target, since this daemon stops."""
-    log_event(_LOG, logging.INFO, "request_refused", path=request.path, why=STOPPING)
+    log_event(_LOG, logging.INFO, "request_refused", path=request.path, why=STOPPING_REASON)
     return stopping_response()
--- a/ferrydock/gateway/_bodies.py
+++ b/ferrydock/gateway/_bodies.py
@@ -22,7 +22,7 @@
     if request.content.is_eof():
         return await request.read()
     try:
-        async with stop_limit.hold(), asyncio.timeout(timeout_s):
+        async with stop_limit.apply(), asyncio.timeout(timeout_s):
             return await request.read()
     except TimeoutError:
         return None
--- a/ferrydock/gateway/_claim_answers.py
+++ b/ferrydock/gateway/_claim_answers.py
@@ -36,7 +36,7 @@
         raise DaemonStopping
     opening = work.start(claims.open(team, key, until_s))
     try:
-        async with work.stop_limit.hold():
+        async with work.stop_limit.apply():
             return await asyncio.shield(opening)
     except DaemonStopping:
         await work.record(_withdraw_opened(claims, opening))
--- a/ferrydock/gateway/_connections.py
+++ b/ferrydock/gateway/_connections.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from ..invariants import BrokenInvariant
-from ..planned_stop import is_resting
+from ..planned_stop import is_idle
 
 __all__ = ["ConnectionGuard"]
 
@@ -109,11 +109,11 @@
         self._owed = {
             connection
             for connection in self.server.connections
-            if connection not in self._busy and not is_resting(connection)
+            if connection not in self._busy and not is_idle(connection)
         }
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Close the connections without a request."""
         for connection in self.server.connections:
-            if is_resting(connection):
+            if is_idle(connection):
                 connection.force_close()
--- a/ferrydock/gateway/_errors.py
+++ b/ferrydock/gateway/_errors.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from ..outcomes import Invalid, NotRun, Run
-from ..planned_stop import STOPPING, STOPPING_RETRY_S
+from ..planned_stop import STOPPING_REASON, STOPPING_RETRY_S
 from ..requests import GaveUp
 
 __all__ = [
@@ -80,7 +80,7 @@
 
 def not_run_response(outcome: NotRun) -> web.Response:
     """Return the answer for a request that was certainly not run."""
-    if outcome.reason == STOPPING:
+    if outcome.reason == STOPPING_REASON:
         return stopping_response()
     message = outcome.message or outcome.reason.replace("_", " ")
     return error_response(
@@ -93,7 +93,7 @@
 
     Its caller may come back at once: its next connection leads to another daemon.
     """
-    response = error_response(503, STOPPING, STOPPING_MESSAGE, Run.NOT_RUN, retry=True)
+    response = error_response(503, STOPPING_REASON, STOPPING_MESSAGE, Run.NOT_RUN, retry=True)
     response.headers["Retry-After"] = f"{STOPPING_RETRY_S:.3g}"
     response.force_close()
     return response
@@ -101,8 +101,8 @@
 
 def gave_up_response(outcome: GaveUp, repeatable: bool) -> web.Response:
     """Return the answer for a request that may have run, and whose answer is lost."""
-    if outcome.reason == STOPPING:
-        return error_response(502, STOPPING, STOPPING_MESSAGE, outcome.run, retry=repeatable)
+    if outcome.reason == STOPPING_REASON:
+        return error_response(502, STOPPING_REASON, STOPPING_MESSAGE, outcome.run, retry=repeatable)
     return error_response(502, "lost_contact", outcome.reason, outcome.run, retry=repeatable)
 
 
--- a/ferrydock/gateway/_lasting_work.py
+++ b/ferrydock/gateway/_lasting_work.py
@@ -58,7 +58,7 @@
         """
         recording = self.start(work)
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 await asyncio.shield(recording)
         except DaemonStopping:
             await asyncio.wait([recording], timeout=RECORD_WAIT_S)
--- a/ferrydock/gateway/_operators.py
+++ b/ferrydock/gateway/_operators.py
@@ -13,7 +13,7 @@
 from ..clock import Clock
 from ..logs import log_event
 from ..outcomes import Conflict, Invalid, Unavailable, Unknown
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..table import (
     AcceptedEdit,
     Change,
@@ -120,7 +120,7 @@
         return _json(self.status())
 
     async def _get_burn(self, request: web.Request) -> web.Response:
-        async with self.stop_limit.hold():
+        async with self.stop_limit.apply():
             return _json(await self.burn(dict(request.query)))
 
     async def _post_edit(self, request: web.Request) -> web.Response:
@@ -141,7 +141,7 @@
     async def _commit(self, edit: Edit, deadline_s: float):
         """Commit an edit unless this daemon's time to stop ends first."""
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 return await self.repository.commit(edit, deadline_s, self.keeper.revision)
         except DaemonStopping:
             return Unknown("this daemon stopped before the store's answer")
@@ -155,7 +155,7 @@
     async def _look(self, accepted: AcceptedEdit) -> None:
         """Read the table up to an edit; an accepted one stays so if this daemon stops meanwhile."""
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 await self.watcher.look()
         except DaemonStopping:
             log_event(
@@ -163,7 +163,7 @@
                 logging.INFO,
                 "edit_not_in_force_here",
                 revision=accepted.revision,
-                why=STOPPING,
+                why=STOPPING_REASON,
             )
 
 
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -16,7 +16,7 @@
 from ..invariants import existing
 from ..logs import log_event
 from ..outcomes import NotRun, Run
-from ..planned_stop import STOPPING, DaemonStopping
+from ..planned_stop import STOPPING_REASON, DaemonStopping
 from ..requests import Answered, Claim, ClaimStore, GaveUp, RequestLife
 from ..retry_budget import DEFAULT_RETRY_RATIO, RetryBudget
 from ..table import TableKeeper, Target
@@ -166,12 +166,12 @@
     ) -> Answered | NotRun | GaveUp:
         """Make attempts unless this daemon's time to stop ends first."""
         try:
-            async with self.work.stop_limit.hold():
+            async with self.work.stop_limit.apply():
                 return await self._attempt_until_final(request, target, body, life)
         except DaemonStopping:
             if life.run is Run.NOT_RUN:
-                return NotRun(STOPPING)
-            return GaveUp(STOPPING, Run.UNKNOWN)
+                return NotRun(STOPPING_REASON)
+            return GaveUp(STOPPING_REASON, Run.UNKNOWN)
 
     async def _attempt_until_final(
         self, request: web.Request, target: Target, body: bytes, life: RequestLife
--- a/ferrydock/gateway/_spill.py
+++ b/ferrydock/gateway/_spill.py
@@ -15,7 +15,7 @@
 from ..logs import log_event
 from ..membership import HallSummary, SharedState
 from ..outcomes import NotRun, Run
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..requests import EventRelay, GaveUp, ModelRequest, error_event
 from ._errors import error_body, gave_up_response
 
@@ -94,7 +94,7 @@
         """
         for summary in self.halls_with_room(wanted.model)[:MAX_HALLS_TRIED]:
             if self.stop_limit.is_over:
-                return NotRun(STOPPING)
+                return NotRun(STOPPING_REASON)
             self._turn += 1
             contact = summary.contacts[self._turn % len(summary.contacts)]
             answer = await self._forward_to(contact.url, request, wanted)
@@ -112,12 +112,12 @@
         headers = {name: request.headers[name] for name in _PASSED_ON if name in request.headers}
         headers[HOP_HEADER] = str(wanted.hops + 1)
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 response = await self._session.post(
                     url + wanted.path, data=wanted.body, headers=headers
                 )
         except DaemonStopping:
-            return _gave_up(STOPPING, wanted)
+            return _gave_up(STOPPING_REASON, wanted)
         except aiohttp.ClientConnectorError as error:
             log_event(_LOG, logging.INFO, "hall_unreachable", url=url, why=error)
             return None
@@ -132,10 +132,10 @@
 
     async def _whole(self, response, wanted: ModelRequest) -> web.Response:
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 body = await response.read()
         except DaemonStopping:
-            return _gave_up(STOPPING, wanted)
+            return _gave_up(STOPPING_REASON, wanted)
         except (aiohttp.ClientError, OSError, TimeoutError):
             return _gave_up("the answer of another hall broke", wanted)
         headers = {"X-Request-Id": wanted.request_id}
@@ -154,13 +154,13 @@
         relay = EventRelay(keep=False)
         reason = "another hall went away"
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 async for piece in response.content.iter_any():
                     ready = relay.feed(piece)
                     if ready:
                         await answer.write(ready)
         except DaemonStopping:
-            reason = STOPPING
+            reason = STOPPING_REASON
         except (aiohttp.ClientPayloadError, TimeoutError):
             relay.whole = False
         if not relay.whole:
--- a/ferrydock/planned_stop.py
+++ b/ferrydock/planned_stop.py
@@ -27,13 +27,13 @@
 from .logs import log_event
 
 __all__ = [
-    "STOPPING",
+    "STOPPING_REASON",
     "STOPPING_RETRY_S",
     "DaemonStopping",
     "StopLimit",
     "StoppingListener",
     "finish_requests",
-    "is_resting",
+    "is_idle",
     "log_listeners",
 ]
 
@@ -41,7 +41,7 @@
 
 # Reason for which a daemon that is stopping refuses or ends a request, in answers, log lines and
 # `ferrydock explain`.
-STOPPING = "stopping"
+STOPPING_REASON = "stopping"
 
 # When a caller may retry a request that a stopping daemon has refused: at once, because its next
 # connection goes to another daemon.
@@ -68,7 +68,7 @@
     --------
     >>> async def wait(limit):
     ...     try:
-    ...         async with limit.hold():
+    ...         async with limit.apply():
     ...             await asyncio.sleep(3600)
     ...     except DaemonStopping:
     ...         return "ended"
@@ -87,7 +87,7 @@
         self.is_over = False
 
     @asynccontextmanager
-    async def hold(self) -> AsyncIterator[None]:
+    async def apply(self) -> AsyncIterator[None]:
         """Run the body of an ``async with`` statement under the limit.
 
         Raises
@@ -136,11 +136,11 @@
     def stop_listening(self) -> None:
         """Serve the requests already read, and refuse those read later."""
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Accept no new connections, and close those without a request."""
 
 
-def is_resting(connection: RequestHandler) -> bool:
+def is_idle(connection: RequestHandler) -> bool:
     """Return whether a connection has no request that was read completely and is unanswered.
 
     aiohttp has no public interface for that, but its protocol waits for a request in exactly this
@@ -187,7 +187,7 @@
     while is_unfinished and clock.now_s() < until_s:
         await asyncio.sleep(CHECK_EVERY_S)
         for listener in listeners:
-            listener.close_resting()
+            listener.close_idle()
         is_unfinished = _count_unfinished(listeners, unfinished) > 0
     log_listeners(_LOG, "stopped", listeners, unfinished)
     return not is_unfinished
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -19,7 +19,7 @@
 from ..membership import SharedState
 from ..outcomes import NotRun, Run
 from ..placement import Replica
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..retry_budget import DEFAULT_RETRY_RATIO, RetryBudget, backoff_s
 from ..routing import Candidate, Flight, ReplicaLoads
 from ._admission import ReplicaGate
@@ -162,7 +162,7 @@
         """
         run = _Run(self, request, caller, life, weight)
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 return await run.to_end()
         except DaemonStopping:
             return run.end_by_stop()
@@ -313,9 +313,9 @@
     def end_by_stop(self) -> NotRun | GaveUp:
         """End a request that is left when this daemon's time to stop is over."""
         if self.life.give_up() is Run.NOT_RUN and not self.relay.events:
-            return NotRun(STOPPING)
+            return NotRun(STOPPING_REASON)
         self.cancel_at_engine()
-        return GaveUp(STOPPING, Run.UNKNOWN)
+        return GaveUp(STOPPING_REASON, Run.UNKNOWN)
 
     # One replica --------------------------------------------------------------------------
 
--- a/ferrydock/requests/tests/test_attempt.py
+++ b/ferrydock/requests/tests/test_attempt.py
@@ -23,7 +23,7 @@
                 raise
 
     async def request():
-        async with limit.hold():
+        async with limit.apply():
             await attempt_once()
             await asyncio.sleep(LIMIT_S)
 
--- a/ferrydock/route_metrics.py
+++ b/ferrydock/route_metrics.py
@@ -39,7 +39,7 @@
     Examples
     --------
     >>> metrics = RouteMetrics()
-    >>> metrics.ended("r", "stream", "done", 0.2)
+    >>> metrics.count_request("r", "stream", "done", 0.2)
     >>> b'ferrydock_requests_total{kind="stream",outcome="done",route="r"} 1.0' in metrics.text()
     True
     >>> metrics.add_plan("hall-a", {"large": 2}, {"large": 11.5})
@@ -172,7 +172,7 @@
             "ferrydock_log_lines_left_out", "Log lines left out of late.", registry=registry
         )
 
-    def ended(self, route: str, kind: str, outcome: str, first_s: float | None) -> None:
+    def count_request(self, route: str, kind: str, outcome: str, first_s: float | None) -> None:
         """Count a request that has ended.
 
         `first_s` is the time to the first byte of the answer in seconds; None if the caller
