--- a/ferrydock/emulator/_stop_callers.py
+++ b/ferrydock/emulator/_stop_callers.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..route_daemon import LISTEN_AFTER_READY_S
+from ..route_daemon import LISTEN_AFTER_NOT_READY_S
 from ._load import ANSWER_TIMEOUT_S, Call, receive, request_of
 from ._processes import DaemonProcess
 
@@ -75,16 +75,16 @@
 def draw_visits(rng: random.Random) -> list[Visit]:
     """Return the callers of one stop."""
     is_quiet = rng.random() < QUIET_SHARE
-    until_s = LISTEN_AFTER_READY_S + (-QUIET_BEFORE_END_S if is_quiet else 0.3)
+    until_s = LISTEN_AFTER_NOT_READY_S + (-QUIET_BEFORE_END_S if is_quiet else 0.3)
     visits = [_kept(rng, "write-large", rng.uniform(-0.6, 0.0)) for _ in range(3)]
     visits += [_kept(rng, rng.choice(_KINDS), rng.uniform(0.0, until_s)) for _ in range(4)]
     visits += _at_the_end_of_listening(rng)
-    visits += [_in_pieces(rng, moment_s) for moment_s in (0.0, 0.0, LISTEN_AFTER_READY_S)]
+    visits += [_in_pieces(rng, moment_s) for moment_s in (0.0, 0.0, LISTEN_AFTER_NOT_READY_S)]
     visits += [_new(rng, rng.uniform(0.0, min(until_s, 1.5))) for _ in range(3)]
     visits.append(Visit("look", -0.7, rng.uniform(-0.6, until_s - 1.0), reads_slowly=True))
     if not is_quiet:
         visits += [Visit(rng.choice(_KINDS), -0.7, -0.6, returns=True) for _ in range(2)]
-        visits += [_new(rng, LISTEN_AFTER_READY_S + rng.uniform(-0.3, 0.1)) for _ in range(3)]
+        visits += [_new(rng, LISTEN_AFTER_NOT_READY_S + rng.uniform(-0.3, 0.1)) for _ in range(3)]
     if rng.random() < 0.3:
         visits.append(_late_body(rng))
     return visits
@@ -102,7 +102,7 @@
 def _at_the_end_of_listening(rng: random.Random) -> list[Visit]:
     """Return callers on kept connections who send at nearly one time, about when listening ends."""
     is_any_time = rng.random() < 0.3
-    burst_s = LISTEN_AFTER_READY_S + (
+    burst_s = LISTEN_AFTER_NOT_READY_S + (
         rng.uniform(-0.2, 0.05) if is_any_time else -BURST_BEFORE_END_S
     )
     kinds = rng.choice((("write-large", "write-small"), _KINDS))
@@ -120,7 +120,7 @@
 
 def _late_body(rng: random.Random) -> Visit:
     """Return a caller whose body is whole only near the end of the grace."""
-    send_s = rng.uniform(0.0, LISTEN_AFTER_READY_S - 0.2)
+    send_s = rng.uniform(0.0, LISTEN_AFTER_NOT_READY_S - 0.2)
     return Visit(rng.choice(_KINDS), -0.7, send_s, 1, rng.uniform(6.5, 7.6) - send_s)
 
 
--- a/ferrydock/emulator/_stops.py
+++ b/ferrydock/emulator/_stops.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ..route_daemon import LISTEN_AFTER_READY_S
+from ..route_daemon import LISTEN_AFTER_NOT_READY_S
 from ._experiment import Trouble
 from ._load import Call
 from ._stop_callers import WATCHED_BEFORE_S
@@ -253,10 +253,10 @@
     """
     drawn = []
     if rng.random() < 0.6:
-        at_s = stop_s + LISTEN_AFTER_READY_S - rng.uniform(*FROZEN_BEFORE_END_S)
+        at_s = stop_s + LISTEN_AFTER_NOT_READY_S - rng.uniform(*FROZEN_BEFORE_END_S)
         for_s = rng.uniform(*FROZEN_TWICE_S)
         drawn.append(Trouble(at_s, "stop_frozen", 2, for_s, daemon=daemon))
-    for moment_s, share in ((0.0, 0.15), (LISTEN_AFTER_READY_S, 0.2), (GRACE_S - 0.8, 0.15)):
+    for moment_s, share in ((0.0, 0.15), (LISTEN_AFTER_NOT_READY_S, 0.2), (GRACE_S - 0.8, 0.15)):
         if rng.random() < share:
             for_s = rng.uniform(*FROZEN_S)
             at_s = stop_s + moment_s - rng.uniform(0.0, for_s)
--- a/ferrydock/platform/tests/test_planned_stop.py
+++ b/ferrydock/platform/tests/test_planned_stop.py
@@ -8,8 +8,8 @@
 from ...route_daemon._daemon import (
     BALANCER_CHECK_S,
     BALANCER_MISSES,
-    KILL_MARGIN_S,
-    LISTEN_AFTER_READY_S,
+    CLOSE_BEFORE_KILL_S,
+    LISTEN_AFTER_NOT_READY_S,
 )
 from ...standins.fleet import request_bytes
 from .test_site import REPLICAS, Site, ask, play
@@ -70,8 +70,8 @@
     """
     excused_s = 3.0
     signal_is_late_s = 0.3  # a daemon that stands still, or is short of processor time
-    assert BALANCER_MISSES * BALANCER_CHECK_S < LISTEN_AFTER_READY_S
-    assert LISTEN_AFTER_READY_S + signal_is_late_s < excused_s
+    assert BALANCER_MISSES * BALANCER_CHECK_S < LISTEN_AFTER_NOT_READY_S
+    assert LISTEN_AFTER_NOT_READY_S + signal_is_late_s < excused_s
 
 
 def test_a_leader_that_stops_follows_the_next_one_to_the_end(tmp_path):
@@ -128,7 +128,7 @@
             site.site.write_configuration()
             await site.until(lambda: site.formed(REPLICAS))
             await site.until(lambda: second.scheduler_client.address() != "")
-            monkeypatch.setattr(_own_leadership, "pause_before_taking_s", pause_and_note)
+            monkeypatch.setattr(_own_leadership, "pause_before_acquiring_s", pause_and_note)
             monkeypatch.setattr(ControllerLease, "acquire", acquire_and_note)
             stops = [asyncio.ensure_future(first.stop())]
             await site.until(lambda: pausing)
@@ -143,4 +143,4 @@
 def test_what_is_left_is_cut_only_where_the_platform_lets_a_stop_cut_it():
     grace_s = 8.0
     closing_took_s = 1.03  # the longest of 337 stops of a soak beside other work
-    assert closing_took_s < KILL_MARGIN_S < grace_s / 6
+    assert closing_took_s < CLOSE_BEFORE_KILL_S < grace_s / 6
--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -445,7 +445,7 @@
     tmp_path, monkeypatch, is_first_start
 ):
     monkeypatch.setattr(
-        "ferrydock.route_daemon._store_follower.HEAR_PEER_S", FORMED_S
+        "ferrydock.route_daemon._store_follower.FIRST_START_WAIT_S", FORMED_S
     )  # longer than needed
 
     async def scenario():
--- a/ferrydock/route_daemon/__init__.py
+++ b/ferrydock/route_daemon/__init__.py
@@ -8,12 +8,12 @@
 (`ferrydock.platform`). The other program, ``ferrydockd``, is `ferrydock.node`.
 """
 
-from ._daemon import LISTEN_AFTER_READY_S, RouteDaemon
+from ._daemon import LISTEN_AFTER_NOT_READY_S, RouteDaemon
 from ._deployment import Deployment, deployment_kinds, open_deployment, register_deployment
 from ._settings import LiveSettings, RouteDaemonSettings, check_settings
 
 __all__ = [
-    "LISTEN_AFTER_READY_S",
+    "LISTEN_AFTER_NOT_READY_S",
     "Deployment",
     "LiveSettings",
     "RouteDaemon",
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -93,14 +93,14 @@
 # be in flight when the process is killed, and is then cut off, while a caller whose connection is
 # closed or refused goes to another daemon at once. The platform tolerates a cut-off only for
 # requests sent within 3 s of SIGTERM.
-LISTEN_AFTER_READY_S = (BALANCER_MISSES + 0.5) * BALANCER_CHECK_S
+LISTEN_AFTER_NOT_READY_S = (BALANCER_MISSES + 0.5) * BALANCER_CHECK_S
 
 # How long before the process is killed the remaining requests are ended, so that there is time to
 # send their answers and to close everything else. Closing takes 0.02 s, but took 1.03 s once in 50
 # seeds of the soak of stops on a loaded machine. The margin is within the last sixth of the usual
 # grace period of 8 s (1.33 s), in which the platform lets a stop cut off requests that a target is
 # still working on.
-KILL_MARGIN_S = 1.2
+CLOSE_BEFORE_KILL_S = 1.2
 
 
 class RouteDaemon:
@@ -389,8 +389,8 @@
     async def stop(self) -> None:
         """Stop as planned: report not ready, let requests in flight finish, then close."""
         self.stopping.set()
-        within_s = self.settings.stop_within_s - KILL_MARGIN_S
-        await finish_requests([self.gateway], LISTEN_AFTER_READY_S, within_s, self.clock)
+        within_s = self.settings.stop_within_s - CLOSE_BEFORE_KILL_S
+        await finish_requests([self.gateway], LISTEN_AFTER_NOT_READY_S, within_s, self.clock)
         await self.close()
 
     async def close(self) -> None:
@@ -409,7 +409,7 @@
             self.deployment.control,
             self.deployment.store,
         )
-        # Concurrently: each may wait for its peers, and all must close within `KILL_MARGIN_S`.
+        # Concurrently: each may wait for its peers; all must close within `CLOSE_BEFORE_KILL_S`.
         await asyncio.gather(*(component.close() for component in components))
 
     def reread_settings(self) -> None:
--- a/ferrydock/route_daemon/_leader_choice.py
+++ b/ferrydock/route_daemon/_leader_choice.py
@@ -12,7 +12,7 @@
 
 import random
 
-__all__ = ["AMPLE_CORES", "is_better_leader", "pause_before_taking_s"]
+__all__ = ["AMPLE_CORES", "is_better_leader", "pause_before_acquiring_s"]
 
 # Processor cores that suffice to lead a hall: more than twice the average use of the busiest
 # daemon, to leave room for twice the traffic.
@@ -32,7 +32,7 @@
 MIN_RUN_TIME_S = 3.0
 
 
-def pause_before_taking_s(cores: float, jitter_s: float, rng: random.Random) -> float:
+def pause_before_acquiring_s(cores: float, jitter_s: float, rng: random.Random) -> float:
     """Return how long a daemon waits before it acquires a free lease, in seconds.
 
     Parameters
@@ -44,7 +44,7 @@
 
     Examples
     --------
-    >>> ample, small = (pause_before_taking_s(c, 0.4, random.Random(1)) for c in (2.15, 0.5))
+    >>> ample, small = (pause_before_acquiring_s(c, 0.4, random.Random(1)) for c in (2.15, 0.5))
     >>> round(small - ample, 3)
     0.5
     """
--- a/ferrydock/route_daemon/_own_leadership.py
+++ b/ferrydock/route_daemon/_own_leadership.py
@@ -12,7 +12,7 @@
 from ..outcomes import Unavailable
 from ..relay import RelayClient
 from ..store import RangeDone
-from ._leader_choice import is_better_leader, pause_before_taking_s
+from ._leader_choice import is_better_leader, pause_before_acquiring_s
 from ._leadership import HallLeadership
 
 __all__ = ["OFFER_METHOD", "OwnHallLeadership"]
@@ -132,7 +132,7 @@
         await self._wait_until_settled()
         if not self._is_offer_accepted:
             cores = self.lease.processor_cores or 0.0
-            await asyncio.sleep(pause_before_taking_s(cores, ACQUIRE_JITTER_S, self.rng))
+            await asyncio.sleep(pause_before_acquiring_s(cores, ACQUIRE_JITTER_S, self.rng))
         self._is_offer_accepted = False
         reread = await self.store.range(self.key)
         if not isinstance(reread, RangeDone):
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -41,7 +41,7 @@
 
 # How long a daemon waits at the first start of a site for updates from its hall leader before it
 # reads the store itself.
-HEAR_PEER_S = 0.8
+FIRST_START_WAIT_S = 0.8
 
 
 # Time within which a hall has a leader that relays the complete target list after an era of the
@@ -251,7 +251,7 @@
         """
         if not self.deployment.settings.is_first_start:
             return
-        until_s = self.clock.now_s() + HEAR_PEER_S
+        until_s = self.clock.now_s() + FIRST_START_WAIT_S
         while self.clock.now_s() < until_s:
             if self.leadership.is_relayed or self.leadership.lease.is_valid:
                 return
