--- a/ferrydock/daemon.py
+++ b/ferrydock/daemon.py
@@ -24,7 +24,7 @@
 from .outcomes import Invalid
 from .startup import (
     DaemonSignals,
-    asked_for_text,
+    informational_text,
     parse_flags,
     refuse_to_start,
     run_service,
@@ -97,7 +97,7 @@
     """Run the daemon; return the exit status."""
     arguments = list(sys.argv if argv is None else argv)
     define_flags()
-    text = asked_for_text(arguments, _help_text)
+    text = informational_text(arguments, _help_text)
     if text:
         print(text)
         return 0
--- a/ferrydock/emulator/_daemon_troubles.py
+++ b/ferrydock/emulator/_daemon_troubles.py
@@ -5,7 +5,7 @@
 import signal
 import time
 
-from ..invariants import existing
+from ..invariants import require
 from ._experiment import Trouble
 from ._processes import DaemonProcess
 from ._stop_callers import StopCallers
@@ -112,7 +112,7 @@
     result.stops.append(stop)
     parts.stops[daemon.name] = stop
     daemon.signal(signal.SIGTERM)
-    process = existing(daemon.process, "the process")
+    process = require(daemon.process, "the process")
     try:
         async with asyncio.timeout(GRACE_S):
             await process.wait()
--- a/ferrydock/emulator/_processes.py
+++ b/ferrydock/emulator/_processes.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from ..invariants import existing
+from ..invariants import require
 
 __all__ = ["DaemonProcess", "free_ports", "loopback_address"]
 
@@ -131,7 +131,7 @@
         """
         if self.runs:
             with suppress(ProcessLookupError):
-                os.kill(existing(self.process, "the process").pid, number)
+                os.kill(require(self.process, "the process").pid, number)
 
     async def end(self) -> None:
         """Wait until the process is gone; kill it if it takes too long."""
--- a/ferrydock/emulator/_run.py
+++ b/ferrydock/emulator/_run.py
@@ -10,7 +10,7 @@
 import tempfile
 from pathlib import Path
 
-from ..invariants import existing
+from ..invariants import require
 from ..standins.fleet import FleetSite
 
 # Imported for the troubles that they register.
@@ -56,9 +56,7 @@
         self.daemons: list[DaemonProcess] = []
         self.result = Result(experiment.name, experiment.seed)
         self._own_folder = tempfile.TemporaryDirectory() if folder is None else None
-        self.folder = (
-            Path(self._own_folder.name) if self._own_folder else existing(folder, "folder")
-        )
+        self.folder = Path(self._own_folder.name) if self._own_folder else require(folder, "folder")
         self._began_s = 0.0
         self._tasks: set[asyncio.Task] = set()
         self._store_hurts: list[StoreHurt] = []
--- a/ferrydock/emulator/_target_troubles.py
+++ b/ferrydock/emulator/_target_troubles.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ..invariants import existing
+from ..invariants import require
 from ..standins.fleet import Worker
 from ._experiment import Trouble
 from ._limits import LIMITS_PER_S
@@ -64,7 +64,7 @@
 @trouble("crashing_request")
 async def send_crashing_request(parts: PlayedParts, met: Trouble) -> str:
     """Send a request that crashes each worker that runs it."""
-    return await existing(parts.crashing, "the callers").run(met)
+    return await require(parts.crashing, "the callers").run(met)
 
 
 @trouble("workers_crash")
@@ -121,7 +121,7 @@
         per_s = parts.rng.choice(LIMITS_PER_S)
         parts.site.limit_worker(target.worker_id, per_s)
         named.append(target)
-    text = ",".join(f"{t.worker_id}={existing(t.limit, 'the limit').per_s:g}" for t in named)
+    text = ",".join(f"{t.worker_id}={require(t.limit, 'the limit').per_s:g}" for t in named)
     await asyncio.sleep(met.for_s)
     for target in named:
         parts.site.end_limit(target.worker_id)
--- a/ferrydock/forwarding/_answer_relay.py
+++ b/ferrydock/forwarding/_answer_relay.py
@@ -8,7 +8,7 @@
 from multidict import CIMultiDict
 
 from ..clock import Clock
-from ..invariants import existing
+from ..invariants import require
 from ._exchange import AttemptEnd, AttemptReason, CallerGone, Exchange
 from ._headers import end_to_end
 from ._target_loads import TargetLoads
@@ -75,7 +75,7 @@
         An incomplete event is held back. If the connection to the target fails within it, the
         stream can be resumed at another target after the last complete event, without repeats.
         """
-        events = existing(exchange.events, "the event counter of a stream")
+        events = require(exchange.events, "the event counter of a stream")
         events.start_run()
         last_piece_s = self.clock.now_s() if events.count else None
         async for piece in answer.content.iter_any():
@@ -88,13 +88,13 @@
             if complete:
                 if exchange.response is None:
                     await self._start_answer(exchange, answer)
-                await _write(existing(exchange.response, "the begun answer"), complete)
+                await _write(require(exchange.response, "the begun answer"), complete)
         _raise_if_reset(answer)
         if events.has_partial_event:
             return AttemptEnd(False, True, AttemptReason.TORN)
         if exchange.response is None:
             await self._start_answer(exchange, answer)
-        await _write_end(existing(exchange.response, "the begun answer"))
+        await _write_end(require(exchange.response, "the begun answer"))
         return AttemptEnd(True, True, AttemptReason.STREAMED, status=answer.status)
 
     async def _start_answer(
--- a/ferrydock/forwarding/_forwarder.py
+++ b/ferrydock/forwarding/_forwarder.py
@@ -13,7 +13,7 @@
 
 from ..clock import Clock
 from ..crashes import CRASHES_TARGETS
-from ..invariants import existing
+from ..invariants import require
 from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..retry_budget import RetryBudget
 from ..scheduling import Endpoint
@@ -125,7 +125,7 @@
                 self.crashes.record_answer(exchange)
                 self._record_times(exchange)
                 self._log.request_done(exchange, end, endpoint, self._since_arrival_s(exchange))
-                return existing(exchange.response, "the whole answer")
+                return require(exchange.response, "the whole answer")
             exchange.last_reason = end.reason
             self._log.attempt_failed(exchange, end, endpoint)
             await self.crashes.check_failed_attempt(exchange, endpoint.target, end, sent_s)
--- a/ferrydock/forwarding/_gateway.py
+++ b/ferrydock/forwarding/_gateway.py
@@ -22,7 +22,7 @@
     WeightedService,
 )
 from ..crashes import IDENTIFIED_BODY_BYTES, request_identity
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..outcomes import Invalid
 from ..planned_stop import STOPPING_REASON, STOPPING_RETRY_S, DaemonStopping, log_listeners
@@ -189,7 +189,7 @@
         """Close connections that exceed the configuration's header timeout or idle timeout."""
         if self.current.lookup is not None:
             limits = self.current.lookup.configuration.limits
-            existing(self._server, "the listener").close_timed_out(
+            require(self._server, "the listener").close_timed_out(
                 limits.header_timeout_s, limits.idle_timeout_s
             )
 
--- a/ferrydock/forwarding/_retry_rule.py
+++ b/ferrydock/forwarding/_retry_rule.py
@@ -61,7 +61,7 @@
     """
     if exchange.response is None:
         return True
-    if exchange.budget is None or exchange.budget.left < reserved_retries + 1:
+    if exchange.budget is None or exchange.budget.available < reserved_retries + 1:
         return False
     interrupted = AttemptEnd(False, True, AttemptReason.TIME_OVER)
     return may_retry(exchange, interrupted, left_s, may_go_elsewhere)
--- a/ferrydock/forwarding/tests/test_interruptions.py
+++ b/ferrydock/forwarding/tests/test_interruptions.py
@@ -133,7 +133,7 @@
             rig.stalls.mark_broken(KEYS[first], MEMBER_DEAD)
             assert body_of(await streaming) == (COMPLETE_BODY, True)
             assert [len(target.requests) for target in targets] == [1, 1]
-            assert rig.budget.left == 0
+            assert rig.budget.available == 0
 
     play(scenario)
 
@@ -157,7 +157,7 @@
                 await rig.stalls.step()
                 await asyncio.sleep(0.005)
             assert body_of(await streaming) == (COMPLETE_BODY, True)
-            assert rig.budget.left == 0
+            assert rig.budget.available == 0
 
     play(scenario)
 
@@ -177,7 +177,7 @@
             answers = [body_of(await each) for each in streaming]
             assert answers == [(COMPLETE_BODY, True)] * 6, moved
             assert sum(len(target.requests) for target in targets) <= 8
-            assert rig.budget.left >= 0
+            assert rig.budget.available >= 0
 
     play(scenario)
 
--- a/ferrydock/gateway/_app.py
+++ b/ferrydock/gateway/_app.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..outcomes import Run
 from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit, log_listeners
@@ -109,7 +109,7 @@
         await self._runner.setup()
         max_connections, first_request_s = self._guard_settings
         self._guard = ConnectionGuard(
-            existing(self._runner.server, "the server"), max_connections, first_request_s
+            require(self._runner.server, "the server"), max_connections, first_request_s
         )
         host, port = listen.rsplit(":", 1)
         self._server = await asyncio.get_running_loop().create_server(
@@ -121,7 +121,7 @@
 
     def connection_counts(self) -> dict[str, int]:
         """Return how many connections were refused, and how many sent no request in time."""
-        guard = existing(self._guard, "the connection guard")
+        guard = require(self._guard, "the connection guard")
         return {"refused": guard.refused, "timed_out": guard.timed_out}
 
     @property
@@ -170,7 +170,7 @@
         is_always_served = handler in (self._healthz, self._readyz)
 
         async def _handle(request: web.Request) -> web.StreamResponse:
-            guard = existing(self._guard, "the connection guard")
+            guard = require(self._guard, "the connection guard")
             is_owed = guard.begin_request(request.protocol)
             self.in_flight += 1
             try:
--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 
 from ..clock import Clock
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..membership import SharedState
 from ..outcomes import Invalid, NotRun
@@ -112,7 +112,7 @@
         team = self.callers.team(request)
         if team is None:
             return _unauthorised()
-        view = existing(self.state.keeper.view, "the table in force")
+        view = require(self.state.keeper.view, "the table in force")
         names = sorted({s.model for s in view.shares.values() if s.team == team})
         listed = [
             {"id": name, "object": "model", "created": 0, "owned_by": "ferrydock"} for name in names
@@ -131,7 +131,7 @@
         wanted = self._parse(request, team, raw)
         if isinstance(wanted, Invalid):
             return invalid_response(wanted)
-        view = existing(self.state.keeper.view, "the table in force")
+        view = require(self.state.keeper.view, "the table in force")
         share = view.share_of(team, wanted.model)
         if share is None:
             known = wanted.model in view.models
@@ -216,7 +216,7 @@
             outcome = await self.executor.run(wanted, caller, life, share.weight)
         except CallerLeft:
             self.recorder.left(wanted)
-            return existing(caller.response, "the begun answer")
+            return require(caller.response, "the begun answer")
         if claim is not None:
             await self.work.record(self._end_claim(claim, outcome, caller))
         self.recorder.ended(wanted, outcome, caller.first_s, started_s, self.clock.now_s())
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 
 from ..clock import Clock
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..outcomes import NotRun, Run
 from ..planned_stop import STOPPING_REASON, DaemonStopping
@@ -114,7 +114,7 @@
         if team is None:
             return error_response(401, "unauthorised", "the bearer key belongs to no enabled team")
         name = request.match_info["name"]
-        target = existing(self.keeper.view, "the table in force").plain_service(name)
+        target = require(self.keeper.view, "the table in force").plain_service(name)
         if target is None:
             return error_response(404, "no_such_service", f"there is no service {name}")
         if target.leaving:
--- a/ferrydock/gateway/_spill.py
+++ b/ferrydock/gateway/_spill.py
@@ -11,7 +11,7 @@
 
 from ..clock import Clock
 from ..http_client import open_session
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..membership import HallSummary, SharedState
 from ..outcomes import NotRun, Run
@@ -72,7 +72,7 @@
     def halls_with_room(self, model: str) -> list[HallSummary]:
         """Return other halls that serve the model and have free slots, the nearest first."""
         now_s = self.clock.now_s()
-        view = existing(self.state.keeper.view, "the table in force")
+        view = require(self.state.keeper.view, "the table in force")
         found = []
         for summary in self.state.halls.values():
             if now_s - summary.made_s > SUMMARY_FRESH_S or not summary.contacts:
--- a/ferrydock/gateway/_stream_caller.py
+++ b/ferrydock/gateway/_stream_caller.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from ..clock import Clock
-from ..invariants import existing
+from ..invariants import require
 from ..outcomes import NotRun, Run
 from ..requests import CallerLeft, GaveUp, ModelRequest, error_event
 from ._errors import error_body
@@ -116,4 +116,4 @@
         return self._begun()
 
     def _begun(self) -> web.StreamResponse:
-        return existing(self.response, "the begun answer")
+        return require(self.response, "the begun answer")
--- a/ferrydock/hall/_controller.py
+++ b/ferrydock/hall/_controller.py
@@ -11,7 +11,7 @@
 from ..clock import Clock
 from ..engines import EngineControl, OrderRefused
 from ..hall_lease import ControllerLease, HeldLease
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..outcomes import Conflict, Unavailable, Unknown
 from ..placement import (
@@ -287,7 +287,7 @@
         await self.observer.refresh(known, list_interval_s=0.0)
         if not self.lease.is_valid:
             return False
-        held = existing(self.lease.held, "the lease")
+        held = require(self.lease.held, "the lease")
         adopted = adopt(known, self.observer.boxes(view), held.term)
         self._stored_record = stored
         log_event(
@@ -305,8 +305,8 @@
         if not self.lease.is_valid:
             return False
         self.counters.writes += 1
-        stored = existing(self._stored_record, "the stored placement record")
-        held = existing(self.lease.held, "the lease")
+        stored = require(self._stored_record, "the stored placement record")
+        held = require(self.lease.held, "the lease")
         outcome = await self.repository.write(placement, stored, held.term)
         if isinstance(outcome, StoredPlacement):
             self._stored_record = outcome
--- a/ferrydock/invariants.py
+++ b/ferrydock/invariants.py
@@ -2,7 +2,7 @@
 
 from typing import TypeVar
 
-__all__ = ["BrokenInvariant", "existing"]
+__all__ = ["BrokenInvariant", "require"]
 
 T = TypeVar("T")
 
@@ -11,7 +11,7 @@
     """A condition that the code relies on does not hold: a bug in ferrydock."""
 
 
-def existing(value: T | None, what: str) -> T:
+def require(value: T | None, what: str) -> T:
     """Return a value that must not be None.
 
     Raises
@@ -21,9 +21,9 @@
 
     Examples
     --------
-    >>> existing(7, "the lease")
+    >>> require(7, "the lease")
     7
-    >>> existing(None, "the lease")
+    >>> require(None, "the lease")
     Traceback (most recent call last):
     ...
     ferrydock.invariants.BrokenInvariant: the lease is missing
--- a/ferrydock/membership/_state.py
+++ b/ferrydock/membership/_state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ..hall import Attestation, Attestations
-from ..invariants import existing
+from ..invariants import require
 from ..placement import HallPlacement, ReplicaPhase
 from ..table import TableKeeper, TableView
 from ._members import DaemonInfo, MemberTable
@@ -262,7 +262,7 @@
             serving = replica.phase is ReplicaPhase.SERVING
             if not serving or not self.attestations.whole(replica, now_s):
                 continue
-            statement = existing(self.attestations.get(replica.replica_id), "its attestation")
+            statement = require(self.attestations.get(replica.replica_id), "its attestation")
             load = loads.setdefault(replica.model, [0, 0, 0])
             load[0] += 1
             load[1] += replica.slots
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -19,7 +19,7 @@
     TableRoutes,
 )
 from ..hall import Attestations, HallController, HallObserver, Prober
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..membership import (
     BurnGatherer,
@@ -308,7 +308,7 @@
         chosen = self.rounds.responsibilities.order(working, "claims/" + self.settings.hall)[0]
         if chosen == self.name:
             return None
-        return existing(self.state.members.get(chosen), chosen).peer_address
+        return require(self.state.members.get(chosen), chosen).peer_address
 
     # What the parts tell each other --------------------------------------------------------
 
--- a/ferrydock/node/_tls.py
+++ b/ferrydock/node/_tls.py
@@ -4,7 +4,7 @@
 import os
 import ssl
 
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 
 __all__ = ["CallerTls"]
@@ -42,7 +42,7 @@
 
     def _read(self) -> None:
         self._read_ns = self._changed_ns()
-        existing(self.context, "the context").load_cert_chain(self.certificate_path, self.key_path)
+        require(self.context, "the context").load_cert_chain(self.certificate_path, self.key_path)
 
     def renew(self) -> bool:
         """Read the files again if they have changed; return whether they were taken.
--- a/ferrydock/placement/_observed.py
+++ b/ferrydock/placement/_observed.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 from ..engines import BoxPhase, BoxState
-from ..invariants import existing
+from ..invariants import require
 from ..store import Box
 
 __all__ = ["Absence", "AbsenceModel", "ObservedBox"]
@@ -45,7 +45,7 @@
     @property
     def known_state(self) -> BoxState:
         """The last reported state; fails for a box that has never answered."""
-        return existing(self.state, f"the state of {self.box.name}")
+        return require(self.state, f"the state of {self.box.name}")
 
     @property
     def present(self) -> bool:
--- a/ferrydock/relay/_peers.py
+++ b/ferrydock/relay/_peers.py
@@ -10,7 +10,7 @@
 import grpc
 import grpc.aio
 
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ._packing import decompress
 
@@ -88,7 +88,7 @@
             await self._note_failure(address, method, error, began_s)
             return None
         except asyncio.CancelledError:
-            if existing(asyncio.current_task(), "the current task").cancelling():
+            if require(asyncio.current_task(), "the current task").cancelling():
                 raise
             # Not cancelled from outside: another call has closed the shared connection.
             log_event(
--- a/ferrydock/replicas/_controller.py
+++ b/ferrydock/replicas/_controller.py
@@ -12,7 +12,7 @@
 from ..clock import Clock
 from ..configuration import CurrentConfiguration, EngineSpec, ModelSpec
 from ..hall_lease import ControllerLease
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..route_metrics import RouteMetrics
 from ..store import Store
@@ -134,7 +134,7 @@
         if is_demand_due:
             self._demand_checked_s = now_s
         for service in self.current.engine_services():
-            engine = existing(service.engine, "the engine")
+            engine = require(service.engine, "the engine")
             await self._step_service(service.name, engine, is_demand_due)
 
     async def _step_service(self, service: str, engine: EngineSpec, is_demand_due: bool) -> None:
--- a/ferrydock/replicas/_record.py
+++ b/ferrydock/replicas/_record.py
@@ -10,7 +10,7 @@
 import orjson
 
 from ..hall_lease import placement_key
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..outcomes import Unavailable, Unknown
 from ..store import Compare, KeyValue, Position, Put, RangeDone, Store, Txn, TxnDone
@@ -72,7 +72,7 @@
         """
         key = placement_key(self.hall)
         value = self._encode(plans)
-        read = existing(self._position, "the position of the record that was read")
+        read = require(self._position, "the position of the record that was read")
         txn = Txn((Compare(key, read.revision),), (Put(key, value),), (key,), read.era)
         done = await self.store.transact(txn)
         if isinstance(done, Unknown):
--- a/ferrydock/requests/_admission.py
+++ b/ferrydock/requests/_admission.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from ..clock import Clock
-from ..invariants import existing
+from ..invariants import require
 from ..membership import SharedState
 from ..outcomes import NotRun
 from ..placement import Replica
@@ -155,7 +155,7 @@
             queue.remove(waiting)
 
     def _shed(self, waiting: Waiting[_QueuedRequest]) -> None:
-        queued = existing(waiting.wake, "the queued request")
+        queued = require(waiting.wake, "the queued request")
         if not queued.chosen.done():
             queued.chosen.set_result(
                 self._not_run(queued.request, "overloaded", "shed for a higher priority")
@@ -195,7 +195,7 @@
         if queue is None:
             return
         while (waiting := queue.peek()) is not None:
-            queued = existing(waiting.wake, "the queued request")
+            queued = require(waiting.wake, "the queued request")
             if queued.chosen.done():
                 queue.remove(waiting)
                 continue
--- a/ferrydock/requests/_attempt.py
+++ b/ferrydock/requests/_attempt.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ..http_client import open_session
-from ..invariants import existing
+from ..invariants import require
 from ..placement import Replica
 from ._events import EventRelay
 from ._model_request import ModelRequest
@@ -117,7 +117,7 @@
 
     def begin(self) -> None:
         """Name the running task as the one that `abandon` interrupts."""
-        self._task = existing(asyncio.current_task(), "the running task")
+        self._task = require(asyncio.current_task(), "the running task")
         self._cancelled_before = self._task.cancelling()
 
     def end(self) -> None:
@@ -160,7 +160,7 @@
         if self._kept is None:
             self._kept = _open_session(KEEP_IDLE_S)
             self._single_use = _open_session(None)
-        return existing(self._kept if repeatable else self._single_use, "the session")
+        return require(self._kept if repeatable else self._single_use, "the session")
 
     async def close(self) -> None:
         """Close the connections."""
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -14,7 +14,7 @@
 from ..clock import Clock
 from ..crashes import CRASHES_TARGETS, CrashHistory, TargetPresence, TargetProbe, request_identity
 from ..engines import EngineControl
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..membership import SharedState
 from ..outcomes import NotRun, Run
@@ -299,7 +299,7 @@
             executor.crashes.note_crash(self.identity, replica.head.url, sent_s, ended_s)
 
     async def _choose(self) -> Candidate | NotRun:
-        wait_s = existing(self.executor.state.keeper.view, "the table in force").site.queue_wait_s
+        wait_s = require(self.executor.state.keeper.view, "the table in force").site.queue_wait_s
         if self.relay.events:
             wait_s = max(wait_s, CONTINUE_WAIT_S)
         return await self.executor.gate.choose(self.request, self.excluded, self.weight, wait_s)
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -59,7 +59,7 @@
 
 def executor_before(engines):
     executor = RequestExecutor(engines, engines, EngineControl, random.Random(1), StopLimit())
-    executor.budget.limit(1000)
+    executor.budget.set_max_saved(1000)
     executor.budget._saved = 1000
     return executor
 
--- a/ferrydock/retry_budget.py
+++ b/ferrydock/retry_budget.py
@@ -61,7 +61,7 @@
         self.refused = 0
 
     @property
-    def left(self) -> float:
+    def available(self) -> float:
         """Number of available retries."""
         return self._available
 
@@ -69,7 +69,7 @@
         """Count a first attempt."""
         self._available = min(self.max_saved, self._available + self.ratio)
 
-    def limit(self, max_saved: float) -> None:
+    def set_max_saved(self, max_saved: float) -> None:
         """Change how many retries may be saved up; any beyond that are dropped."""
         self.max_saved = max_saved
         self._available = min(self._available, max_saved)
--- a/ferrydock/route_daemon/__main__.py
+++ b/ferrydock/route_daemon/__main__.py
@@ -13,13 +13,13 @@
 from .. import logs
 from .. import platform as _platform  # noqa: F401  registers the users' platform as a deployment
 from ..clock import SystemClock
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..outcomes import Invalid
 from ..startup import (
     EXIT_STATUS_BROKEN,
     DaemonSignals,
-    asked_for_text,
+    informational_text,
     parse_flags,
     refuse_to_start,
     run_service,
@@ -75,7 +75,7 @@
     arguments = list(sys.argv if argv is None else argv)
     values = flags.FlagValues()
     _define_flags(values)
-    text = asked_for_text(arguments, values.get_help)
+    text = informational_text(arguments, values.get_help)
     if text:
         print(text)
         return 0
@@ -85,13 +85,13 @@
     settings: str = values["settings"].value or ""
     if not settings:
         return refuse_to_start("--settings: '' is not allowed; allowed: the path of a file")
-    deployment = open_deployment(existing(values["deployment"].value, "--deployment"), settings)
+    deployment = open_deployment(require(values["deployment"].value, "--deployment"), settings)
     if isinstance(deployment, Invalid):
         return refuse_to_start(deployment.reason)
     if values["check_settings"].value:
         print("ferrydockd: the settings are good")
         return 0
-    logs.configure(existing(values["log_level"].value, "--log_level"), sys.stdout)
+    logs.configure(require(values["log_level"].value, "--log_level"), sys.stdout)
     return _serve(deployment)
 
 
--- a/ferrydock/route_daemon/_gauges.py
+++ b/ferrydock/route_daemon/_gauges.py
@@ -69,7 +69,7 @@
         metrics.store_era.set(self.deployment.store.era)
         metrics.targets_age.set(self.directory.age_s(now_s))
         for service, budget in self.retry_shares.items():
-            metrics.budget_left.labels(service).set(budget.left)
+            metrics.budget_left.labels(service).set(budget.available)
         for result, calls in self.deployment.store_calls.items():
             metrics.store_calls.labels(result).set(calls)
         crashes = self.gateway.forwarder.crashes.history
--- a/ferrydock/route_daemon/_retry_shares.py
+++ b/ferrydock/route_daemon/_retry_shares.py
@@ -65,7 +65,7 @@
         """Limit each budget to this daemon's share at the current number of daemons."""
         share = self._slack_share()
         for budget in self._budgets.values():
-            budget.limit(share)
+            budget.set_max_saved(share)
 
     def items(self) -> Iterator[tuple[str, RetryBudget]]:
         """Return an iterator over pairs of service and budget."""
--- a/ferrydock/standins/_engine.py
+++ b/ferrydock/standins/_engine.py
@@ -19,7 +19,7 @@
     OrderRefused,
     prefix_blocks,
 )
-from ..invariants import existing
+from ..invariants import require
 from ._weights import StandInWeightStore
 from ._writer import answer_tokens, prompt_of, remaining_tokens
 
@@ -325,7 +325,7 @@
                 return
             if not self.group_whole():
                 continue
-            while self.waiting and len(self.running) < existing(self.order, "the order").slots:
+            while self.waiting and len(self.running) < require(self.order, "the order").slots:
                 self.running.append(heapq.heappop(self.waiting)[2])
             self._step()
 
--- a/ferrydock/standins/_link.py
+++ b/ferrydock/standins/_link.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ..invariants import existing
+from ..invariants import require
 
 __all__ = ["Link"]
 
@@ -36,7 +36,7 @@
     @property
     def address(self) -> str:
         """``IP:PORT`` to connect to."""
-        host, port = existing(self._server, "the listener").sockets[0].getsockname()[:2]
+        host, port = require(self._server, "the listener").sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     async def start(self) -> "Link":
@@ -57,7 +57,7 @@
 
     async def close(self) -> None:
         """Stop listening and drop all connections."""
-        existing(self._server, "the listener").close()
+        require(self._server, "the listener").close()
         for writer in list(self._writers):
             writer.transport.abort()
 
--- a/ferrydock/standins/_plain.py
+++ b/ferrydock/standins/_plain.py
@@ -6,7 +6,7 @@
 import orjson
 from aiohttp import web
 
-from ..invariants import existing
+from ..invariants import require
 
 __all__ = ["StandInService"]
 
@@ -48,7 +48,7 @@
         text = await request.text()
         if self.cut_before_run > 0:
             self.cut_before_run -= 1
-            existing(request.transport, "the connection").abort()
+            require(request.transport, "the connection").abort()
             return web.Response(status=503)
         given = request.headers
         name = given.get("Idempotency-Key") or given.get("X-Request-Id") or ""
@@ -58,6 +58,6 @@
             await asyncio.sleep(self.delay_s)
         if self.cut_after_run > 0:
             self.cut_after_run -= 1
-            existing(request.transport, "the connection").abort()
+            require(request.transport, "the connection").abort()
         body = orjson.dumps({"filed": len(self.records) - 1})
         return web.Response(body=body, status=201, content_type="application/json")
--- a/ferrydock/standins/_site.py
+++ b/ferrydock/standins/_site.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from ..clock import Clock, SystemClock
-from ..invariants import existing
+from ..invariants import require
 from ..store import Box, MemoryStore
 from ._engine import EngineProfile, StandInFleet
 from ._engine_http import engine_routes
@@ -149,7 +149,7 @@
 
     async def _get_boxes(self, request: web.Request) -> web.Response:
         if self.box_list_down:
-            existing(request.transport, "the connection").abort()
+            require(request.transport, "the connection").abort()
             return web.Response(status=503)
         listed = self.boxes(request.query.get("hall", ""))
         fields = [
--- a/ferrydock/standins/fleet/_store_http.py
+++ b/ferrydock/standins/fleet/_store_http.py
@@ -8,7 +8,7 @@
 import orjson
 from aiohttp import web
 
-from ...invariants import existing
+from ...invariants import require
 from ...store import (
     Compare,
     Delete,
@@ -139,7 +139,7 @@
         if down == "silent":
             await asyncio.sleep(SILENT_S)
         if down == "reset":
-            existing(request.transport, "the connection").abort()
+            require(request.transport, "the connection").abort()
         if down in ("silent", "reset"):
             return web.Response(status=503)
         if down:
--- a/ferrydock/standins/fleet/_worker_http.py
+++ b/ferrydock/standins/fleet/_worker_http.py
@@ -7,7 +7,7 @@
 import orjson
 from aiohttp import web
 
-from ...invariants import existing
+from ...invariants import require
 from ...targets import (
     CloseOrder,
     JoinOrder,
@@ -221,7 +221,7 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if not self.worker.alive and self.has_crashed:
             # Its port is open again, and the process is not yet there: as a port that is closed.
-            existing(request.transport, "the connection").abort()
+            require(request.transport, "the connection").abort()
             raise asyncio.CancelledError
         if not self.worker.alive:
             if "X-Attempt-Id" in request.headers:
@@ -330,7 +330,7 @@
         place = self.worker.membership
         if place is None or place.state.value != "open":
             return False
-        existing(self.fleet, "the fleet").serve(self.worker)
+        require(self.fleet, "the fleet").serve(self.worker)
         return True
 
     async def _events(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -350,10 +350,10 @@
 
     async def _until_whole(self, request: web.BaseRequest, key: tuple[str, int] | None) -> None:
         """Stand still while a member is missing; break off once the group is broken."""
-        while not (self.worker.alive and existing(self.fleet, "the fleet").whole(self.worker)):
+        while not (self.worker.alive and require(self.fleet, "the fleet").whole(self.worker)):
             place = self.worker.membership
             if self.worker.group_key != key or place is None or place.state.value == "broken":
-                existing(request.transport, "the connection").abort()
+                require(request.transport, "the connection").abort()
                 raise asyncio.CancelledError
             await asyncio.sleep(_ONE_MOMENT_S)
 
--- a/ferrydock/standins/fleet/_workers.py
+++ b/ferrydock/standins/fleet/_workers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ...configuration import EngineSpec, ModelSpec
-from ...invariants import existing
+from ...invariants import require
 from ...targets import (
     CloseOrder,
     JoinOrder,
@@ -202,7 +202,7 @@
     @property
     def joined(self) -> Membership:
         """Its membership; only for a worker that has one."""
-        return existing(self.membership, f"the membership of {self.worker_id}")
+        return require(self.membership, f"the membership of {self.worker_id}")
 
     @property
     def group_key(self) -> tuple[str, int] | None:
@@ -315,7 +315,7 @@
             return OrderDone(already=True) if same else OrderRefused("epoch")
         self._judge_leaving(worker)
         before = worker.group_key
-        model = existing(self.engine.model(order.model), order.model)
+        model = require(self.engine.model(order.model), order.model)
         ready_s = self._ready_in_s(worker, model)
         rank = order.members.index(worker.worker_id)
         worker.top_epoch = order.epoch
@@ -399,7 +399,7 @@
     def _stage(self, worker: Worker, order: StageOrder) -> OrderDone | OrderRefused:
         if order.model in worker.staged:
             return OrderDone(already=True)
-        self._load(worker, existing(self.engine.model(order.model), order.model))
+        self._load(worker, require(self.engine.model(order.model), order.model))
         return OrderDone(already=False)
 
     # Groups -----------------------------------------------------------------------------------
@@ -430,14 +430,14 @@
         place = head.membership
         if not head.alive or place is None or place.state is not ReplicaState.OPEN:
             return False
-        size = existing(self.engine.model(head.model), head.model).size
+        size = require(self.engine.model(head.model), head.model).size
         if len(head.members) != size:
             self._partial(head, f"{len(head.members)} of {size} members")
         for member_id in head.members:
             member = self.workers.get(member_id)
             if (
                 member is None
-                or (*existing(head.group_key, "the group"), head.members) not in member.was_ready
+                or (*require(head.group_key, "the group"), head.members) not in member.was_ready
             ):
                 self._partial(head, f"{member_id} was never ready")
         return self.whole(head)
--- a/ferrydock/startup.py
+++ b/ferrydock/startup.py
@@ -22,7 +22,7 @@
     "EXIT_STATUS_BAD_SETTING",
     "EXIT_STATUS_BROKEN",
     "DaemonSignals",
-    "asked_for_text",
+    "informational_text",
     "parse_flags",
     "refuse_to_start",
     "run_service",
@@ -43,7 +43,7 @@
 THREAD_POOL_SIZE = 2
 
 
-def asked_for_text(arguments: Sequence[str], help_text: Callable[[], str]) -> str:
+def informational_text(arguments: Sequence[str], help_text: Callable[[], str]) -> str:
     """Return the text to print for ``--version`` or ``--help``; empty if neither is given."""
     if "--version" in arguments:
         return f"ferrydockd {__version__}"
--- a/ferrydock/table/_columns.py
+++ b/ferrydock/table/_columns.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..invariants import existing
+from ..invariants import require
 
 __all__ = ["SHEETS", "Column", "Sheet", "is_row_name"]
 
@@ -82,7 +82,7 @@
         value = convert(text)
     except ValueError:
         raise ValueError(f"{text!r} is not {column.allowed}") from None
-    if not existing(column.minimum, "minimum") <= value <= existing(column.maximum, "maximum"):
+    if not require(column.minimum, "minimum") <= value <= require(column.maximum, "maximum"):
         raise ValueError(f"{text!r} is not {column.allowed}")
     return value
 
--- a/ferrydock/table/_table.py
+++ b/ferrydock/table/_table.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from ..invariants import existing
+from ..invariants import require
 from ..outcomes import Fault, Invalid
 from ._columns import SHEETS, Sheet, is_row_name
 from ._view import ROW_TYPES, TableView
@@ -87,7 +87,7 @@
 
     def filled(self, key: RowKey, column: str) -> str:
         """Return the text of a cell whose column every row fills, itself or by its default."""
-        return existing(self.text(key, column), f"{key}/{column}")
+        return require(self.text(key, column), f"{key}/{column}")
 
     def changed(self, changes: Iterable[Change], revision: int) -> "Table":
         """Return the table after `changes`, under `revision`."""
@@ -219,9 +219,7 @@
 
 
 def _typed_row(sheet: Sheet, name: str, cells: Mapping[str, str]):
-    values = {
-        c.name: c.parse(existing(cells.get(c.name, c.default), c.name)) for c in sheet.columns
-    }
+    values = {c.name: c.parse(require(cells.get(c.name, c.default), c.name)) for c in sheet.columns}
     if sheet.only_row is None:
         values["name"] = name
     return ROW_TYPES[sheet.name](**values)
--- a/ferrydock/targets/_target.py
+++ b/ferrydock/targets/_target.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from ..invariants import existing
+from ..invariants import require
 
 __all__ = ["ReplicaState", "Membership", "Target"]
 
@@ -84,7 +84,7 @@
     @property
     def existing_membership(self) -> Membership:
         """Membership of a target that belongs to a replica; an error for any other target."""
-        return existing(self.membership, f"the membership of {self.target_id}")
+        return require(self.membership, f"the membership of {self.target_id}")
 
     @property
     def incarnation(self) -> int:
