--- a/benchmarks/_engines.py
+++ b/benchmarks/_engines.py
@@ -164,9 +164,9 @@
                 first, ended = engine.step()
                 for job in first:
                     outcome.first_token_s.append(now_s - job.arrival.at_s)
-                    self.loads_of[job.daemon].first_token(job.flight, now_s)
+                    self.loads_of[job.daemon].note_first_token(job.flight, now_s)
                 for job in ended:
-                    self.loads_of[job.daemon].ended(job.flight)
+                    self.loads_of[job.daemon].note_ended(job.flight)
         return outcome
 
     def _kill(self, dying, now_s: float, outcome: Outcome) -> None:
@@ -176,7 +176,7 @@
             jobs = [*engine.running, *engine.waiting]
             engine.running, engine.waiting = [], deque()
             for job in jobs:
-                self.loads_of[job.daemon].ended(job.flight)
+                self.loads_of[job.daemon].note_ended(job.flight)
                 if not job.started:
                     self._route(job.arrival, now_s, outcome)
 
@@ -196,7 +196,7 @@
             engine.events = [x for x in engine.events if x[0] > now_s - self.lag_s]
             kept = tuple(e for e in due if self.source.random() >= self.loss)
             for loads in self.loads_of:
-                loads.take_events(replica.replica_id, CacheEvents("one", kept))
+                loads.apply_events(replica.replica_id, CacheEvents("one", kept))
 
     def _route(self, arrival: Arrival, now_s: float, outcome: Outcome) -> None:
         loads = self.loads_of[arrival.daemon]
@@ -204,7 +204,7 @@
         candidates = loads.candidates(alive, arrival.blocks, now_s, len(self.loads_of))
         request = RouteRequest("draft", arrival.blocks)
         chosen = self.policies[arrival.daemon].choose(candidates, request)
-        flight = loads.sent(chosen.replica, arrival.blocks, now_s)
+        flight = loads.note_sent(chosen.replica, arrival.blocks, now_s)
         job = _Job(arrival, 0, arrival.tokens, flight, arrival.daemon)
         engine = self.engines[self.replicas.index(chosen.replica)]
         outcome.reused += engine.accept(job, now_s)
--- a/ferrydock/node/_rounds.py
+++ b/ferrydock/node/_rounds.py
@@ -219,6 +219,6 @@
                 after = node.replica_loads.last_sequence(replica.replica_id)
                 news = await node.control.cache_events(replica.head.url, after)
                 if not isinstance(news, Unavailable):
-                    node.replica_loads.take_events(replica.replica_id, news)
+                    node.replica_loads.apply_events(replica.replica_id, news)
                 await asyncio.sleep(1 / EVENT_POLLS_PER_S)
             await asyncio.sleep(max(0.0, 1.0 - len(replicas) / EVENT_POLLS_PER_S))
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -21,7 +21,7 @@
 from ..placement import Replica
 from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..retry_budget import DEFAULT_RETRY_RATIO, RetryBudget, backoff_s
-from ..routing import Candidate, Flight, ReplicaLoads
+from ..routing import Candidate, InFlightRequest, ReplicaLoads
 from ._admission import ReplicaGate
 from ._attempt import Answered, Attempt, Broken, Caller, CallerLeft, EngineClient, Refused, Streamed
 from ._events import EventRelay, text_so_far
@@ -324,7 +324,9 @@
         executor = self.executor
         self.attempts += 1
         self.replica = chosen.replica
-        flight = executor.loads.sent(chosen.replica, self.request.blocks, executor.clock.now_s())
+        flight = executor.loads.note_sent(
+            chosen.replica, self.request.blocks, executor.clock.now_s()
+        )
         self.caller.on_first = lambda: self._first_event(flight)
         try:
             self.life.dispatch()
@@ -341,12 +343,12 @@
                 outcome = resumed
             return outcome
         finally:
-            executor.loads.ended(flight)
+            executor.loads.note_ended(flight)
             executor.gate.wake(self.request.model)
 
-    def _first_event(self, flight: Flight) -> None:
+    def _first_event(self, flight: InFlightRequest) -> None:
         self.life.first_byte()
-        self.executor.loads.first_token(flight, self.executor.clock.now_s())
+        self.executor.loads.note_first_token(flight, self.executor.clock.now_s())
 
     async def _send(self, replica: Replica, resume: bool):
         executor = self.executor
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -36,9 +36,9 @@
             attestations=SimpleNamespace(whole=lambda replica, now_s: False),
         )
         self.loads = SimpleNamespace(
-            sent=lambda *arguments: None,
-            ended=lambda flight: None,
-            first_token=lambda *arguments: None,
+            note_sent=lambda *arguments: None,
+            note_ended=lambda flight: None,
+            note_first_token=lambda *arguments: None,
         )
 
     async def choose(self, request, excluded, weight, wait_s):
--- a/ferrydock/routing/__init__.py
+++ b/ferrydock/routing/__init__.py
@@ -17,11 +17,11 @@
     register_routing_policy,
     routing_policies,
 )
-from ._replica_loads import Flight, ReplicaLoads
+from ._replica_loads import InFlightRequest, ReplicaLoads
 
 __all__ = [
     "Candidate",
-    "Flight",
+    "InFlightRequest",
     "LeastOutstanding",
     "PrefixAffinity",
     "RoundRobin",
--- a/ferrydock/routing/_replica_loads.py
+++ b/ferrydock/routing/_replica_loads.py
@@ -14,7 +14,7 @@
 from ..table import TableView
 from ._candidate import Candidate
 
-__all__ = ["Flight", "ReplicaLoads"]
+__all__ = ["InFlightRequest", "ReplicaLoads"]
 
 
 # Weight of the newest time to the first token in the moving average.
@@ -34,7 +34,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Flight:
+class InFlightRequest:
     """A request of this daemon in flight at a replica; `sent_s` is in local time."""
 
     replica_id: str
@@ -47,7 +47,7 @@
 
     Attributes
     ----------
-    in_flight : set of Flight
+    in_flight : set of InFlightRequest
         Requests of this daemon in flight at the replica.
     first_token_s : float
         Moving average of the time to the first token; 0 before the first measurement.
@@ -67,7 +67,7 @@
         How often cache events were missing between two that arrived.
     """
 
-    in_flight: set[Flight] = field(default_factory=set)
+    in_flight: set[InFlightRequest] = field(default_factory=set)
     first_token_s: float = 0.0
     last_measured_s: float = 0.0
     measurements: int = 0
@@ -173,16 +173,16 @@
 
     # Events of requests -------------------------------------------------------------------
 
-    def sent(self, replica: Replica, blocks: tuple[int, ...], now_s: float) -> Flight:
+    def note_sent(self, replica: Replica, blocks: tuple[int, ...], now_s: float) -> InFlightRequest:
         """Record that a request is sent to a replica, which will cache the prompt's blocks."""
         state = self._state(replica.replica_id)
-        flight = Flight(replica.replica_id, now_s)
+        flight = InFlightRequest(replica.replica_id, now_s)
         state.in_flight.add(flight)
         state.last_sent_s = now_s
         self._add_blocks(state, blocks)
         return flight
 
-    def first_token(self, flight: Flight, now_s: float) -> None:
+    def note_first_token(self, flight: InFlightRequest, now_s: float) -> None:
         """Record that a request got its first token, and update the average latency."""
         state = self._state(flight.replica_id)
         took_s = now_s - flight.sent_s
@@ -192,7 +192,7 @@
         state.last_measured_s = now_s
         state.measurements = state.measurements + 1 if is_recent else 1
 
-    def ended(self, flight: Flight) -> None:
+    def note_ended(self, flight: InFlightRequest) -> None:
         """Record that a request has ended."""
         self._state(flight.replica_id).in_flight.discard(flight)
 
@@ -217,7 +217,7 @@
         """Return the sequence number of the last cache event applied for a replica."""
         return self._state(replica_id).sequence
 
-    def take_events(self, replica_id: str, update: CacheEvents) -> None:
+    def apply_events(self, replica_id: str, update: CacheEvents) -> None:
         """Apply cache events of a replica.
 
         Missing events make the recorded blocks outdated, which is harmless: a block that the
--- a/ferrydock/routing/tests/test_routing.py
+++ b/ferrydock/routing/tests/test_routing.py
@@ -101,11 +101,11 @@
     def cached(blocks):
         return loads.candidates([good], blocks, 0.0)[0].cached_blocks
 
-    loads.take_events("good", CacheEvents("c1", (CacheEvent(1, True, (1, 2, 3)),)))
+    loads.apply_events("good", CacheEvents("c1", (CacheEvent(1, True, (1, 2, 3)),)))
     assert cached((1, 2, 3, 4)) == 3
-    loads.take_events("good", CacheEvents("c1", (CacheEvent(5, False, (2,)),)))
+    loads.apply_events("good", CacheEvents("c1", (CacheEvent(5, False, (2,)),)))
     assert cached((1, 2, 3, 4)) == 1
-    loads.take_events("good", CacheEvents("c1", (CacheEvent(4, True, (2,)),)))
+    loads.apply_events("good", CacheEvents("c1", (CacheEvent(4, True, (2,)),)))
     assert cached((1, 2, 3, 4)) == 1, "an event that arrives late is ignored"
-    loads.take_events("good", CacheEvents("c2", ()))
+    loads.apply_events("good", CacheEvents("c2", ()))
     assert cached((1, 2, 3, 4)) == 0
