--- a/ferrydock/gateway/tests/test_planned_stop.py
+++ b/ferrydock/gateway/tests/test_planned_stop.py
@@ -505,7 +505,7 @@
             caller = await Caller.to(node)
             caller.send(COMPLETIONS, chat())
             await holds(lambda: node.gate.waiting("draft-large"))
-            queued = node.gate._queues["draft-large"].peek().wake
+            queued = node.gate._queues["draft-large"].peek().handle
             node.stop_limit.end()
             queued.chosen.set_result(choose_now(node.gate, queued.request, set()))
             head, _ = await caller.answer()
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -48,7 +48,7 @@
 from ..routing import ReplicaLoads, make_routing_policy
 from ..store import BoxList, Store, WeightStore
 from ..table import TableKeeper, TableRepository, TableView, TableWatcher
-from ..teams import Neighbourhood, TeamLimits
+from ..teams import KnownDemand, TeamLimits
 from ._burn_report import burn_fields
 from ._rounds import Rounds
 from ._settings import Settings
@@ -322,7 +322,7 @@
 
     # Requests -----------------------------------------------------------------------------
 
-    def neighbourhood(self) -> Neighbourhood:
+    def known_demand(self) -> KnownDemand:
         """Return what is known of the demand elsewhere."""
         now_s = self.clock.now_s()
         halls = {
@@ -333,14 +333,14 @@
             name: news.rates_per_s for name, news in self.state.demands.items() if name != self.name
         }
         live = len(self.state.members.live())
-        return Neighbourhood(self.settings.hall, self.name, daemons, live, halls)
+        return KnownDemand(self.settings.hall, self.name, daemons, live, halls)
 
     def update_limits(self) -> None:
         view = self.keeper.view
         if view is None:
             return
         now_s = self.clock.now_s()
-        self.limits.update(view, now_s, self.neighbourhood(), len(view.halls) or 1)
+        self.limits.update(view, now_s, self.known_demand(), len(view.halls) or 1)
         rates = self.limits.demands(view)
         self.state.offer_demand(DemandNews(self.name, now_s, rates))
 
--- a/ferrydock/node/_status.py
+++ b/ferrydock/node/_status.py
@@ -27,7 +27,9 @@
         "members": _members(node),
         "replicas": _replicas(node, now_s),
         "waiting": _waiting(node),
-        "limit_parts": {name: round(node.limits.part_of(name), 4) for name in node.limits.names()},
+        "limit_parts": {
+            name: round(node.limits.part_of(name), 4) for name in node.limits.share_names()
+        },
         "counters": _counters(node),
     }
 
--- a/ferrydock/requests/_admission.py
+++ b/ferrydock/requests/_admission.py
@@ -13,7 +13,7 @@
 from ..outcomes import NotRun
 from ..placement import Replica
 from ..routing import Candidate, ReplicaLoads, RouteRequest, RoutingPolicy
-from ..teams import FairQueue, Waiting
+from ..teams import FairQueue, QueueEntry
 from ._model_request import ModelRequest
 
 __all__ = ["ReplicaGate"]
@@ -138,7 +138,7 @@
         until_s = min(now_s + wait_s, request.deadline_s)
         queue = self._queues.setdefault(request.model, FairQueue())
         queued = _QueuedRequest(request, excluded, asyncio.get_running_loop().create_future())
-        waiting = Waiting(request.team, weight, request.cost, request.priority, until_s, queued)
+        waiting = QueueEntry(request.team, weight, request.cost, request.priority, until_s, queued)
         shed = queue.push(waiting)
         if shed is not None:
             self._shed(shed)
@@ -154,8 +154,8 @@
         finally:
             queue.remove(waiting)
 
-    def _shed(self, waiting: Waiting[_QueuedRequest]) -> None:
-        queued = require(waiting.wake, "the queued request")
+    def _shed(self, waiting: QueueEntry[_QueuedRequest]) -> None:
+        queued = require(waiting.handle, "the queued request")
         if not queued.chosen.done():
             queued.chosen.set_result(
                 self._not_run(queued.request, "overloaded", "shed for a higher priority")
@@ -195,7 +195,7 @@
         if queue is None:
             return
         while (waiting := queue.peek()) is not None:
-            queued = require(waiting.wake, "the queued request")
+            queued = require(waiting.handle, "the queued request")
             if queued.chosen.done():
                 queue.remove(waiting)
                 continue
--- a/ferrydock/teams/__init__.py
+++ b/ferrydock/teams/__init__.py
@@ -7,9 +7,9 @@
 """
 
 from ._bucket import TokenBucket
-from ._limits import Admission, Neighbourhood, TeamLimits
+from ._limits import Admission, KnownDemand, TeamLimits
 from ._parts import DelayedPart, HallDemand, daemon_part, hall_part
-from ._queue import FairQueue, Waiting
+from ._queue import FairQueue, QueueEntry
 
 __all__ = [
     "Admission",
@@ -17,9 +17,9 @@
     "FairQueue",
     "HallDemand",
     "TeamLimits",
-    "Neighbourhood",
+    "KnownDemand",
     "TokenBucket",
-    "Waiting",
+    "QueueEntry",
     "daemon_part",
     "hall_part",
 ]
--- a/ferrydock/teams/_limits.py
+++ b/ferrydock/teams/_limits.py
@@ -11,7 +11,7 @@
 from ._bucket import TokenBucket
 from ._parts import DelayedPart, HallDemand, daemon_part, hall_part
 
-__all__ = ["Admission", "TeamLimits", "Neighbourhood"]
+__all__ = ["Admission", "TeamLimits", "KnownDemand"]
 
 # Half-life of the measured demand: longer than the gaps between requests, shorter than a burst.
 DEMAND_HALF_LIFE_S = 2.0
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Neighbourhood:
+class KnownDemand:
     """The demand for each limit at other daemons and in other halls, as known to this daemon.
 
     Attributes
@@ -138,39 +138,37 @@
         self._usages[share.name] = usage
         return usage
 
-    def update(
-        self, view: TableView, now_s: float, neighbourhood: Neighbourhood, halls: int
-    ) -> None:
+    def update(self, view: TableView, now_s: float, known_demand: KnownDemand, halls: int) -> None:
         """Update this daemon's parts of all limits.
 
         Called about every half second and after each edit of the table. `halls` is the number of
         halls that the table names.
         """
-        self._even_part = 1.0 / max(1, halls) / max(1, neighbourhood.live_daemons)
+        self._even_part = 1.0 / max(1, halls) / max(1, known_demand.live_daemons)
         for name in self._usages.keys() - view.shares.keys():
             if self._usages[name].in_flight == 0:
                 del self._usages[name]
         for share in view.shares.values():
             if share.name in self._usages:
-                self._update_part(share, now_s, neighbourhood, halls)
+                self._update_part(share, now_s, known_demand, halls)
 
     def _update_part(
-        self, share: Share, now_s: float, neighbourhood: Neighbourhood, halls: int
+        self, share: Share, now_s: float, known_demand: KnownDemand, halls: int
     ) -> None:
         usage = self._usages[share.name]
         self._measure_demand(usage, now_s)
         daemon_demands = {
-            name: rates.get(share.name, 0.0) for name, rates in neighbourhood.daemon_demands.items()
+            name: rates.get(share.name, 0.0) for name, rates in known_demand.daemon_demands.items()
         }
-        daemon_demands[neighbourhood.daemon] = usage.demand_per_s
+        daemon_demands[known_demand.daemon] = usage.demand_per_s
         hall_demands = {
             hall: HallDemand(rates.get(share.name, 0.0), age_s)
-            for hall, (age_s, rates) in neighbourhood.hall_demands.items()
+            for hall, (age_s, rates) in known_demand.hall_demands.items()
         }
-        hall_demands[neighbourhood.hall] = HallDemand(sum(daemon_demands.values()), 0.0)
-        part_of_hall = hall_part(neighbourhood.hall, hall_demands, halls)
+        hall_demands[known_demand.hall] = HallDemand(sum(daemon_demands.values()), 0.0)
+        part_of_hall = hall_part(known_demand.hall, hall_demands, halls)
         part_due = part_of_hall * daemon_part(
-            neighbourhood.daemon, daemon_demands, neighbourhood.live_daemons
+            known_demand.daemon, daemon_demands, known_demand.live_daemons
         )
         usage.used_part = usage.part.update(part_due, now_s)
         rate_per_s = share.requests_per_s * usage.used_part
@@ -196,7 +194,7 @@
             if usage.demand_per_s > 0 and name in limited
         }
 
-    def names(self) -> list[str]:
+    def share_names(self) -> list[str]:
         """Return the rows of ``shares`` that this daemon has used, sorted."""
         return sorted(self._usages)
 
--- a/ferrydock/teams/_queue.py
+++ b/ferrydock/teams/_queue.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-__all__ = ["FairQueue", "Waiting"]
+__all__ = ["FairQueue", "QueueEntry"]
 
 # How many requests may wait for a model on one daemon.
 DEFAULT_MAX_LENGTH = 256
@@ -19,7 +19,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Waiting(Generic[Handle]):
+class QueueEntry(Generic[Handle]):
     """A request in the queue.
 
     Attributes
@@ -34,7 +34,7 @@
         Priority, 0 to 9; 9 is served first.
     deadline_s : float
         Local time after which the request is not served.
-    wake : Handle or None
+    handle : Handle or None
         Handle by which the owner of the queue identifies the request.
     virtual_finish : float
         Virtual finish time (`FairQueue`).
@@ -47,7 +47,7 @@
     cost: float
     priority: int
     deadline_s: float
-    wake: Handle | None = None
+    handle: Handle | None = None
     virtual_finish: float = field(default=0.0, init=False)
     removed: bool = field(default=False, init=False)
 
@@ -73,7 +73,7 @@
     --------
     >>> queue = FairQueue()
     >>> for team in ("a", "a", "b"):
-    ...     _ = queue.push(Waiting(team, 1.0, 1.0, 5, 99.0))
+    ...     _ = queue.push(QueueEntry(team, 1.0, 1.0, 5, 99.0))
     >>> [queue.pop(0.0).team for _ in range(3)]
     ['a', 'b', 'a']
     """
@@ -82,7 +82,7 @@
 
     def __init__(self, length: int = DEFAULT_MAX_LENGTH):
         self.length = length
-        self._heap: list[tuple[int, float, int, Waiting[Handle]]] = []
+        self._heap: list[tuple[int, float, int, QueueEntry[Handle]]] = []
         self._team_finish: dict[str, float] = {}
         self._arrival_numbers = itertools.count()
         self._virtual_time = 0.0
@@ -91,7 +91,7 @@
     def __len__(self) -> int:
         return self._size
 
-    def push(self, waiting: Waiting[Handle]) -> Waiting[Handle] | None:
+    def push(self, waiting: QueueEntry[Handle]) -> QueueEntry[Handle] | None:
         """Add a request; return the one that is shed for it, which may be the new one, or None."""
         shed = None
         if self._size >= self.length:
@@ -107,7 +107,7 @@
         self._size += 1
         return shed
 
-    def _request_to_shed(self, new_request: Waiting[Handle]) -> Waiting[Handle]:
+    def _request_to_shed(self, new_request: QueueEntry[Handle]) -> QueueEntry[Handle]:
         """Return the request to shed when `new_request` arrives at a full queue.
 
         It is the queued request that would be served last, if its priority is lower than that of
@@ -117,7 +117,7 @@
         last_served = max(entries)[3]
         return last_served if last_served.priority < new_request.priority else new_request
 
-    def pop(self, now_s: float) -> Waiting[Handle] | None:
+    def pop(self, now_s: float) -> QueueEntry[Handle] | None:
         """Remove and return the next request whose deadline has not passed, or return None.
 
         Requests whose deadline has passed are removed from the queue.
@@ -138,13 +138,13 @@
             self._virtual_time = 0.0
         return None
 
-    def peek(self) -> Waiting[Handle] | None:
+    def peek(self) -> QueueEntry[Handle] | None:
         """Return the next request without removing it, or None if the queue is empty."""
         while self._heap and self._heap[0][3].removed:
             heapq.heappop(self._heap)
         return self._heap[0][3] if self._heap else None
 
-    def remove(self, waiting: Waiting[Handle]) -> None:
+    def remove(self, waiting: QueueEntry[Handle]) -> None:
         """Remove a request from any position in the queue."""
         if not waiting.removed:
             waiting.removed = True
--- a/ferrydock/teams/tests/test_limits_and_queues.py
+++ b/ferrydock/teams/tests/test_limits_and_queues.py
@@ -11,10 +11,10 @@
     DelayedPart,
     FairQueue,
     HallDemand,
-    Neighbourhood,
+    KnownDemand,
+    QueueEntry,
     TeamLimits,
     TokenBucket,
-    Waiting,
     daemon_part,
     hall_part,
 )
@@ -23,8 +23,8 @@
 def test_teams_are_served_by_weight_under_contention():
     queue = FairQueue(length=1000)
     for _ in range(300):
-        queue.push(Waiting("heavy", 3.0, 10.0, 5, 9.0))
-        queue.push(Waiting("light", 1.0, 10.0, 5, 9.0))
+        queue.push(QueueEntry("heavy", 3.0, 10.0, 5, 9.0))
+        queue.push(QueueEntry("light", 1.0, 10.0, 5, 9.0))
     served = [queue.pop(0.0).team for _ in range(200)]
     assert abs(served.count("heavy") / 200 - 0.75) <= 0.05
 
@@ -32,26 +32,26 @@
 def test_many_requests_of_one_team_do_not_delay_another():
     queue = FairQueue(length=1000)
     for _ in range(500):
-        queue.push(Waiting("flood", 1.0, 1.0, 5, 9.0))
-    queue.push(Waiting("quiet", 1.0, 1.0, 5, 9.0))
+        queue.push(QueueEntry("flood", 1.0, 1.0, 5, 9.0))
+    queue.push(QueueEntry("quiet", 1.0, 1.0, 5, 9.0))
     assert "quiet" in [queue.pop(0.0).team for _ in range(3)]
 
 
 def test_overload_sheds_the_lowest_priority_and_never_a_higher_one():
     queue = FairQueue(length=2)
-    low = Waiting("a", 1.0, 1.0, 1, 9.0)
+    low = QueueEntry("a", 1.0, 1.0, 1, 9.0)
     assert queue.push(low) is None
-    assert queue.push(Waiting("a", 1.0, 1.0, 5, 9.0)) is None
-    assert queue.push(Waiting("a", 1.0, 1.0, 9, 9.0)) is low
-    late = Waiting("b", 1.0, 1.0, 3, 9.0)
+    assert queue.push(QueueEntry("a", 1.0, 1.0, 5, 9.0)) is None
+    assert queue.push(QueueEntry("a", 1.0, 1.0, 9, 9.0)) is low
+    late = QueueEntry("b", 1.0, 1.0, 3, 9.0)
     assert queue.push(late) is late
     assert len(queue) == 2
 
 
 def test_a_request_past_its_deadline_is_skipped():
     queue = FairQueue()
-    queue.push(Waiting("a", 1.0, 1.0, 9, 1.0))
-    queue.push(Waiting("b", 1.0, 1.0, 1, 9.0))
+    queue.push(QueueEntry("a", 1.0, 1.0, 9, 1.0))
+    queue.push(QueueEntry("b", 1.0, 1.0, 1, 9.0))
     assert queue.pop(2.0).team == "b"
 
 
@@ -111,7 +111,7 @@
     return Table(rows, 1).view()
 
 
-NO_OTHER_DAEMONS = Neighbourhood("a", "d", {}, 1, {})
+NO_OTHER_DAEMONS = KnownDemand("a", "d", {}, 1, {})
 
 
 def test_a_lowered_limit_applies_at_once():
