--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -21,23 +21,29 @@
 import sys
 from statistics import mean
 
-from ferrydock.forwarding.tests.overload import Kind, Rule, RuleBefore, best_worth, play_load
+from ferrydock.forwarding.tests.overload import (
+    AdmissionRule,
+    DeadlineOrderRule,
+    RequestKind,
+    max_worth,
+    simulate_load,
+)
 
 from ._report import print_check, print_row
 
 NAME = "admission"
 LOADS = (0.7, 0.9, 1.0, 1.15, 1.3, 1.6, 2.0, 3.0)
 QUICK_LOADS = (0.7, 1.3)
-KIND = Kind("stream", objective_s=0.3, patience_s=6.0)
+KIND = RequestKind("stream", objective_s=0.3, deadline_s=6.0)
 # What the rule must reach of the worth that the rule before reaches, at any load, and above the
 # capacity. Below the figures above, by what single seeds differ.
 MIN_GAIN = 0.95
 MIN_GAIN_OVERLOADED = 1.3
 
 
-def worth(rule_class: type[Rule], load: float, seeds: range, seconds: float) -> float:
+def worth(rule_class: type[AdmissionRule], load: float, seeds: range, seconds: float) -> float:
     """Return the mean worth of some plays of a load."""
-    plays = (play_load(rule_class(), (KIND,), load, seconds, seed) for seed in seeds)
+    plays = (simulate_load(rule_class(), (KIND,), load, seconds, seed) for seed in seeds)
     return mean(play[KIND.name].worth for play in plays)
 
 
@@ -49,9 +55,9 @@
     seeds, seconds = (range(1, 2), 10.0) if quick else (range(1, 4), 20.0)
     good = True
     for load in QUICK_LOADS if quick else LOADS:
-        before = worth(RuleBefore, load, seeds, seconds)
-        now = worth(Rule, load, seeds, seconds)
-        best = mean(best_worth(load, seconds, seed) for seed in seeds)
+        before = worth(DeadlineOrderRule, load, seeds, seconds)
+        now = worth(AdmissionRule, load, seeds, seconds)
+        best = mean(max_worth(load, seconds, seed) for seed in seeds)
         print_row(NAME, load=load, before=before, now=now, best=best, part_of_best=now / best)
         wanted = before * (MIN_GAIN_OVERLOADED if load > 1 else MIN_GAIN)
         good &= print_check(NAME, f"worth_at_{load}", now, f">={wanted:.4f}")
--- a/ferrydock/forwarding/tests/overload.py
+++ b/ferrydock/forwarding/tests/overload.py
@@ -17,7 +17,14 @@
 from .._observed_times import ObservedTimes
 from .._refusal import RETRY_AFTER_RANGE_S
 
-__all__ = ["Kind", "Outcome", "Rule", "RuleBefore", "best_worth", "play_load"]
+__all__ = [
+    "AdmissionRule",
+    "DeadlineOrderRule",
+    "Outcome",
+    "RequestKind",
+    "max_worth",
+    "simulate_load",
+]
 
 SLOTS = 17
 REPLICAS = 5
@@ -31,12 +38,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """A kind of request: its objective, its callers' deadline, and its share of the load."""
 
     name: str
     objective_s: float
-    patience_s: float
+    deadline_s: float
     load_share: float = 1.0
 
 
@@ -56,24 +63,24 @@
         return (self.in_time + LATE_WORTH * self.late) / max(1, self.caller_count)
 
 
-class Rule:
+class AdmissionRule:
     """The rule of `_admission`: requests that can be in time first, then late ones."""
 
     def __init__(self):
         self.times = ObservedTimes()
 
-    def queue_times(self, kind: Kind, left_s: float) -> tuple[QueueTimes, float]:
+    def queue_times(self, kind: RequestKind, left_s: float) -> tuple[QueueTimes, float]:
         """Return how long a request may wait, and the seconds since its caller first sent it."""
         age_s = self.times.request_age_s(kind.name, left_s)
         usual_s = self.times.usual_first_s("engines", "large")
         return queue_times(kind.objective_s, age_s, usual_s, left_s), age_s
 
-    def rank(self, kind: Kind, arrived_s: float, age_s: float, left_s: float, is_late: bool):
+    def rank(self, kind: RequestKind, arrived_s: float, age_s: float, left_s: float, is_late: bool):
         """Return the rank of a request and the time by which requests of one rank are ordered."""
         return (0, 1, int(is_late)), queue_order_s(arrived_s, age_s, kind.objective_s, is_late)
 
 
-class RuleBefore(Rule):
+class DeadlineOrderRule(AdmissionRule):
     """Rule for comparison: waits a share of the objective, ordered by callers' deadlines."""
 
     WAIT_FRACTION = 0.23
@@ -89,7 +96,7 @@
 
 @dataclass(slots=True)
 class _Simulation:
-    rule: Rule
+    rule: AdmissionRule
     rng: random.Random
     clock: LoopClock
     scheduler: HallScheduler
@@ -97,14 +104,14 @@
     seen_grants: list = field(default_factory=list)
     outcomes: dict[str, Outcome] = field(default_factory=dict)
 
-    async def run_caller(self, kind: Kind) -> None:
+    async def run_caller(self, kind: RequestKind) -> None:
         """Simulate one caller, from its first request to the end."""
         outcome = self.outcomes.setdefault(kind.name, Outcome())
         outcome.caller_count += 1
         first_try_s = self.clock.now_s()
         for is_last in (False, True):
             arrived_s = self.clock.now_s()
-            left_s = first_try_s + kind.patience_s - arrived_s
+            left_s = first_try_s + kind.deadline_s - arrived_s
             target_id = await self._acquire_slot(kind, arrived_s, left_s)
             if target_id:
                 await self._serve(kind, outcome, first_try_s, target_id)
@@ -115,7 +122,7 @@
                 return
             await asyncio.sleep(self.rng.uniform(*RETRY_AFTER_RANGE_S))
 
-    async def _acquire_slot(self, kind: Kind, arrived_s: float, left_s: float) -> str:
+    async def _acquire_slot(self, kind: RequestKind, arrived_s: float, left_s: float) -> str:
         queue_wait, age_s = self.rule.queue_times(kind, left_s)
         phases = [(queue_wait.in_time_s, False), (queue_wait.late_s, True)]
         for wait_s, is_late in phases:
@@ -141,7 +148,7 @@
         return ""
 
     async def _serve(
-        self, kind: Kind, outcome: Outcome, first_try_s: float, target_id: str
+        self, kind: RequestKind, outcome: Outcome, first_try_s: float, target_id: str
     ) -> None:
         first_s = FIRST_MEDIAN_S * self.rng.lognormvariate(0.0, FIRST_SPREAD)
         await asyncio.sleep(first_s)
@@ -179,9 +186,9 @@
     )
 
 
-def play_load(
-    rule: Rule,
-    kinds: tuple[Kind, ...],
+def simulate_load(
+    rule: AdmissionRule,
+    kinds: tuple[RequestKind, ...],
     load: float,
     seconds: float = 20.0,
     seed: int = 1,
@@ -212,7 +219,7 @@
     return run_virtually(scenario())
 
 
-def best_worth(load: float, seconds: float = 20.0, seed: int = 1) -> float:
+def max_worth(load: float, seconds: float = 20.0, seed: int = 1) -> float:
     """Return an upper bound on the worth under any rule, given how long each request takes.
 
     Fills all slots all the time, shortest requests first, and counts each as answered in time.
--- a/ferrydock/forwarding/tests/rig.py
+++ b/ferrydock/forwarding/tests/rig.py
@@ -52,7 +52,7 @@
     return Route(**{**fields, **changes})
 
 
-def whole(body=b"ok", extra=b""):
+def complete_answer(body=b"ok", extra=b""):
     """Return a complete answer with a Content-Length."""
     return HEAD + extra + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
@@ -111,7 +111,7 @@
     return b""
 
 
-def answers(data, keep=True):
+def writes(data, keep=True):
     """Return a script that writes bytes, and keeps the connection open if `keep`."""
 
     async def script(target, request, writer):
--- a/ferrydock/forwarding/tests/test_admission.py
+++ b/ferrydock/forwarding/tests/test_admission.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from .overload import Kind, Rule, RuleBefore, play_load
+from .overload import AdmissionRule, DeadlineOrderRule, RequestKind, simulate_load
 
-STREAM = Kind("stream", objective_s=0.3, patience_s=6.0)
+STREAM = RequestKind("stream", objective_s=0.3, deadline_s=6.0)
 # Two kinds of requests for one model. Callers of the first give longer deadlines, and its answers
 # are worth more.
-DRAFT = Kind("draft", objective_s=0.5, patience_s=8.0, load_share=0.5)
-SUMMARY = Kind("summary", objective_s=0.5, patience_s=6.0, load_share=0.5)
+DRAFT = RequestKind("draft", objective_s=0.5, deadline_s=8.0, load_share=0.5)
+SUMMARY = RequestKind("summary", objective_s=0.5, deadline_s=6.0, load_share=0.5)
 
 
 def play_seeds(rule_class, kinds, load):
     """Return the outcomes of simulations with two seeds."""
-    return [play_load(rule_class(), kinds, load, 14.0, seed) for seed in (1, 2)]
+    return [simulate_load(rule_class(), kinds, load, 14.0, seed) for seed in (1, 2)]
 
 
 def mean_worth(outcomes, name):
@@ -24,26 +24,26 @@
 
 @pytest.mark.parametrize(("load", "gain"), [(1.15, 1.3), (1.3, 1.5), (2.0, 2.0)])
 def test_overload_does_not_make_new_requests_late(load, gain):
-    previous_rule = mean_worth(play_seeds(RuleBefore, (STREAM,), load), "stream")
-    current_rule = mean_worth(play_seeds(Rule, (STREAM,), load), "stream")
+    previous_rule = mean_worth(play_seeds(DeadlineOrderRule, (STREAM,), load), "stream")
+    current_rule = mean_worth(play_seeds(AdmissionRule, (STREAM,), load), "stream")
     assert current_rule > previous_rule * gain
 
 
 def test_below_capacity_almost_all_requests_are_served_in_time():
-    for outcome in play_seeds(Rule, (STREAM,), 0.9):
+    for outcome in play_seeds(AdmissionRule, (STREAM,), 0.9):
         assert outcome["stream"].refused <= outcome["stream"].caller_count * 0.01
         assert outcome["stream"].worth > 0.93
 
 
 def test_requests_that_cannot_be_served_are_refused_early():
-    for outcome in play_seeds(Rule, (STREAM,), 2.0):
+    for outcome in play_seeds(AdmissionRule, (STREAM,), 2.0):
         held_s = outcome["stream"].held_until_refusal_s / outcome["stream"].caller_count
         assert held_s < 0.35
 
 
 def test_requests_with_longer_deadlines_are_not_starved():
-    previous_rule = play_seeds(RuleBefore, (DRAFT, SUMMARY), 1.3)
+    previous_rule = play_seeds(DeadlineOrderRule, (DRAFT, SUMMARY), 1.3)
     assert mean_worth(previous_rule, "draft") < mean_worth(previous_rule, "summary")
-    current_rule = play_seeds(Rule, (DRAFT, SUMMARY), 1.3)
+    current_rule = play_seeds(AdmissionRule, (DRAFT, SUMMARY), 1.3)
     assert mean_worth(current_rule, "draft") > mean_worth(current_rule, "summary") - 0.05
     assert mean_worth(current_rule, "draft") > mean_worth(previous_rule, "draft") * 1.3
--- a/ferrydock/forwarding/tests/test_answer_notices.py
+++ b/ferrydock/forwarding/tests/test_answer_notices.py
@@ -4,15 +4,17 @@
 
 import pytest
 
-from .rig import Rig, ScriptedTarget, answers, play, route, whole
+from .rig import Rig, ScriptedTarget, complete_answer, play, route, writes
 
 REFUSAL = b"HTTP/1.1 503 S\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\nServer-Limit: 2\r\n\r\n"
 
 
-@pytest.mark.parametrize("answer", [whole(extra=b"Server-Limit: 2\r\n"), REFUSAL])
+@pytest.mark.parametrize("answer", [complete_answer(extra=b"Server-Limit: 2\r\n"), REFUSAL])
 def test_rate_limit_applies_until_an_answer_without_one(answer):
     async def scenario():
-        async with Rig([route()], [ScriptedTarget(answers(answer), answers(whole()))]) as rig:
+        async with Rig(
+            [route()], [ScriptedTarget(writes(answer), writes(complete_answer()))]
+        ) as rig:
             limits = rig.selector.catalog.limits
             await rig.ask()
             assert limits.rate_per_s("t0") == 2.0 and limits.limited_count == 1
@@ -26,8 +28,8 @@
     caplog.set_level(logging.WARNING)
 
     async def scenario():
-        bad = answers(whole(extra=b"Server-Limit: many\r\n"))
-        good = answers(whole(extra=b"Server-Limit: 2\r\n"))
+        bad = writes(complete_answer(extra=b"Server-Limit: many\r\n"))
+        good = writes(complete_answer(extra=b"Server-Limit: 2\r\n"))
         async with Rig([route()], [ScriptedTarget(bad, bad, good, bad)]) as rig:
             limits = rig.selector.catalog.limits
             for expected in (None, None, 2.0, 2.0):
@@ -41,8 +43,8 @@
 
 def test_leaderless_daemon_refuses_immediately_if_all_targets_are_at_their_rate_limits():
     async def scenario():
-        limited = whole(extra=b"Server-Limit: 1\r\n")
-        async with Rig([route()], [ScriptedTarget(answers(limited))], daemons=9) as rig:
+        limited = complete_answer(extra=b"Server-Limit: 1\r\n")
+        async with Rig([route()], [ScriptedTarget(writes(limited))], daemons=9) as rig:
             assert b" 200 " in await rig.ask()
             started_s = rig.clock.now_s()
             refused = await rig.ask()
@@ -56,7 +58,7 @@
 
 def test_refusals_do_not_eject_a_target_with_a_rate_limit():
     async def scenario():
-        async with Rig([route()], [ScriptedTarget(answers(REFUSAL))]) as rig:
+        async with Rig([route()], [ScriptedTarget(writes(REFUSAL))]) as rig:
             rig.selector.daemons = rig.selector.pacer.daemons = lambda: 0.1
             for _ in range(4):
                 assert b" 503 " in await rig.ask()
@@ -69,12 +71,12 @@
 def sheds(backoff_s):
     """Return a script that refuses a request and requests a back-off."""
     text = b"HTTP/1.1 503 S\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\nRetry-After: %s\r\n\r\n"
-    return answers(text % backoff_s)
+    return writes(text % backoff_s)
 
 
 def test_backed_off_target_is_not_used_even_if_all_others_are_ejected():
     async def scenario():
-        targets = [ScriptedTarget(sheds(b"9")), ScriptedTarget(answers(whole()))]
+        targets = [ScriptedTarget(sheds(b"9")), ScriptedTarget(writes(complete_answer()))]
         async with Rig([route()], targets) as rig:
             while not rig.targets[0].requests:
                 assert b" 200 " in await rig.ask()
@@ -92,7 +94,7 @@
 
 def test_request_is_refused_immediately_if_all_targets_are_backed_off_for_too_long():
     async def scenario():
-        async with Rig([route()], [ScriptedTarget(sheds(b"3"), answers(whole()))]) as rig:
+        async with Rig([route()], [ScriptedTarget(sheds(b"3"), writes(complete_answer()))]) as rig:
             assert b" 503 " in await rig.ask()
             started_s = rig.clock.now_s()
             refused = await rig.ask()
@@ -106,7 +108,9 @@
 
 def test_request_waits_for_a_back_off_that_ends_in_time():
     async def scenario():
-        async with Rig([route()], [ScriptedTarget(sheds(b"0.2"), answers(whole()))]) as rig:
+        async with Rig(
+            [route()], [ScriptedTarget(sheds(b"0.2"), writes(complete_answer()))]
+        ) as rig:
             assert b" 503 " in await rig.ask()
             started_s = rig.clock.now_s()
             assert b" 200 " in await rig.ask()
--- a/ferrydock/forwarding/tests/test_crashes.py
+++ b/ferrydock/forwarding/tests/test_crashes.py
@@ -8,7 +8,7 @@
 from ...crashes import TargetPresence, TargetProbe, _probe
 from ...targets import Target
 from .._crash_guard import MAX_CHECK_WAIT_S
-from .rig import Rig, ScriptedTarget, answers, play, resets, route, whole
+from .rig import Rig, ScriptedTarget, complete_answer, play, resets, route, writes
 
 
 def crashes(data=b""):
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("body", [b"hi", b"x" * 700_000])
 def test_request_that_crashed_three_targets_is_refused_and_others_are_served(body):
     async def scenario():
-        last = ScriptedTarget(answers(whole()))
+        last = ScriptedTarget(writes(complete_answer()))
         async with Rig([route(attempts=4)], crashing_targets(3)) as rig:
             received = await ask_until_known(rig, body=body)
             assert all(answer.startswith(b"HTTP/1.1 502") for answer in received)
@@ -147,8 +147,8 @@
 
     async def scenario():
         monkeypatch.setattr(_probe, "_connect_once", silent)
-        async with Rig([route()], [ScriptedTarget(resets(), answers(whole()))] * 1) as rig:
-            other = ScriptedTarget(resets(), answers(whole()))
+        async with Rig([route()], [ScriptedTarget(resets(), writes(complete_answer()))] * 1) as rig:
+            other = ScriptedTarget(resets(), writes(complete_answer()))
             await other.start()
             rig.directory.put(Target("t9", "plain", other.address, "hall-a", 6))
             started_s = rig.clock.now_s()
@@ -161,7 +161,7 @@
 
 def test_queued_request_is_not_sent_once_it_is_known_to_crash_targets(monkeypatch):
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         async with Rig([route()], [target]) as rig:
             acquire = rig.selector.acquire
 
--- a/ferrydock/forwarding/tests/test_forwarding.py
+++ b/ferrydock/forwarding/tests/test_forwarding.py
@@ -10,7 +10,18 @@
 from ...targets import Target
 from .._admission import MAX_LATE_WAIT_S, MIN_WAIT_S, queue_times
 from .._refusal import max_retry_queue_s
-from .rig import HEAD, TENANTS, Rig, ScriptedTarget, answers, attempt_id, play, resets, route, whole
+from .rig import (
+    HEAD,
+    TENANTS,
+    Rig,
+    ScriptedTarget,
+    attempt_id,
+    complete_answer,
+    play,
+    resets,
+    route,
+    writes,
+)
 
 NOT_EXECUTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 AT_MOST_ONCE = RouteKind.AT_MOST_ONCE
@@ -45,7 +56,7 @@
 
 def test_method_path_query_body_and_answer_are_forwarded_unchanged():
     async def scenario():
-        target = ScriptedTarget(answers(whole(b"\x00\xffbytes")))
+        target = ScriptedTarget(writes(complete_answer(b"\x00\xffbytes")))
         async with Rig([route()], [target]) as rig:
             path = "/a/x%2Fy/%C3%A9?q=%20a+b&&c"
             received = await rig.ask("POST", path, ("X-Own: 1", "X-Own: 2"), b"a\r\nb")
@@ -63,7 +74,7 @@
 
 def test_hop_by_hop_headers_and_keys_are_not_forwarded():
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         headers = (
             "Connection: X-Hop",
             "X-Hop: 1",
@@ -83,7 +94,7 @@
 
 def test_key_is_refused_while_the_configuration_is_unconfirmed():
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         private = [route(public=False), route("open", prefix="/open/")]
         key = ("Authorization: Bearer k1",)
         async with Rig(private, [target], TENANTS, is_confirmed=False) as rig:
@@ -113,8 +124,8 @@
 @pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, AT_MOST_ONCE])
 def test_request_that_a_target_did_not_run_is_retried_elsewhere(kind):
     async def scenario():
-        refusing = ScriptedTarget(answers(NOT_EXECUTED))
-        good = ScriptedTarget(answers(whole()))
+        refusing = ScriptedTarget(writes(NOT_EXECUTED))
+        good = ScriptedTarget(writes(complete_answer()))
         async with Rig([route(kind=kind)], [refusing, good]) as rig:
             for _ in range(4):
                 assert (await rig.ask()).startswith(b"HTTP/1.1 200")
@@ -132,12 +143,15 @@
                 b"HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: new\r\n"
                 b"Content-Length: 0\r\n\r\n"
                 if expected
-                else whole(b"stranger")
+                else complete_answer(b"stranger")
             )
             await writer.drain()
             return True
 
-        reused, good = ScriptedTarget(wrong_incarnation), ScriptedTarget(answers(whole(b"own")))
+        reused, good = (
+            ScriptedTarget(wrong_incarnation),
+            ScriptedTarget(writes(complete_answer(b"own"))),
+        )
         async with Rig([route(kind=kind)], [reused, good]) as rig:
             for _ in range(4):
                 received = await rig.ask("POST", body=b"x")
@@ -149,7 +163,7 @@
 
 def test_connection_is_not_reused_for_another_incarnation():
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         async with Rig([route()], [target]) as rig:
             await rig.ask()
             rig.directory.remove("t0")
@@ -165,7 +179,10 @@
 @pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, AT_MOST_ONCE])
 def test_request_to_a_closed_port_is_retried_elsewhere(kind):
     async def scenario():
-        dead, good = ScriptedTarget(answers(whole())), ScriptedTarget(answers(whole()))
+        dead, good = (
+            ScriptedTarget(writes(complete_answer())),
+            ScriptedTarget(writes(complete_answer())),
+        )
         async with Rig([route(kind=kind)], [dead, good]) as rig:
             dead.close()
             await asyncio.sleep(0.01)
@@ -180,13 +197,13 @@
     "broken",
     [
         resets(),
-        answers(b"", keep=False),
+        writes(b"", keep=False),
         resets(HEAD + b"Content-Length: 10\r\n\r\nhalf"),
-        answers(HEAD + b"Content-Length: 10\r\n\r\nhalf", keep=False),
-        answers(b"no answer at all\r\n\r\n", keep=False),
-        answers(whole(b"other", b"X-Attempt-Id: b2\r\n")),
-        answers(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
-        answers(whole(b"ok", b"Content-Encoding: gzip\r\n")),
+        writes(HEAD + b"Content-Length: 10\r\n\r\nhalf", keep=False),
+        writes(b"no answer at all\r\n\r\n", keep=False),
+        writes(complete_answer(b"other", b"X-Attempt-Id: b2\r\n")),
+        writes(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
+        writes(complete_answer(b"ok", b"Content-Encoding: gzip\r\n")),
         resets(HEAD + b"\r\nunframed"),
     ],
     ids=[
@@ -209,7 +226,7 @@
             assert received[:12] in (b"HTTP/1.1 502", b"HTTP/1.1 504")
             assert b"X-Server-Stamp" not in received
         assert len(bad.requests) == 1
-        bad, good = ScriptedTarget(broken), ScriptedTarget(answers(whole()))
+        bad, good = ScriptedTarget(broken), ScriptedTarget(writes(complete_answer()))
         async with Rig([route()], [bad, good]) as rig:
             for _ in range(4):
                 assert (await rig.ask()).startswith(b"HTTP/1.1 200")
@@ -220,7 +237,7 @@
 def test_server_error_of_a_target_is_forwarded():
     async def scenario():
         error = b"HTTP/1.1 500 Oh\r\nX-Server-Stamp: s\r\nContent-Length: 3\r\n\r\nbad"
-        target = ScriptedTarget(answers(error))
+        target = ScriptedTarget(writes(error))
         async with Rig([route(kind=AT_MOST_ONCE)], [target]) as rig:
             received = await rig.ask()
         assert received.startswith(b"HTTP/1.1 500") and received.endswith(b"bad")
@@ -234,13 +251,13 @@
         def own(extra):
             async def script(target, request, writer):
                 header = b"X-Attempt-Id: " + attempt_id(request) + b"\r\n"
-                writer.write(whole(b"mine", header) + extra)
+                writer.write(complete_answer(b"mine", header) + extra)
                 await writer.drain()
                 return True
 
             return script
 
-        left_over = whole(b"stray", b"X-Attempt-Id: old\r\n")
+        left_over = complete_answer(b"stray", b"X-Attempt-Id: old\r\n")
         target = ScriptedTarget(own(left_over), own(b""))
         async with Rig([route()], [target]) as rig:
             for _ in range(3):
@@ -253,7 +270,7 @@
 def test_torn_stream_is_resumed_elsewhere_after_its_last_complete_event():
     async def scenario():
         torn = resets(STREAM + events(1, 2) + chunk(b"id: 3\nda"))
-        rest = answers(STREAM + events(3, 4) + b"0\r\n\r\n")
+        rest = writes(STREAM + events(3, 4) + b"0\r\n\r\n")
         targets = [ScriptedTarget(torn, rest), ScriptedTarget(torn, rest)]
         kind = RouteKind.RESUMABLE_STREAM
         async with Rig([route(kind=kind)], targets) as rig:
@@ -336,7 +353,7 @@
 
 def test_stopping_gateway_closes_each_connection_after_its_answer():
     async def scenario():
-        stream = answers(STREAM + events(1) + b"0\r\n\r\n")
+        stream = writes(STREAM + events(1) + b"0\r\n\r\n")
         target = ScriptedTarget(stream)
         async with Rig([route(kind=RouteKind.RESUMABLE_STREAM)], [target]) as rig:
             rig.gateway.stopping = True
@@ -350,7 +367,7 @@
 
 def test_idle_connection_is_closed_once_listening_has_ended():
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         async with Rig([route()], [target]) as rig:
             host, port = rig.gateway.address.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -366,7 +383,7 @@
 
 def test_request_read_just_before_listening_ends_is_answered():
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         async with Rig([route()], [target]) as rig:
             host, port = rig.gateway.address.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -404,7 +421,7 @@
 )
 def test_invalid_request_is_not_forwarded(data, status):
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         async with Rig([route()], [target]) as rig:
             received = await rig.raw(data, until_closed=False)
         assert received.split()[1] == status
@@ -415,7 +432,7 @@
 
 def test_chunked_body_above_the_size_limit_is_refused():
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         async with Rig([route()], [target]) as rig:
             head = b"POST /a/x HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: chunked\r\n\r\n"
             data = head + chunk(b"x" * 65536) * 80
@@ -428,7 +445,7 @@
 
 def test_retries_do_not_exceed_the_budget():
     async def scenario():
-        targets = [ScriptedTarget(answers(NOT_EXECUTED)) for _ in range(2)]
+        targets = [ScriptedTarget(writes(NOT_EXECUTED)) for _ in range(2)]
         async with Rig([route()], targets) as rig:
             rig.budget.ratio = 0.1
             for _ in range(30):
@@ -455,7 +472,7 @@
 
 def test_connection_with_a_slow_head_is_closed():
     async def scenario():
-        async with Rig([route()], [ScriptedTarget(answers(whole()))]) as rig:
+        async with Rig([route()], [ScriptedTarget(writes(complete_answer()))]) as rig:
             reader, writer, connection = await connected(rig, b"GET /a/x HTTP/1.1\r\nHost: h.ex")
             async with asyncio.timeout(LONG_TIMEOUT_S):
                 while connection.head_started_s is None:
@@ -472,7 +489,7 @@
 
 def test_idle_connection_is_closed_only_after_the_idle_timeout():
     async def scenario():
-        async with Rig([route()], [ScriptedTarget(answers(whole()))]) as rig:
+        async with Rig([route()], [ScriptedTarget(writes(complete_answer()))]) as rig:
             request = b"GET /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n\r\n"
             reader, writer, connection = await connected(rig, request)
             async with asyncio.timeout(LONG_TIMEOUT_S):
@@ -495,7 +512,7 @@
 
         async def answers_when_released(target, request, writer):
             await release.wait()
-            writer.write(whole())
+            writer.write(complete_answer())
             return True
 
         async with Rig([route()], [ScriptedTarget(answers_when_released)]) as rig:
@@ -518,7 +535,7 @@
 
         async def answers_when_released(target, request, writer):
             await release.wait()
-            writer.write(whole())
+            writer.write(complete_answer())
             return True
 
         target = ScriptedTarget(answers_when_released)
@@ -544,7 +561,7 @@
 
     async def scenario():
         long_route = route(time_limit_s=10 * LONG_TIMEOUT_S)
-        async with Rig([long_route], [ScriptedTarget(answers(SERVER_ERROR_ANSWER))]) as rig:
+        async with Rig([long_route], [ScriptedTarget(writes(SERVER_ERROR_ANSWER))]) as rig:
             # Waiting for a free slot would take ten times this timeout.
             received = await rig.ask(timeout_s=LONG_TIMEOUT_S)
             assert received.startswith(b"HTTP/1.1 500") and received.endswith(b"bad")
@@ -570,7 +587,7 @@
 
         async def answers_when_released(target, request, writer):
             await release.wait()
-            writer.write(whole())
+            writer.write(complete_answer())
             return True
 
         objective_s = 0.4
--- a/ferrydock/forwarding/tests/test_identity.py
+++ b/ferrydock/forwarding/tests/test_identity.py
@@ -5,7 +5,7 @@
 import pytest
 
 from .._gateway import MAX_BUFFERED_BODY_BYTES
-from .rig import Rig, ScriptedTarget, answers, play, resets, route, whole
+from .rig import Rig, ScriptedTarget, complete_answer, play, resets, route, writes
 
 
 class FailedAttemptLog:
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("size", [2, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, 700_000])
 def test_repeated_request_has_same_identity_even_if_its_body_is_streamed(identity_log, size):
     async def scenario():
-        target = ScriptedTarget(resets(), resets(), resets(), answers(whole(), keep=False))
+        target = ScriptedTarget(resets(), resets(), resets(), writes(complete_answer(), keep=False))
         async with Rig([route(attempts=1)], [target]) as rig:
             for number, tail in enumerate((b"a", b"a", b"b")):
                 target_body = tail * size
@@ -44,7 +44,7 @@
 
 def test_body_sent_in_slow_pieces_is_forwarded_completely():
     async def scenario():
-        target = ScriptedTarget(answers(whole(), keep=False))
+        target = ScriptedTarget(writes(complete_answer(), keep=False))
         async with Rig([route()], [target]) as rig:
             host, port = rig.gateway.address.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
--- a/ferrydock/forwarding/tests/test_planned_stop.py
+++ b/ferrydock/forwarding/tests/test_planned_stop.py
@@ -11,7 +11,7 @@
 from ...clock import SystemClock
 from ...configuration import RouteKind
 from ...planned_stop import finish_requests
-from .rig import HEAD, Rig, ScriptedTarget, answers, play, route, whole
+from .rig import HEAD, Rig, ScriptedTarget, complete_answer, play, route, writes
 from .test_forwarding import STREAM, body_of, events
 
 FIELDS = b"Host: h.example\r\nX-Attempt-Id: a1\r\n"
@@ -72,7 +72,7 @@
 
 def test_body_still_arriving_when_listening_ends_is_read_completely():
     async def scenario():
-        target = ScriptedTarget(answers(whole(b"done")))
+        target = ScriptedTarget(writes(complete_answer(b"done")))
         async with Rig([route()], [target]) as rig:
             caller = await Caller.connect(rig)
             caller.send(b"POST /a/x HTTP/1.1\r\n" + FIELDS + b"Content-Length: 4\r\n\r\nab")
@@ -112,7 +112,7 @@
 
 def test_pipelined_request_read_before_listening_ended_is_served():
     async def scenario():
-        target = ScriptedTarget(answers(whole(b"one")), answers(whole(b"two")))
+        target = ScriptedTarget(writes(complete_answer(b"one")), writes(complete_answer(b"two")))
         async with Rig([route()], [target]) as rig:
             caller = await Caller.connect(rig)
             await until(lambda: rig.gateway.connection_count)
@@ -130,7 +130,7 @@
 def test_pipelined_request_received_after_listening_ended_is_refused():
     async def scenario():
         release = asyncio.Event()
-        target = ScriptedTarget(pauses_until(release, b"", whole(b"one")))
+        target = ScriptedTarget(pauses_until(release, b"", complete_answer(b"one")))
         async with Rig([route()], [target]) as rig:
             caller = await Caller.connect(rig)
             caller.send(REQUEST)
@@ -151,7 +151,7 @@
 
 def test_connection_not_yet_accepted_when_listening_ends_is_answered():
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         async with Rig([route()], [target]) as rig:
             host, port = rig.gateway.address.split(":")
             with socket.create_connection((host, int(port)), TIMEOUT_S) as waiting:
@@ -258,7 +258,7 @@
 def test_stop_waits_until_a_slow_reader_has_its_answer():
     async def scenario():
         body = b"x" * 8_000_000
-        target = ScriptedTarget(answers(whole(body)))
+        target = ScriptedTarget(writes(complete_answer(body)))
         async with Rig([route(time_limit_s=TIMEOUT_S)], [target]) as rig:
             caller = await Caller.connect(rig, limit=1000)
             caller.send(REQUEST)
--- a/ferrydock/gateway/tests/test_table_routes.py
+++ b/ferrydock/gateway/tests/test_table_routes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ...clock import SystemClock
-from ...forwarding.tests.rig import ScriptedTarget, answers, whole
+from ...forwarding.tests.rig import ScriptedTarget, complete_answer, writes
 from ...table import Change, RowKey, Table, digest_key
 from .. import TableRoutes
 
@@ -64,7 +64,10 @@
 
 def test_an_edit_moves_requests_to_another_service():
     async def scenario():
-        old, new = ScriptedTarget(answers(whole(b"old"))), ScriptedTarget(answers(whole(b"new")))
+        old, new = (
+            ScriptedTarget(writes(complete_answer(b"old"))),
+            ScriptedTarget(writes(complete_answer(b"new"))),
+        )
         for target in (old, new):
             await target.start()
         routes = TableRoutes("hall-a", SystemClock(), random.Random(1))
