--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -23,7 +23,7 @@
 
 from ferrydock.clock import SystemClock
 from ferrydock.crashes import CrashExchange, CrashHistory, request_identity
-from ferrydock.crashes._history import MAX_CRASHES_KEPT, MAX_REQUESTS
+from ferrydock.crashes._history import MAX_CRASHES_PER_REQUEST, MAX_REQUESTS
 
 from ._report import print_check, print_row
 
@@ -41,10 +41,10 @@
 class Silent:
     """Takes verdicts and logs nothing."""
 
-    def became_known(self, identity, crashes, for_s):
+    def refusal_started(self, identity, crashes, for_s):
         """Do nothing."""
 
-    def released(self, identity, why):
+    def refusal_ended(self, identity, why):
         """Do nothing."""
 
 
@@ -76,7 +76,7 @@
     history = history_of(requests, crashes)
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return used / history.remembered_count
+    return used / history.record_count
 
 
 def tell_a_peer(history: CrashHistory) -> tuple[int, int, float]:
@@ -85,12 +85,12 @@
     own = CrashExchange(history)
     messages, size = 0, 0
     began_s = time.perf_counter()
-    while peer.history.remembered_count < history.remembered_count:
-        asked = own.question("peer")
+    while peer.history.record_count < history.record_count:
+        asked = own.request_update("peer")
         size += len(orjson.dumps(asdict(asked)))
         messages += 1
-        peer.receive(asked)
-        own.take_answer("peer", asked, peer.answer(asked))
+        peer.merge_request(asked)
+        own.merge_reply("peer", asked, peer.reply_update(asked))
     return messages, size, time.perf_counter() - began_s
 
 
@@ -112,7 +112,7 @@
             print_row(NAME, known=known, body_bytes=size, before_us=0, added_us=each_us)
             if known == "nothing" and size == BODY_BYTES[1]:
                 good &= print_check(NAME, "added_us", each_us, f"<={MAX_ADDED_US}")
-    for crashes in (1, MAX_CRASHES_KEPT):
+    for crashes in (1, MAX_CRASHES_PER_REQUEST):
         each_bytes = bytes_of_record(crashes, 100)
         print_row(NAME, crashes=crashes, record_bytes=each_bytes)
     full_mb = each_bytes * MAX_REQUESTS / 1e6
--- a/ferrydock/backpressure/_rate_limits.py
+++ b/ferrydock/backpressure/_rate_limits.py
@@ -1,7 +1,8 @@
 """The rate limits that targets set in their answers.
 
 Owns the newest known rate limit of each target, in memory. The sources are the answers to this
-daemon's own attempts (`forwarding.AnswerNotices`) and the reports of other daemons (`scheduling`).
+daemon's own attempts (`forwarding.TargetStatements`) and the reports of other daemons
+(`scheduling`).
 """
 
 import logging
@@ -113,7 +114,7 @@
             if limit.rate_per_s is not None or now_s - limit.received_s < ENDED_LIMIT_REPORT_S
         )
 
-    def reports_beyond(
+    def unknown_to_sender(
         self, received: Iterable[LimitReport], now_s: float
     ) -> tuple[LimitReport, ...]:
         """Return the limits that a daemon does not know, or knows another value of.
@@ -148,7 +149,7 @@
             if is_newer and self._is_retained(report.target_id, report.age_s):
                 self._set_limit(report.target_id, RateLimit(report.rate_per_s, received_s))
 
-    def tidy(self, now_s: float) -> None:
+    def prune(self, now_s: float) -> None:
         """Remove unlisted targets whose limit was received over `UNLISTED_RETENTION_S` ago."""
         for target_id, limit in list(self._limits.items()):
             if not self._is_retained(target_id, now_s - limit.received_s):
--- a/ferrydock/crashes/_exchange.py
+++ b/ferrydock/crashes/_exchange.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ._history import CrashHistory
-from ._messages import CrashNews
+from ._messages import CrashUpdate
 
 __all__ = ["CrashExchange"]
 
@@ -54,14 +54,14 @@
     >>> clock = ManualClock()
     >>> one, two = CrashHistory(clock), CrashHistory(clock)
     >>> caller, callee = CrashExchange(one), CrashExchange(two)
-    >>> caller.question("two") is None
+    >>> caller.request_update("two") is None
     True
     >>> one.note_crash("r", "t1", 0.0, 1.0)
     >>> two.note_crash("r", "t2", 2.0, 3.0)
-    >>> sent = caller.question("two")
-    >>> callee.receive(sent)
-    >>> caller.take_answer("two", sent, callee.answer(sent))
-    >>> one.crashes_of("r"), two.crashes_of("r")
+    >>> sent = caller.request_update("two")
+    >>> callee.merge_request(sent)
+    >>> caller.merge_reply("two", sent, callee.reply_update(sent))
+    >>> one.consecutive_crashes_of("r"), two.consecutive_crashes_of("r")
     (2, 2)
     """
 
@@ -71,7 +71,7 @@
         self.history = history
         self._progress_by_peer: OrderedDict[str, _PeerProgress] = OrderedDict()
 
-    def question(self, peer: str) -> CrashNews | None:
+    def request_update(self, peer: str) -> CrashUpdate | None:
         """Return the update to include in a call to a peer, or None if there is none to send."""
         progress = self._progress_of(peer)
         reports, last_included_change = self.history.reports_since(
@@ -79,20 +79,20 @@
         )
         if not reports and not progress.incarnation:
             return None
-        return CrashNews(
-            self.history.life,
+        return CrashUpdate(
+            self.history.incarnation,
             last_included_change,
             progress.incarnation,
             progress.received_change,
             reports,
         )
 
-    def take_answer(self, peer: str, sent: CrashNews | None, reply: CrashNews | None) -> None:
+    def merge_reply(self, peer: str, sent: CrashUpdate | None, reply: CrashUpdate | None) -> None:
         """Merge the update in a peer's reply.
 
         Parameters
         ----------
-        sent, reply : CrashNews or None
+        sent, reply : CrashUpdate or None
             The updates that the call and its reply carried; None for none.
         """
         if reply is None:
@@ -106,17 +106,19 @@
         progress.incarnation, progress.received_change = reply.life, reply.change
         self.history.merge(reply.reports)
 
-    def receive(self, update: CrashNews | None) -> None:
+    def merge_request(self, update: CrashUpdate | None) -> None:
         """Merge the update that a peer included in its call; None if there was none."""
         if update is not None:
             self.history.merge(update.reports)
 
-    def answer(self, update: CrashNews | None, repeated_only: bool = False) -> CrashNews | None:
+    def reply_update(
+        self, update: CrashUpdate | None, repeated_only: bool = False
+    ) -> CrashUpdate | None:
         """Return the changes that a calling peer has not received, as the update in the reply.
 
         Parameters
         ----------
-        update : CrashNews or None
+        update : CrashUpdate or None
             The update in the peer's call. If it is None and there are no changes, so is the result.
         repeated_only : bool
             Omit requests that have never had two consecutive crashes. A hall's leader receives
@@ -129,14 +131,14 @@
         )
         if update is None and not reports:
             return None
-        return CrashNews(self.history.life, last_included_change, reports=reports)
+        return CrashUpdate(self.history.incarnation, last_included_change, reports=reports)
 
-    def has_news_for(self, update: CrashNews | None) -> bool:
+    def has_update_for(self, update: CrashUpdate | None) -> bool:
         """Return whether a peer lacks a change of any request with two consecutive crashes."""
         return self.history.last_repeated_change > self._change_received_by(update)
 
-    def _change_received_by(self, update: CrashNews | None) -> int:
-        is_same_incarnation = update is not None and update.known_life == self.history.life
+    def _change_received_by(self, update: CrashUpdate | None) -> int:
+        is_same_incarnation = update is not None and update.known_life == self.history.incarnation
         return update.known_change if update is not None and is_same_incarnation else 0
 
     def _progress_of(self, peer: str) -> _PeerProgress:
--- a/ferrydock/crashes/_history.py
+++ b/ferrydock/crashes/_history.py
@@ -24,7 +24,7 @@
 # with 9 requests each that crash at once. A record of one crash takes 0.56 kB, of eight 2.4 kB, so
 # all records take at most 4.8 MB.
 MAX_REQUESTS = 2000
-MAX_CRASHES_KEPT = 8
+MAX_CRASHES_PER_REQUEST = 8
 
 # Most recently answered requests, kept so that a later crash of one of them needs the higher
 # threshold. They cover some seconds of distinct requests, and all requests that many callers send
@@ -59,10 +59,12 @@
 class CrashListener(Protocol):
     """Receives each change of the verdict on a request."""
 
-    def became_known(self, identity: str, crashes: tuple[Crash, ...], refused_for_s: float) -> None:
+    def refusal_started(
+        self, identity: str, crashes: tuple[Crash, ...], refused_for_s: float
+    ) -> None:
         """Handle the start of a refusal, which lasts at least `refused_for_s` seconds."""
 
-    def released(self, identity: str, reason: str) -> None:
+    def refusal_ended(self, identity: str, reason: str) -> None:
         """Handle the end of a refusal."""
 
 
@@ -78,7 +80,7 @@
 
     Attributes
     ----------
-    life : str
+    incarnation : str
         Incarnation of this history: a random id, different in each process.
     changes : int
         Number of the last change of a record. Peers request the changes after a number.
@@ -108,14 +110,14 @@
         "changes",
         "clock",
         "last_repeated_change",
-        "life",
+        "incarnation",
         "listener",
     )
 
     def __init__(self, clock: Clock, listener: CrashListener | None = None):
         self.clock = clock
         self.listener: CrashListener = listener or CrashLog()
-        self.life = uuid.uuid4().hex[:12]
+        self.incarnation = uuid.uuid4().hex[:12]
         self.changes = 0
         self.last_repeated_change = 0
         self._observation_numbers = itertools.count(1)
@@ -150,32 +152,34 @@
             return 0.0
         return max(0.0, self._refused_until_s(record) - self.clock.now_s())
 
-    def is_known_since(self, identity: str, since_s: float) -> bool:
-        """Return whether a request is refused because of crashes detected at `since_s` or later.
+    def was_detected_since(self, identity: str, admitted_s: float) -> bool:
+        """Return whether a request is refused because of crashes detected since `admitted_s`.
 
-        `since_s` is the time at which an attempt of the request was admitted.
+        `admitted_s` is the time at which an attempt of the request was admitted.
         """
         record = self._records.get(identity)
-        return record is not None and record.detected_s is not None and record.detected_s >= since_s
+        return (
+            record is not None and record.detected_s is not None and record.detected_s >= admitted_s
+        )
 
-    def crashes_of(self, identity: str) -> int:
+    def consecutive_crashes_of(self, identity: str) -> int:
         """Return the number of consecutive crashes of a request."""
         record = self._records.get(identity)
         return record.consecutive_count if record else 0
 
     @property
-    def known_count(self) -> int:
+    def refused_count(self) -> int:
         """Number of requests that are refused."""
         return len(self._refused)
 
     @property
-    def remembered_count(self) -> int:
+    def record_count(self) -> int:
         """Number of requests with a record."""
         return len(self._records)
 
     def _refused_until_s(self, record: RequestRecord) -> float:
         last_crash = max(record.crashes, key=lambda crash: crash.ended_s)
-        is_own = last_crash.finder == self.life
+        is_own = last_crash.observer == self.incarnation
         factor = 1.0 if is_own else 1.0 + OTHER_DAEMONS_DELAY_FRACTION
         return last_crash.ended_s + record.refusal_s * factor
 
@@ -206,9 +210,9 @@
 
     def _new_observation_id(self) -> str:
         """Return an id, unique among all daemons, for a crash or answer that this daemon saw."""
-        return f"{self.life}:{next(self._observation_numbers)}"
+        return f"{self.incarnation}:{next(self._observation_numbers)}"
 
-    def tidy(self) -> None:
+    def prune(self) -> None:
         """Remove the records and answers that have exceeded their retention time."""
         now_s = self.clock.now_s()
         expired = [
@@ -287,7 +291,7 @@
         recorded_ids = {crash.crash_id for crash in recorded}
         answered_s = record.answered_s if record else float("-inf")
         new = [c for c in crashes if c.crash_id not in recorded_ids and c.ended_s > answered_s]
-        retained = select_retained([*recorded, *new], MAX_CRASHES_KEPT)
+        retained = select_retained([*recorded, *new], MAX_CRASHES_PER_REQUEST)
         if retained == recorded:
             return False
         record = record or self._create_record(identity)
@@ -347,7 +351,7 @@
         record.detected_s = self.clock.now_s()
         if identity not in self._refused:
             self._refused.add(identity)
-            self.listener.became_known(identity, tuple(record.crashes), record.refusal_s)
+            self.listener.refusal_started(identity, tuple(record.crashes), record.refusal_s)
         for other in refused_at_same_targets(identity, self._records, self._refused):
             if not self._is_cause(other):
                 self._release(other, self._records[other], EXPLAINED)
@@ -359,4 +363,4 @@
     def _release(self, identity: str, record: RequestRecord, reason: str) -> None:
         record.detected_s = None
         self._refused.discard(identity)
-        self.listener.released(identity, reason)
+        self.listener.refusal_ended(identity, reason)
--- a/ferrydock/forwarding/_answer_notices.py
+++ b/ferrydock/forwarding/_answer_notices.py
@@ -15,12 +15,12 @@
 from ..targets import Target
 from ._dialect import AnswerHeaders
 
-__all__ = ["AnswerNotices"]
+__all__ = ["TargetStatements"]
 
 _LOG = logging.getLogger("ferrydock.forwarding")
 
 
-class AnswerNotices:
+class TargetStatements:
     """Applies the statements of targets about themselves.
 
     Parameters
@@ -52,20 +52,20 @@
         if not head.is_targets_own:
             return False
         self._apply_leaving(target, head.is_leaving)
-        self._apply_backoff(target, head.rest_s)
+        self._apply_backoff(target, head.backoff_s)
         return self._apply_limit(target.target_id, head.rate_limit_per_s, sent_s)
 
     def _apply_leaving(self, target: Target, is_leaving: bool | Fault) -> None:
         if isinstance(is_leaving, Fault):
             self._log_unreadable(target.target_id, is_leaving)
         elif is_leaving:
-            self.catalog.directory.note_leaving(target.target_id, target.life)
+            self.catalog.directory.note_leaving(target.target_id, target.incarnation)
 
     def _apply_backoff(self, target: Target, backoff_s: float | None | Fault) -> None:
         if isinstance(backoff_s, Fault):
             self._log_unreadable(target.target_id, backoff_s)
         elif backoff_s is not None:
-            self.catalog.rests.note(target, backoff_s, self.clock.now_s())
+            self.catalog.backoffs.note(target, backoff_s, self.clock.now_s())
 
     def _apply_limit(
         self, target_id: str, limit_per_s: float | None | Fault, sent_s: float
@@ -78,9 +78,9 @@
     def expects_refusals(self, target: Target) -> bool:
         """Return whether a target has stated a rate limit or requested a back-off."""
         is_limited = self.catalog.limits.rate_per_s(target.target_id) is not None
-        return is_limited or self.catalog.rests.left_s(target, self.clock.now_s()) > 0
+        return is_limited or self.catalog.backoffs.remaining_s(target, self.clock.now_s()) > 0
 
-    def forget_others(self, target_ids: Container[str]) -> None:
+    def remove_unlisted(self, target_ids: Container[str]) -> None:
         """Remove targets that are not in `target_ids`."""
         for target_id in [i for i in self._unreadable if i not in target_ids]:
             del self._unreadable[target_id]
--- a/ferrydock/forwarding/_crash_guard.py
+++ b/ferrydock/forwarding/_crash_guard.py
@@ -9,7 +9,7 @@
 import logging
 
 from ..clock import Clock
-from ..crashes import CRASHES_TO_KNOW, CrashHistory, TargetPresence, TargetProbe
+from ..crashes import CRASHES_TO_REFUSE, CrashHistory, TargetPresence, TargetProbe
 from ..logs import log_event
 from ..route_metrics import RouteMetrics
 from ..targets import Target, TargetDirectory
@@ -20,7 +20,7 @@
 _LOG = logging.getLogger("ferrydock.forwarding")
 
 # How long a request that may have crashed its third target waits for the check of that target: a
-# little longer than one probe takes (`crashes._probe.ANSWER_WITHIN_S`). A request with fewer
+# little longer than one probe takes (`crashes._probe.CONNECT_TIMEOUT_S`). A request with fewer
 # crashes is retried without waiting.
 MAX_CHECK_WAIT_S = 0.15
 
@@ -73,7 +73,7 @@
 
     def is_known_since_admission(self, exchange: Exchange) -> bool:
         """Return whether a request was found to crash its targets after it had been admitted."""
-        return self.history.is_known_since(exchange.identity, exchange.admitted_s)
+        return self.history.was_detected_since(exchange.identity, exchange.admitted_s)
 
     def refused_for_s(self, exchange: Exchange) -> float:
         """Return the seconds until a refused request may be retried."""
@@ -111,7 +111,7 @@
         )
         self._checks.add(check)
         check.add_done_callback(self._checks.discard)
-        if self.history.crashes_of(exchange.identity) + 1 >= CRASHES_TO_KNOW:
+        if self.history.consecutive_crashes_of(exchange.identity) + 1 >= CRASHES_TO_REFUSE:
             await asyncio.wait({check}, timeout=MAX_CHECK_WAIT_S)
 
     def _is_planned_shutdown(self, target: Target) -> bool:
@@ -122,8 +122,8 @@
     async def _check_for_crash(
         self, exchange: Exchange, target: Target, sent_s: float, ended_s: float
     ) -> None:
-        presence = await self.probe.look(target.target_id, target.address)
-        if presence is not TargetPresence.GONE:
+        presence = await self.probe.probe(target.target_id, target.address)
+        if presence is not TargetPresence.TERMINATED:
             return
         self.metrics.target_crashes.inc()
         log_event(
@@ -134,7 +134,7 @@
             identity=exchange.identity,
             target=target.target_id,
             ran_ms=(ended_s - sent_s) * 1000,
-            crashes=self.history.crashes_of(exchange.identity) + 1,
+            crashes=self.history.consecutive_crashes_of(exchange.identity) + 1,
         )
         self.history.note_crash(exchange.identity, target.target_id, sent_s, ended_s)
 
--- a/ferrydock/forwarding/_endpoint_selector.py
+++ b/ferrydock/forwarding/_endpoint_selector.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from ..backpressure import LonePacer
+from ..backpressure import LeaderlessPacer
 from ..clock import Clock
 from ..scheduling import (
     DAEMON_SELECTION,
@@ -49,7 +49,7 @@
 
     Attributes
     ----------
-    pacer : LonePacer
+    pacer : LeaderlessPacer
         Bounds the request rate to targets that have stated a limit.
     """
 
@@ -70,11 +70,11 @@
         self.clock = clock
         self.rng = rng
         self.daemons = daemons
-        self.pacer = LonePacer(catalog.limits, daemons)
+        self.pacer = LeaderlessPacer(catalog.limits, daemons)
         self._queue: WaitingQueue[Exchange, Endpoint] = WaitingQueue()
 
     @property
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Number of requests in this daemon's queue."""
         return len(self._queue)
 
@@ -107,8 +107,8 @@
             needs,
             exchange,
             max_queue_s,
-            leaves_out=tuple(sorted(exchange.tried_target_ids)),
-            give_back=self.release,
+            excluded_targets=tuple(sorted(exchange.tried_target_ids)),
+            release=self.release,
         )
 
     def release(self, endpoint: Endpoint) -> None:
@@ -161,8 +161,8 @@
 
     def _accepting(self, exchange: Exchange, now_s: float) -> list[Endpoint]:
         """Return the endpoints that a request has not tried and that are not backed off."""
-        backoffs = self.catalog.rests
-        return [e for e in self._untried(exchange) if backoffs.left_s(e.target, now_s) <= 0]
+        backoffs = self.catalog.backoffs
+        return [e for e in self._untried(exchange) if backoffs.remaining_s(e.target, now_s) <= 0]
 
     async def _wait_for_backoffs(self, exchange: Exchange, until_s: float) -> bool:
         """Wait while all targets are backed off; return False if that would last past `until_s`.
@@ -178,11 +178,13 @@
 
     def _backoff_remaining_s(self, exchange: Exchange) -> float:
         """Return the seconds until the first back-off ends; 0 if a target is not backed off."""
-        backoffs = self.catalog.rests
+        backoffs = self.catalog.backoffs
         if not backoffs:
             return 0.0
         now_s = self.clock.now_s()
-        return min((backoffs.left_s(e.target, now_s) for e in self._untried(exchange)), default=0.0)
+        return min(
+            (backoffs.remaining_s(e.target, now_s) for e in self._untried(exchange)), default=0.0
+        )
 
     def _is_blocked_by_limits(self, exchange: Exchange) -> bool:
         """Return whether rate limits are what keeps a request from every target it could use."""
@@ -202,7 +204,7 @@
         candidates = []
         for endpoint in endpoints:
             target_id = endpoint.target.target_id
-            in_flight = self.loads.of(target_id).running
+            in_flight = self.loads.of(target_id).in_flight
             if in_flight < connections and self.pacer.may_send(target_id, now_s):
                 slots = max_requests(exchange.service, endpoint.target)
                 candidates.append(Candidate(endpoint, in_flight, slots))
--- a/ferrydock/forwarding/_forwarder.py
+++ b/ferrydock/forwarding/_forwarder.py
@@ -13,8 +13,8 @@
 
 from ..clock import Clock
 from ..crashes import CRASHES_TARGETS
-from ..invariants import existing
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit
+from ..invariants import require
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..retry_budget import RetryBudget
 from ..scheduling import Endpoint
 from ._admission import queue_times
@@ -91,10 +91,10 @@
     async def _serve(self, exchange: Exchange) -> web.StreamResponse:
         """Serve one request; end it if the time for a planned stop is over first."""
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 return await self._attempt_until_final(exchange)
         except DaemonStopping:
-            return self._end_without_answer(exchange, STOPPING)
+            return self._end_without_answer(exchange, STOPPING_REASON)
 
     async def _attempt_until_final(self, exchange: Exchange) -> web.StreamResponse:
         """Make attempts until there is a final answer."""
@@ -125,7 +125,7 @@
                 self.crashes.record_answer(exchange)
                 self._record_times(exchange)
                 self._log.request_done(exchange, end, endpoint, self._since_arrival_s(exchange))
-                return existing(exchange.response, "the whole answer")
+                return require(exchange.response, "the whole answer")
             exchange.last_reason = end.reason
             self._log.attempt_failed(exchange, end, endpoint)
             await self.crashes.check_failed_attempt(exchange, endpoint.target, end, sent_s)
@@ -177,7 +177,7 @@
             exchange.may_have_run,
             since_arrival_s=self._since_arrival_s(exchange),
             endpoint_count=self.selector.endpoint_count(exchange),
-            queued=self.selector.waiting,
+            queued=self.selector.queue_length,
         )
         if exchange.response is not None:
             if exchange.request.transport is not None:
--- a/ferrydock/forwarding/tests/test_crashes.py
+++ b/ferrydock/forwarding/tests/test_crashes.py
@@ -8,7 +8,7 @@
 from ...crashes import TargetPresence, TargetProbe, _probe
 from ...targets import Target
 from .._crash_guard import MAX_CHECK_WAIT_S
-from .rig import Rig, ScriptedTarget, answers, play, resets, route, whole
+from .rig import Rig, ScriptedTarget, complete_answer, play, resets, route, writes
 
 
 def crashes(data=b""):
@@ -37,7 +37,7 @@
 async def ask_until_known(rig, **request):
     """Send a request until it is known to crash its targets; return all answers."""
     received = []
-    while not rig.history.known_count:
+    while not rig.history.refused_count:
         received.append(await rig.ask("POST", **request))
         await asyncio.sleep(0.02)
     return received
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("body", [b"hi", b"x" * 700_000])
 def test_request_that_crashed_three_targets_is_refused_and_others_are_served(body):
     async def scenario():
-        last = ScriptedTarget(answers(whole()))
+        last = ScriptedTarget(writes(complete_answer()))
         async with Rig([route(attempts=4)], crashing_targets(3)) as rig:
             received = await ask_until_known(rig, body=body)
             assert all(answer.startswith(b"HTTP/1.1 502") for answer in received)
@@ -85,7 +85,7 @@
             for _ in range(6):
                 assert (await rig.ask("POST", body=b"hi")).startswith(b"HTTP/1.1 502")
             await asyncio.sleep(0.1)
-            assert rig.history.remembered_count == 0
+            assert rig.history.record_count == 0
 
     play(scenario)
 
@@ -107,7 +107,7 @@
         async with Rig([route(attempts=1)], [ScriptedTarget(shuts_down)]) as rig:
             assert (await rig.ask("POST", body=b"hi")).startswith(b"HTTP/1.1 502")
             await asyncio.sleep(0.1)
-            assert rig.history.remembered_count == 0
+            assert rig.history.record_count == 0
 
     play(scenario)
 
@@ -130,9 +130,9 @@
 
     async def scenario():
         probe = TargetProbe()
-        monkeypatch.setattr(_probe, "_look_once", look_once)
-        monkeypatch.setattr(_probe, "LOOK_AGAIN_S", (0.01, 0.01))
-        looks = [probe.look("t", "127.0.0.1:1") for _ in range(3)]
+        monkeypatch.setattr(_probe, "_connect_once", look_once)
+        monkeypatch.setattr(_probe, "RETRY_PAUSES_S", (0.01, 0.01))
+        looks = [probe.probe("t", "127.0.0.1:1") for _ in range(3)]
         assert {await look for look in looks} == {TargetPresence(expected)}
         assert remaining == []
         await probe.close()
@@ -142,13 +142,13 @@
 
 def test_request_is_retried_without_waiting_for_the_probe_of_a_silent_target(monkeypatch):
     async def silent(address):
-        await asyncio.sleep(_probe.ANSWER_WITHIN_S)
+        await asyncio.sleep(_probe.CONNECT_TIMEOUT_S)
         return TargetPresence.SILENT
 
     async def scenario():
-        monkeypatch.setattr(_probe, "_look_once", silent)
-        async with Rig([route()], [ScriptedTarget(resets(), answers(whole()))] * 1) as rig:
-            other = ScriptedTarget(resets(), answers(whole()))
+        monkeypatch.setattr(_probe, "_connect_once", silent)
+        async with Rig([route()], [ScriptedTarget(resets(), writes(complete_answer()))] * 1) as rig:
+            other = ScriptedTarget(resets(), writes(complete_answer()))
             await other.start()
             rig.directory.put(Target("t9", "plain", other.address, "hall-a", 6))
             started_s = rig.clock.now_s()
@@ -161,7 +161,7 @@
 
 def test_queued_request_is_not_sent_once_it_is_known_to_crash_targets(monkeypatch):
     async def scenario():
-        target = ScriptedTarget(answers(whole()))
+        target = ScriptedTarget(writes(complete_answer()))
         async with Rig([route()], [target]) as rig:
             acquire = rig.selector.acquire
 
@@ -176,7 +176,7 @@
             received = await rig.ask("POST", body=b"hi")
             assert received.startswith(b"HTTP/1.1 503") and code_of(received) == b"crashes_targets"
             assert retry_after_of(received) > 50
-            assert target.requests == [] and rig.loads.running() == {}
+            assert target.requests == [] and rig.loads.in_flight_by_target() == {}
 
     play(scenario)
 
--- a/ferrydock/forwarding/tests/test_interruptions.py
+++ b/ferrydock/forwarding/tests/test_interruptions.py
@@ -53,7 +53,7 @@
         super().__init__([route(kind=kind, time_limit_s=8.0, max_pause_s=MAX_PAUSE_S)], targets)
         service = ServiceSpec("plain", 10, ENGINE)
         self.configuration = Configuration(1, self.configuration.routes, {"plain": service}, ())
-        self.budget = RetryBudget(0.0, start=retries)
+        self.budget = RetryBudget(0.0, initial=retries)
         self.forwarder.budgets = lambda service: self.budget
         self.stalls = StallDetector(self.forwarder.attempts, None, self.clock, USUAL_TIMES)
 
@@ -78,7 +78,7 @@
 
     def break_all(self):
         for key in KEYS:
-            self.stalls.break_replica(key, MEMBER_DEAD)
+            self.stalls.mark_broken(key, MEMBER_DEAD)
 
     async def until(self, condition):
         async with asyncio.timeout(5.0):
@@ -130,10 +130,10 @@
             streaming = asyncio.ensure_future(rig.stream())
             await rig.until(lambda: any(a.count for a in _streams_of(rig)))
             first = next(n for n, target in enumerate(targets) if target.requests)
-            rig.stalls.break_replica(KEYS[first], MEMBER_DEAD)
+            rig.stalls.mark_broken(KEYS[first], MEMBER_DEAD)
             assert body_of(await streaming) == (COMPLETE_BODY, True)
             assert [len(target.requests) for target in targets] == [1, 1]
-            assert rig.budget.left == 0
+            assert rig.budget.available == 0
 
     play(scenario)
 
@@ -157,7 +157,7 @@
                 await rig.stalls.step()
                 await asyncio.sleep(0.005)
             assert body_of(await streaming) == (COMPLETE_BODY, True)
-            assert rig.budget.left == 0
+            assert rig.budget.available == 0
 
     play(scenario)
 
@@ -171,13 +171,13 @@
             await rig.until(lambda: sum(a.count == 2 for a in _streams_of(rig)) == 6)
             # Both break at once: moved streams find no other replica and wait for one.
             first, second = KEYS
-            rig.stalls.break_replica(first, MEMBER_DEAD)
+            rig.stalls.mark_broken(first, MEMBER_DEAD)
             moved = [len(target.requests) for target in targets]
             resume.set()
             answers = [body_of(await each) for each in streaming]
             assert answers == [(COMPLETE_BODY, True)] * 6, moved
             assert sum(len(target.requests) for target in targets) <= 8
-            assert rig.budget.left >= 0
+            assert rig.budget.available >= 0
 
     play(scenario)
 
@@ -189,7 +189,7 @@
 
 def exchange(begun, retries=1.0, attempts=1, kind=RouteKind.RESUMABLE_STREAM):
     """Return a request in flight."""
-    budget = RetryBudget(0.0, start=retries)
+    budget = RetryBudget(0.0, initial=retries)
     return Exchange(
         request=None,
         inbound=None,
--- a/ferrydock/gateway/_app.py
+++ b/ferrydock/gateway/_app.py
@@ -10,10 +10,10 @@
 
 from aiohttp import web
 
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..outcomes import Run
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit, log_listeners
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit, log_listeners
 from ._connections import ConnectionGuard
 from ._errors import error_response, stopping_response
 
@@ -110,7 +110,7 @@
         await self._runner.setup()
         max_connections, first_request_s = self._guard_limits
         self._guard = ConnectionGuard(
-            existing(self._runner.server, "the server"), max_connections, first_request_s
+            require(self._runner.server, "the server"), max_connections, first_request_s
         )
         host, port = listen.rsplit(":", 1)
         self._server = await asyncio.get_running_loop().create_server(
@@ -122,7 +122,7 @@
 
     def connection_counts(self) -> dict[str, int]:
         """Return the counts of refused connections and of those that sent no request in time."""
-        guard = existing(self._guard, "the connection guard")
+        guard = require(self._guard, "the connection guard")
         return {"refused": guard.refused, "timed_out": guard.timed_out}
 
     @property
@@ -143,10 +143,10 @@
             self._guard.end_listening()
         self.has_stopped_listening = True
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Close connections that have no request in progress."""
         if self._guard is not None:
-            self._guard.close_resting()
+            self._guard.close_idle()
 
     async def close(self) -> None:
         """End the remaining requests with an answer each, then close the connections.
@@ -172,7 +172,7 @@
         is_always_served = handler in (self._healthz, self._readyz)
 
         async def _handle(request: web.Request) -> web.StreamResponse:
-            guard = existing(self._guard, "the connection guard")
+            guard = require(self._guard, "the connection guard")
             was_pending = guard.begin_request(request.protocol)
             self.in_flight += 1
             try:
@@ -221,5 +221,5 @@
 
 def _refuse_stopping(request: web.Request) -> web.Response:
     """Refuse a request that was sent to no target, because this daemon is stopping."""
-    log_event(_LOG, logging.INFO, "request_refused", path=request.path, why=STOPPING)
+    log_event(_LOG, logging.INFO, "request_refused", path=request.path, why=STOPPING_REASON)
     return stopping_response()
--- a/ferrydock/gateway/_claim_answers.py
+++ b/ferrydock/gateway/_claim_answers.py
@@ -34,7 +34,7 @@
         raise DaemonStopping
     open_task = background_tasks.start(claims.open(team, key, deadline_s))
     try:
-        async with background_tasks.stop_limit.hold():
+        async with background_tasks.stop_limit.apply():
             return await asyncio.shield(open_task)
     except DaemonStopping:
         await background_tasks.record(_withdraw_opened(claims, open_task))
--- a/ferrydock/gateway/_lasting_work.py
+++ b/ferrydock/gateway/_lasting_work.py
@@ -59,7 +59,7 @@
         """
         recording = self.start(coroutine)
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 await asyncio.shield(recording)
         except DaemonStopping:
             await asyncio.wait([recording], timeout=RECORD_TIMEOUT_S)
--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 
 from ..clock import Clock
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..membership import SharedState
 from ..outcomes import Invalid, NotRun
@@ -111,7 +111,7 @@
         team = self.authenticator.team(request)
         if team is None:
             return _unauthorised()
-        view = existing(self.state.keeper.view, "the table in force")
+        view = require(self.state.keeper.view, "the table in force")
         names = sorted({s.model for s in view.shares.values() if s.team == team})
         entries = [
             {"id": name, "object": "model", "created": 0, "owned_by": "ferrydock"} for name in names
@@ -130,7 +130,7 @@
         model_request = self._parse(request, team, raw)
         if isinstance(model_request, Invalid):
             return invalid_response(model_request)
-        view = existing(self.state.keeper.view, "the table in force")
+        view = require(self.state.keeper.view, "the table in force")
         share = view.share_of(team, model_request.model)
         if share is None:
             is_known_model = model_request.model in view.models
@@ -226,7 +226,7 @@
             outcome = await self.executor.run(model_request, caller, life, share.weight)
         except CallerLeft:
             self.recorder.left(model_request)
-            return existing(caller.response, "the started response")
+            return require(caller.response, "the started response")
         if claim is not None:
             await self.background_tasks.record(self._end_claim(claim, outcome, caller))
         self.recorder.ended(
--- a/ferrydock/gateway/_operators.py
+++ b/ferrydock/gateway/_operators.py
@@ -13,7 +13,7 @@
 from ..clock import Clock
 from ..logs import log_event
 from ..outcomes import Conflict, Invalid, Unavailable, Unknown
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..table import (
     AcceptedEdit,
     Change,
@@ -121,7 +121,7 @@
         return _json_response(self.get_status())
 
     async def _get_burn(self, request: web.Request) -> web.Response:
-        async with self.stop_limit.hold():
+        async with self.stop_limit.apply():
             return _json_response(await self.get_burn(dict(request.query)))
 
     async def _post_edit(self, request: web.Request) -> web.Response:
@@ -142,7 +142,7 @@
     async def _commit(self, edit: Edit, deadline_s: float):
         """Commit an edit; the outcome is unknown if the stop limit expires first."""
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 return await self.repository.commit(edit, deadline_s, self.keeper.revision)
         except DaemonStopping:
             return Unknown("this daemon stopped before the store's answer")
@@ -156,7 +156,7 @@
     async def _read_table(self, accepted: AcceptedEdit) -> None:
         """Read the table from the store; if the stop limit expires, the edit stays accepted."""
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 await self.watcher.look()
         except DaemonStopping:
             log_event(
@@ -164,7 +164,7 @@
                 logging.INFO,
                 "edit_not_in_force_here",
                 revision=accepted.revision,
-                why=STOPPING,
+                why=STOPPING_REASON,
             )
 
 
--- a/ferrydock/gateway/_route_dialect.py
+++ b/ferrydock/gateway/_route_dialect.py
@@ -33,7 +33,7 @@
 
     __slots__ = ()
 
-    def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
+    def parse_request(self, headers: Mapping[str, str]) -> Inbound | Invalid:
         """Parse the headers of a request; `Invalid` if one has a bad value."""
         try:
             timeout_ms = headers.get("X-Request-Timeout-Ms")
@@ -42,7 +42,7 @@
             token = bearer[len(_BEARER) :].strip() if bearer.startswith(_BEARER) else ""
             return Inbound(
                 request_id=headers.get("X-Request-Id") or uuid.uuid4().hex,
-                left_s=float(timeout_ms) / MS_PER_S if timeout_ms else None,
+                remaining_s=float(timeout_ms) / MS_PER_S if timeout_ms else None,
                 key=digest_key(token) if token else "",
                 model="",
                 last_event_id=int(last_event_id) if last_event_id else None,
@@ -50,7 +50,7 @@
         except ValueError as error:
             return Invalid((Fault("headers", str(error)),))
 
-    def outgoing(
+    def target_headers(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
     ) -> CIMultiDict[str]:
         """Return the headers to send to a service."""
@@ -58,17 +58,17 @@
             pair for pair in end_to_end(headers) if pair[0].lower() not in _REPLACED
         )
         forwarded["X-Request-Id"] = inbound.request_id
-        forwarded["X-Request-Timeout-Ms"] = str(max(1, int(outbound.left_s * MS_PER_S)))
+        forwarded["X-Request-Timeout-Ms"] = str(max(1, int(outbound.remaining_s * MS_PER_S)))
         if outbound.team:
             forwarded["X-Team"] = outbound.team
         if outbound.last_event_id is not None:
             forwarded["Last-Event-Id"] = str(outbound.last_event_id)
         return forwarded
 
-    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+    def parse_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
         """Parse status and headers of a service's answer."""
         return AnswerHeaders(
-            not_executed="X-Not-Run" in headers or status == MISDIRECTED_REQUEST,
+            is_not_executed="X-Not-Run" in headers or status == MISDIRECTED_REQUEST,
             request_id=headers.get("X-Request-Id", ""),
-            signed=True,
+            is_signed=True,
         )
--- a/ferrydock/gateway/_routes.py
+++ b/ferrydock/gateway/_routes.py
@@ -139,7 +139,7 @@
         """Apply a revision of the table."""
         self.retry_ratio = view.site.retry_budget_ratio
         self.directory.replace(targets_of(view))
-        self.current.offer(configuration_of(view), now_s)
+        self.current.apply_if_newer(configuration_of(view), now_s)
 
     async def start(self, listen: str) -> str:
         """Listen on ``IP:PORT``; return the bound address."""
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -13,10 +13,10 @@
 from aiohttp import web
 
 from ..clock import Clock
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..outcomes import NotRun, Run
-from ..planned_stop import STOPPING, DaemonStopping
+from ..planned_stop import STOPPING_REASON, DaemonStopping
 from ..requests import Answered, Claim, ClaimStore, GaveUp, RequestLife
 from ..retry_budget import DEFAULT_RETRY_RATIO, RetryBudget
 from ..table import TableKeeper, Target
@@ -118,7 +118,7 @@
         if team is None:
             return error_response(401, "unauthorised", "the bearer key belongs to no enabled team")
         name = request.match_info["name"]
-        target = existing(self.keeper.view, "the table in force").plain_service(name)
+        target = require(self.keeper.view, "the table in force").plain_service(name)
         if target is None:
             return error_response(404, "no_such_service", f"there is no service {name}")
         if target.leaving:
@@ -172,12 +172,12 @@
     ) -> Answered | NotRun | GaveUp:
         """Send the call, with retries, unless the stop limit expires first."""
         try:
-            async with self.background_tasks.stop_limit.hold():
+            async with self.background_tasks.stop_limit.apply():
                 return await self._attempt_until_final(request, target, body, life)
         except DaemonStopping:
             if life.run is Run.NOT_RUN:
-                return NotRun(STOPPING)
-            return GaveUp(STOPPING, Run.UNKNOWN)
+                return NotRun(STOPPING_REASON)
+            return GaveUp(STOPPING_REASON, Run.UNKNOWN)
 
     async def _attempt_until_final(
         self, request: web.Request, target: Target, body: bytes, life: RequestLife
--- a/ferrydock/gateway/_spill.py
+++ b/ferrydock/gateway/_spill.py
@@ -11,11 +11,11 @@
 
 from ..clock import Clock
 from ..http_client import open_session
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..membership import HallSummary, SharedState
 from ..outcomes import NotRun, Run
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..requests import EventRelay, GaveUp, ModelRequest, error_event
 from ._errors import error_body, lost_answer_response
 
@@ -71,7 +71,7 @@
     def halls_with_room(self, model: str) -> list[HallSummary]:
         """Return the halls with free slots for the model, the nearest first."""
         now_s = self.clock.now_s()
-        view = existing(self.state.keeper.view, "the table in force")
+        view = require(self.state.keeper.view, "the table in force")
         found = []
         for summary in self.state.halls.values():
             if now_s - summary.made_s > MAX_SUMMARY_AGE_S or not summary.contacts:
@@ -93,7 +93,7 @@
         """
         for summary in self.halls_with_room(model_request.model)[:MAX_HALLS_TRIED]:
             if self.stop_limit.is_over:
-                return NotRun(STOPPING)
+                return NotRun(STOPPING_REASON)
             self._contact_counter += 1
             contact = summary.contacts[self._contact_counter % len(summary.contacts)]
             answer = await self._forward_to(contact.url, request, model_request)
@@ -113,12 +113,12 @@
         }
         headers[HOP_HEADER] = str(model_request.hops + 1)
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 response = await self._session.post(
                     url + model_request.path, data=model_request.body, headers=headers
                 )
         except DaemonStopping:
-            return _lost_answer(STOPPING, model_request)
+            return _lost_answer(STOPPING_REASON, model_request)
         except aiohttp.ClientConnectorError as error:
             log_event(_LOG, logging.INFO, "hall_unreachable", url=url, why=error)
             return None
@@ -135,10 +135,10 @@
 
     async def _relay_complete(self, response, model_request: ModelRequest) -> web.Response:
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 body = await response.read()
         except DaemonStopping:
-            return _lost_answer(STOPPING, model_request)
+            return _lost_answer(STOPPING_REASON, model_request)
         except (aiohttp.ClientError, OSError, TimeoutError):
             return _lost_answer("the answer of another hall broke", model_request)
         headers = {"X-Request-Id": model_request.request_id}
@@ -157,13 +157,13 @@
         relay = EventRelay(keep=False)
         reason = "another hall went away"
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 async for piece in response.content.iter_any():
                     ready = relay.feed(piece)
                     if ready:
                         await answer.write(ready)
         except DaemonStopping:
-            reason = STOPPING
+            reason = STOPPING_REASON
         except (aiohttp.ClientPayloadError, TimeoutError):
             relay.whole = False
         if not relay.whole:
--- a/ferrydock/gateway/tests/test_planned_stop.py
+++ b/ferrydock/gateway/tests/test_planned_stop.py
@@ -505,7 +505,7 @@
             caller = await Caller.to(node)
             caller.send(COMPLETIONS, chat_body())
             await eventually(lambda: node.gate.waiting("draft-large"))
-            queued = node.gate._queues["draft-large"].peek().wake
+            queued = node.gate._queues["draft-large"].peek().handle
             node.stop_limit.end()
             queued.chosen.set_result(choose_now(node.gate, queued.request, set()))
             head, _ = await caller.answer()
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -19,7 +19,7 @@
     TableRoutes,
 )
 from ..hall import Attestations, HallController, HallObserver, Prober
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..membership import (
     BurnGatherer,
@@ -48,7 +48,7 @@
 from ..routing import ReplicaLoads, make_routing_policy
 from ..store import BoxList, Store, WeightStore
 from ..table import TableKeeper, TableRepository, TableView, TableWatcher
-from ..teams import Neighbourhood, TeamLimits
+from ..teams import KnownDemand, TeamLimits
 from ._burn_report import burn_fields
 from ._rounds import NodeLoops
 from ._settings import Settings
@@ -262,7 +262,7 @@
         for listener in listeners:
             listener.announce_stop()
         self.state.members.change_own(self.clock.now_s(), stopping=True)
-        await self.controller.stand_down()
+        await self.controller.step_down()
         time_limit_s = None
         if settings.stop_longest_s is not None:
             time_limit_s = settings.stop_readiness_s + settings.stop_longest_s
@@ -333,7 +333,7 @@
         )[0]
         if writer_name == self.name:
             return None
-        return existing(self.state.members.get(writer_name), writer_name).peer_address
+        return require(self.state.members.get(writer_name), writer_name).peer_address
 
     # Placement ----------------------------------------------------------------------------
 
@@ -347,7 +347,7 @@
 
     # Team limits --------------------------------------------------------------------------
 
-    def neighbourhood(self) -> Neighbourhood:
+    def known_demand(self) -> KnownDemand:
         """Return the demand reported by other daemons of this hall and by other halls."""
         now_s = self.clock.now_s()
         halls = {
@@ -360,14 +360,14 @@
             if name != self.name
         }
         live_count = len(self.state.members.live())
-        return Neighbourhood(self.settings.hall, self.name, daemons, live_count, halls)
+        return KnownDemand(self.settings.hall, self.name, daemons, live_count, halls)
 
     def update_limits(self) -> None:
         view = self.keeper.view
         if view is None:
             return
         now_s = self.clock.now_s()
-        self.limits.update(view, now_s, self.neighbourhood(), len(view.halls) or 1)
+        self.limits.update(view, now_s, self.known_demand(), len(view.halls) or 1)
         rates = self.limits.demands(view)
         self.state.offer_demand(DemandNews(self.name, now_s, rates))
 
--- a/ferrydock/node/_rounds.py
+++ b/ferrydock/node/_rounds.py
@@ -229,6 +229,6 @@
                 last_sequence = node.replica_loads.last_sequence(replica.replica_id)
                 events = await node.control.cache_events(replica.head.url, last_sequence)
                 if not isinstance(events, Unavailable):
-                    node.replica_loads.take_events(replica.replica_id, events)
+                    node.replica_loads.apply_events(replica.replica_id, events)
                 await asyncio.sleep(1 / EVENT_POLLS_PER_S)
             await asyncio.sleep(max(0.0, 1.0 - len(replicas) / EVENT_POLLS_PER_S))
--- a/ferrydock/node/_tls.py
+++ b/ferrydock/node/_tls.py
@@ -4,7 +4,7 @@
 import os
 import ssl
 
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 
 __all__ = ["CallerTls"]
@@ -42,7 +42,7 @@
 
     def _load(self) -> None:
         self._loaded_mtimes_ns = self._mtimes_ns()
-        existing(self.context, "the context").load_cert_chain(self.certificate_path, self.key_path)
+        require(self.context, "the context").load_cert_chain(self.certificate_path, self.key_path)
 
     def reload_if_changed(self) -> bool:
         """Reload the files if they have changed; return whether a new certificate is in use.
--- a/ferrydock/platform/_dialect.py
+++ b/ferrydock/platform/_dialect.py
@@ -39,7 +39,7 @@
 
     __slots__ = ()
 
-    def read(self, headers: Mapping[str, str]) -> Inbound | Invalid:
+    def parse_request(self, headers: Mapping[str, str]) -> Inbound | Invalid:
         """Parse the headers of a caller's request; `Invalid` if one of them cannot be parsed."""
         try:
             # The token counts are not used, but a request with a malformed one is invalid.
@@ -50,7 +50,7 @@
             key = headers.get("Authorization", "")
             return Inbound(
                 request_id=headers.get("X-Attempt-Id", ""),
-                left_s=float(remaining_ms) / MS_PER_S if remaining_ms else None,
+                remaining_s=float(remaining_ms) / MS_PER_S if remaining_ms else None,
                 key=key[len(_BEARER_PREFIX) :].strip() if key.startswith(_BEARER_PREFIX) else "",
                 model=headers.get("X-Model", ""),
                 last_event_id=int(last_event_header) if last_event_header else None,
@@ -58,7 +58,7 @@
         except ValueError as error:
             return Invalid((Fault("headers", str(error)),))
 
-    def outgoing(
+    def target_headers(
         self, headers: Iterable[tuple[str, str]], inbound: Inbound, outbound: Outbound
     ) -> CIMultiDict[str]:
         """Return the headers of a request to a worker.
@@ -68,7 +68,7 @@
         forwarded = CIMultiDict(
             pair for pair in end_to_end(headers) if pair[0].lower() not in _NOT_FORWARDED
         )
-        forwarded["X-Deadline-Ms"] = str(max(1, int(outbound.left_s * MS_PER_S)))
+        forwarded["X-Deadline-Ms"] = str(max(1, int(outbound.remaining_s * MS_PER_S)))
         forwarded["X-Expect-Instance"] = outbound.target_id
         if outbound.team:
             forwarded["X-Tenant"] = outbound.team
@@ -76,7 +76,7 @@
             forwarded["Last-Event-Id"] = str(outbound.last_event_id)
         return forwarded
 
-    def answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+    def parse_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHeaders:
         """Parse the status and headers of a worker's answer.
 
         Status 421 means that the address belongs to another worker than the addressed one.
@@ -86,13 +86,13 @@
         signed = "X-Server-Stamp" in headers
         may_request_backoff = is_refused and status == SERVICE_UNAVAILABLE
         return AnswerHeaders(
-            not_executed=is_refused or is_misdirected,
+            is_not_executed=is_refused or is_misdirected,
             request_id=headers.get("X-Attempt-Id", ""),
-            signed=signed,
+            is_signed=signed,
             is_targets_own=(signed or is_refused) and not is_misdirected,
             is_leaving=read_flag(headers, "Server-Leaving"),
             rate_limit_per_s=read_number(headers, "Server-Limit"),
-            rest_s=read_number(headers, "Retry-After") if may_request_backoff else None,
+            backoff_s=read_number(headers, "Retry-After") if may_request_backoff else None,
         )
 
 
--- a/ferrydock/platform/_targets.py
+++ b/ferrydock/platform/_targets.py
@@ -34,19 +34,19 @@
     ----------
     store : PlatformStore
         Store that holds the list.
-    gather_s : float
+    batch_window_s : float
         Pause after each batch, in seconds, so that changes that are written within it are read
         by one call.
     """
 
-    __slots__ = ("_store", "gather_s")
+    __slots__ = ("_store", "batch_window_s")
 
-    def __init__(self, store: PlatformStore, gather_s: float):
+    def __init__(self, store: PlatformStore, batch_window_s: float):
         self._store = store
-        self.gather_s = gather_s
+        self.batch_window_s = batch_window_s
 
     async def follow(
-        self, since: Position | None = None
+        self, known_position: Position | None = None
     ) -> AsyncIterator[TargetChanges | Unavailable]:
         """Yield the complete list, then its changes; the list again if the history is compacted.
 
@@ -56,7 +56,7 @@
             Position up to which the caller knows the list. A daemon that lost its leader then reads
             only the later changes instead of the entry of each worker.
         """
-        known_position = since
+        known_position = known_position
         update: TargetChanges | HistoryCompacted | Unavailable
         while True:
             if known_position is None:
@@ -71,9 +71,9 @@
                 # No pause before the first call: a daemon that has lost its leader then learns
                 # 0.4 s sooner which changes it has missed.
                 known_position = update.position
-                await asyncio.sleep(self.gather_s)
+                await asyncio.sleep(self.batch_window_s)
 
-    async def changes_since(self, known: Position) -> TargetChanges | Unavailable:
+    async def changes_after(self, known: Position) -> TargetChanges | Unavailable:
         """Read the changes after a position without waiting; the complete list if compacted."""
         update = await self._read_changes_after(known, 0)
         return await self._read_complete_list() if isinstance(update, HistoryCompacted) else update
--- a/ferrydock/platform/tests/test_planned_stop.py
+++ b/ferrydock/platform/tests/test_planned_stop.py
@@ -8,8 +8,8 @@
 from ...route_daemon._daemon import (
     BALANCER_CHECK_S,
     BALANCER_MISSES,
-    KILL_MARGIN_S,
-    LISTEN_AFTER_READY_S,
+    CLOSE_BEFORE_KILL_S,
+    LISTEN_AFTER_NOT_READY_S,
 )
 from ...standins.fleet import request_bytes
 from .test_site import REPLICAS, Site, run_scenario, send_request
@@ -68,8 +68,8 @@
     """
     excused_s = 3.0
     signal_is_late_s = 0.3  # the daemon is paused or short of processor time
-    assert BALANCER_MISSES * BALANCER_CHECK_S < LISTEN_AFTER_READY_S
-    assert LISTEN_AFTER_READY_S + signal_is_late_s < excused_s
+    assert BALANCER_MISSES * BALANCER_CHECK_S < LISTEN_AFTER_NOT_READY_S
+    assert LISTEN_AFTER_NOT_READY_S + signal_is_late_s < excused_s
 
 
 def test_a_stopping_leader_sends_its_requests_by_the_next_leaders_scheduler(tmp_path):
@@ -126,7 +126,7 @@
             site.site.write_configuration()
             await site.wait_until(lambda: site.is_formed(REPLICAS))
             await site.wait_until(lambda: second.scheduler_client.address() != "")
-            monkeypatch.setattr(_own_leadership, "pause_before_taking_s", pause_and_note)
+            monkeypatch.setattr(_own_leadership, "pause_before_acquiring_s", pause_and_note)
             monkeypatch.setattr(ControllerLease, "acquire", acquire_and_note)
             stops = [asyncio.ensure_future(first.stop())]
             await site.wait_until(lambda: pausing)
@@ -141,4 +141,4 @@
 def test_remaining_requests_are_cut_late_enough_and_in_time_to_close():
     grace_s = 8.0
     closing_took_s = 1.03  # the longest of 337 stops on a busy box
-    assert closing_took_s < KILL_MARGIN_S < grace_s / 6
+    assert closing_took_s < CLOSE_BEFORE_KILL_S < grace_s / 6
--- a/ferrydock/platform/tests/test_site.py
+++ b/ferrydock/platform/tests/test_site.py
@@ -222,7 +222,7 @@
             first = await site.start_daemon("one")
             site.site.write_configuration()
             await site.wait_until(
-                lambda: first.leadership.lease.valid and first.current.version > 0
+                lambda: first.leadership.lease.is_valid and first.current.version > 0
             )
             store_face = await site.site.open_store()
             second = await site.start_daemon("two", store=store_face)
@@ -239,7 +239,7 @@
             store_face.faults.down = ""
             await first.close()
             site.daemons.remove(first)
-            await site.wait_until(lambda: second.leadership.lease.valid, 8.0)
+            await site.wait_until(lambda: second.leadership.lease.is_valid, 8.0)
             assert (await send_request(second, "/look/x", key="n"))[0] == 200
 
     run_scenario(scenario)
@@ -250,12 +250,14 @@
         async with Site(tmp_path) as site:
             small = await site.start_daemon("small", cores=0.25)
             site.site.write_configuration()
-            await site.wait_until(lambda: small.leadership.lease.valid and site.is_formed(REPLICAS))
+            await site.wait_until(
+                lambda: small.leadership.lease.is_valid and site.is_formed(REPLICAS)
+            )
             other_small = await site.start_daemon("alike", cores=0.3)
             large = await site.start_daemon("large", cores=2.0)
             daemons = [small, other_small]
             await site.wait_until(
-                lambda: large.leadership.lease.valid and large.current.version > 0
+                lambda: large.leadership.lease.is_valid and large.current.version > 0
             )
             await site.wait_until(lambda: all(daemon.leadership.is_relayed for daemon in daemons))
             assert {daemon.leadership.leader_address for daemon in daemons} == {
@@ -274,13 +276,13 @@
             large = await site.start_daemon("large", cores=2.0)
             site.site.write_configuration()
             await site.wait_until(
-                lambda: large.leadership.lease.valid and large.current.version > 0
+                lambda: large.leadership.lease.is_valid and large.current.version > 0
             )
             small = await site.start_daemon("small", cores=0.25)
             await site.wait_until(lambda: small.leadership.is_relayed)
             await large.close()
             site.daemons.remove(large)
-            await site.wait_until(lambda: small.leadership.lease.valid, 8.0)
+            await site.wait_until(lambda: small.leadership.lease.is_valid, 8.0)
 
     run_scenario(scenario)
 
@@ -291,7 +293,7 @@
             first = await site.start_daemon("one")
             site.site.write_configuration()
             await site.wait_until(
-                lambda: first.leadership.lease.valid and first.current.version > 0
+                lambda: first.leadership.lease.is_valid and first.current.version > 0
             )
             second = await site.start_daemon("two", store=await site.site.open_store())
             await site.wait_until(
@@ -373,7 +375,7 @@
             def all_counted():
                 now_s = site.daemons[0].clock.now_s()
                 return [
-                    daemon.daemon_counter.daemons(now_s) for daemon in site.daemons
+                    daemon.daemon_counter.daemon_count(now_s) for daemon in site.daemons
                 ] == hall_sizes
 
             await site.wait_until(all_counted)
@@ -480,7 +482,7 @@
     tmp_path, monkeypatch, is_first_start
 ):
     monkeypatch.setattr(
-        "ferrydock.route_daemon._store_follower.HEAR_PEER_S", FORMING_TIMEOUT_S
+        "ferrydock.route_daemon._store_follower.FIRST_START_WAIT_S", FORMING_TIMEOUT_S
     )  # longer than the first start takes here
 
     async def scenario():
--- a/ferrydock/platform/tests/test_store_eras.py
+++ b/ferrydock/platform/tests/test_store_eras.py
@@ -143,16 +143,16 @@
         copy = site.store.copy()
         site.write_configuration()
         first = await source.read()
-        assert isinstance((await source.read()).found, ConfigurationUnchanged)
+        assert isinstance((await source.read()).result, ConfigurationUnchanged)
         site.store.come_back_older(copy)
         site.write_configuration()
         second = await source.read()
         while isinstance(second, Unavailable):  # the call that notices the new era
             second = await source.read()
-        assert isinstance(second.found, Configuration)
-        assert second.found.version > first.found.version
-        assert second.written.revision == first.written.revision
-        assert second.written > first.written
+        assert isinstance(second.result, Configuration)
+        assert second.result.version > first.result.version
+        assert second.written_position.revision == first.written_position.revision
+        assert second.written_position > first.written_position
         await store.close()
         await site.close()
 
--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -113,7 +113,7 @@
         self._last_change = 0
         self._last_configuration_s = float("-inf")
 
-    async def pull(self, address: str) -> bool:
+    async def poll(self, address: str) -> bool:
         """Poll the leader once; return whether its reply suffices without reading the store."""
         if address != self._address:
             await self.close()
@@ -128,7 +128,7 @@
             self.current.version,
             self.broken.to_report(sent_s),
             self.name,
-            self.crashes.question(address),
+            self.crashes.request_update(address),
             self.directory.leaving_reports(),
         )
         data = await self._calls.call(address, NEWS_METHOD, encode(request), REPLY_TIMEOUT_S)
@@ -141,7 +141,7 @@
             log_event(_LOG, logging.ERROR, "news_unreadable", address=address, why=repr(error))
             await self.close()
             return False
-        self.crashes.take_answer(address, request.crashes, reply.crashes)
+        self.crashes.merge_reply(address, request.crashes, reply.crashes)
         is_sufficient = self._apply_reply(reply, sent_s)
         if reply.configuration:
             is_frequent = sent_s - self._last_configuration_s < FREQUENT_CONFIGURATION_S
@@ -150,7 +150,7 @@
                 await asyncio.sleep(CONFIGURATION_PAUSE_S)
         return is_sufficient
 
-    async def ask_leader(self, address: str, method: str, data: bytes) -> bytes | None:
+    async def call_leader(self, address: str, method: str, data: bytes) -> bytes | None:
         """Call another method of the leader; return its reply, or None if there was none."""
         return await self._calls.call(address, method, data, REPLY_TIMEOUT_S)
 
@@ -174,7 +174,7 @@
             return False  # this daemon has already read newer targets
         self.note_era(reply.era)
         self._leader_incarnation, self._last_change = reply.life, reply.change
-        self.directory.take(
+        self.directory.apply(
             TargetChanges(reply.whole, reply.entries, reply.removed, reply.position)
         )
         if reply.age_s is not None:
@@ -186,7 +186,7 @@
         if reply.configuration:
             decoded = self.decode(reply.configuration.encode())
             if isinstance(decoded, Configuration):
-                self.current.offer(decoded, None)
+                self.current.apply_if_newer(decoded, None)
             else:
                 log_event(_LOG, logging.ERROR, "configuration_unreadable", why=decoded.reason)
         if reply.age_s is not None:
--- a/ferrydock/relay/_server.py
+++ b/ferrydock/relay/_server.py
@@ -135,7 +135,7 @@
     async def _handle_update_request(self, data: bytes) -> bytes:
         """Reply to a follower once there are changes, or after `LONG_POLL_S`."""
         request = decode_request(data)
-        self.crashes.receive(request.crashes)
+        self.crashes.merge_request(request.crashes)
         self.broken.receive(request.broken)
         self._receive_leaving(request)
         self.daemon_counter.record_request(request.sender, self.clock.now_s())
@@ -143,7 +143,7 @@
         until_s = self.clock.now_s() + LONG_POLL_S
         while (
             self._is_up_to_date(request)
-            and not self.crashes.has_news_for(request.crashes)
+            and not self.crashes.has_update_for(request.crashes)
             and self.broken.noted_count == noted_before
             and self.clock.now_s() < until_s
             and self.reads_store()
@@ -185,8 +185,8 @@
             configuration=self._configuration_for(request),
             age_s=age_s if age_s != float("inf") else None,
             broken=self.broken.to_report(now_s),
-            daemons=self.daemon_counter.count_followers(now_s),
-            crashes=self.crashes.answer(request.crashes, repeated_only=True),
+            daemons=self.daemon_counter.count_daemons(now_s),
+            crashes=self.crashes.reply_update(request.crashes, repeated_only=True),
         )
 
     def _target_changes_for(self, request: UpdateRequest) -> tuple[bool, tuple, tuple[str, ...]]:
@@ -218,9 +218,13 @@
         while the leader's lease lasts 1.8 s.
         """
         if request.life == self.incarnation:
-            return self.directory.changed_since(request.change)
+            return self.directory.ids_changed_since(request.change)
         known_position = decode_known_position(request.life)
-        return self.directory.changed_after(known_position) if known_position is not None else None
+        return (
+            self.directory.ids_changed_after_position(known_position)
+            if known_position is not None
+            else None
+        )
 
     def _configuration_for(self, request: UpdateRequest) -> str:
         """Return the encoded configuration, or "" if the follower has it."""
--- a/ferrydock/replicas/_controller.py
+++ b/ferrydock/replicas/_controller.py
@@ -12,7 +12,7 @@
 from ..clock import Clock
 from ..configuration import CurrentConfiguration, EngineSpec, ModelSpec
 from ..hall_lease import ControllerLease
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..route_metrics import RouteMetrics
 from ..store import Store
@@ -35,7 +35,7 @@
 STAGE_ORDER_TIMEOUT_S = 2.0
 
 # Interval between two evaluations of the demand, whose average decays over 5 s.
-FOLLOW_DEMAND_EVERY_S = 0.5
+DEMAND_CHECK_INTERVAL_S = 0.5
 
 # Hexadecimal digits in the name of a replica: enough to keep the names in a hall distinct.
 REPLICA_NAME_DIGITS = 8
@@ -100,18 +100,18 @@
         self._tasks: set[asyncio.Task] = set()
         self._reported_all_dead: set[tuple[str, int]] = set()
         self.plans: dict[str, HallPlan] = {}
-        self._demand_checked_s = -FOLLOW_DEMAND_EVERY_S
+        self._demand_checked_s = -DEMAND_CHECK_INTERVAL_S
 
     @property
     def is_acting(self) -> bool:
         """Whether the daemon leads the hall and controller tasks are running."""
-        return self.lease.valid and bool(self._tasks)
+        return self.lease.is_valid and bool(self._tasks)
 
-    def suspect(self, target_ids: Iterable[str], reason: str) -> None:
+    def mark_suspected(self, target_ids: Iterable[str], reason: str) -> None:
         """Suspect targets, which did not answer a request for a report, for `SUSPICION_S`."""
         self.state.suspect(target_ids, reason)
 
-    def stand_down(self) -> None:
+    def step_down(self) -> None:
         """Cancel all tasks and clear the state, after the lease was lost or released."""
         for task in list(self._tasks):
             task.cancel()
@@ -125,16 +125,16 @@
 
     async def step(self) -> None:
         """Check the hall's targets and replicas once, and start the tasks that are due."""
-        if self.current.lookup is None or not self.directory.loaded or not self.lease.valid:
+        if self.current.lookup is None or not self.directory.loaded or not self.lease.is_valid:
             return
         if not await self.record.read():
             return
         now_s = self.clock.now_s()
-        is_demand_due = now_s - self._demand_checked_s >= FOLLOW_DEMAND_EVERY_S
+        is_demand_due = now_s - self._demand_checked_s >= DEMAND_CHECK_INTERVAL_S
         if is_demand_due:
             self._demand_checked_s = now_s
         for service in self.current.engine_services():
-            engine = existing(service.engine, "the engine")
+            engine = require(service.engine, "the engine")
             await self._step_service(service.name, engine, is_demand_due)
 
     async def _step_service(self, service: str, engine: EngineSpec, is_demand_due: bool) -> None:
@@ -181,10 +181,10 @@
         engine: EngineSpec,
     ) -> None:
         """Dissolve a replica if another model needs its targets; remove it from `staying`."""
-        turn_over = self.planner.turn_over(service, targets, staying, engine)
-        if turn_over is not None:
-            self._begin_reassignment(turn_over, service)
-            staying.remove(turn_over.replica)
+        reassignment = self.planner.next_reassignment(service, targets, staying, engine)
+        if reassignment is not None:
+            self._begin_reassignment(reassignment, service)
+            staying.remove(reassignment.replica)
         self._note_plan(service, targets, engine)
 
     def _handle_replica(self, replica: ObservedReplica, engine: EngineSpec) -> bool:
@@ -288,7 +288,7 @@
             f"g{uuid.uuid4().hex[:REPLICA_NAME_DIGITS]}": formation for formation in formations
         }
         epoch = await self.record.write(plans)
-        if epoch is None or not self.lease.valid:
+        if epoch is None or not self.lease.is_valid:
             return
         for name, formation in plans.items():
             self.planner.loads.begin(formation.loads, self.clock.now_s())
--- a/ferrydock/replicas/tests/hall.py
+++ b/ferrydock/replicas/tests/hall.py
@@ -25,7 +25,7 @@
         self.fleet = Fleet(two_models(), self.rng)
         self.current = CurrentConfiguration()
         services = {"engines": ServiceSpec("engines", 100, two_models())}
-        self.current.offer(Configuration(1, (), services, ()), 0.0)
+        self.current.apply_if_newer(Configuration(1, (), services, ()), 0.0)
         for domain in range(domains):
             for number in range(workers):
                 self.fleet.add(f"w{domain}-{number}", "hall-a", f"d{domain}")
@@ -68,15 +68,15 @@
     async def _drive(self, controller):
         try:
             while True:
-                if not controller.lease.valid:
-                    controller.stand_down()
+                if not controller.lease.is_valid:
+                    controller.step_down()
                     await controller.lease.acquire(LEASE_S)
                 elif controller.lease.held.valid_until_s - self.clock.now_s() < LEASE_S / 2:
-                    await controller.lease.keep()
+                    await controller.lease.renew()
                 await controller.step()
                 await asyncio.sleep(ROUND_S)
         finally:
-            controller.stand_down()
+            controller.step_down()
 
     def kill_controller(self):
         """Cancel the controller's task; orders that it has sent may still be executed."""
--- a/ferrydock/requests/_attempt.py
+++ b/ferrydock/requests/_attempt.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ..http_client import open_session
-from ..invariants import existing
+from ..invariants import require
 from ..placement import Replica
 from ._events import EventRelay
 from ._model_request import ModelRequest
@@ -116,7 +116,7 @@
 
     def begin(self) -> None:
         """Register the current task as the one that `abandon` cancels."""
-        self._task = existing(asyncio.current_task(), "the running task")
+        self._task = require(asyncio.current_task(), "the running task")
         self._earlier_cancellations = self._task.cancelling()
 
     def end(self) -> None:
@@ -160,7 +160,7 @@
         if self._pooled is None:
             self._pooled = _open_session(IDLE_CONNECTION_TIMEOUT_S)
             self._single_use = _open_session(None)
-        return existing(self._pooled if repeatable else self._single_use, "the session")
+        return require(self._pooled if repeatable else self._single_use, "the session")
 
     async def close(self) -> None:
         """Close all connections to engines."""
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -15,14 +15,14 @@
 from ..clock import Clock
 from ..crashes import CRASHES_TARGETS, CrashHistory, TargetPresence, TargetProbe, request_identity
 from ..engines import EngineControl
-from ..invariants import existing
+from ..invariants import require
 from ..logs import log_event
 from ..membership import SharedState
 from ..outcomes import NotRun, Run
 from ..placement import Replica
-from ..planned_stop import STOPPING, DaemonStopping, StopLimit
+from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
 from ..retry_budget import DEFAULT_RETRY_RATIO, RetryBudget, backoff_s
-from ..routing import Candidate, Flight, ReplicaLoads
+from ..routing import Candidate, InFlightRequest, ReplicaLoads
 from ._admission import ReplicaGate
 from ._attempt import Answered, Attempt, Broken, Caller, CallerLeft, EngineClient, Refused, Streamed
 from ._events import EventRelay, text_so_far
@@ -162,7 +162,7 @@
         """
         run = _RequestRun(self, request, caller, life, weight)
         try:
-            async with self.stop_limit.hold():
+            async with self.stop_limit.apply():
                 return await run.run_to_end()
         except DaemonStopping:
             return run.end_by_stop()
@@ -176,7 +176,7 @@
         """Periodically abandon attempts whose replica has been incomplete for too long."""
         while True:
             await asyncio.sleep(REPLICA_CHECK_INTERVAL_S)
-            self.crashes.tidy()
+            self.crashes.prune()
             self.check_attempts(self.clock.now_s())
 
     def check_attempts(self, now_s: float) -> None:
@@ -281,7 +281,7 @@
                     why=outcome.reason,
                 )
                 await self._check_for_crash(chosen.replica, sent_s)
-                if self.executor.crashes.is_known_since(self.identity, self.admitted_s):
+                if self.executor.crashes.was_detected_since(self.identity, self.admitted_s):
                     return GaveUp(CRASHES_TARGETS, self.life.give_up())
             final_outcome = await self._prepare_retry(outcome)
             if final_outcome is not None:
@@ -295,13 +295,13 @@
         executor = self.executor
         ended_s = executor.clock.now_s()
         address = replica.head.url.split("://", 1)[1].split("/", 1)[0]
-        check = executor.probe.look(replica.head.url, address)
+        check = executor.probe.probe(replica.head.url, address)
         await asyncio.wait({check}, timeout=CRASH_CHECK_TIMEOUT_S)
-        if check.done() and not check.cancelled() and check.result() is TargetPresence.GONE:
+        if check.done() and not check.cancelled() and check.result() is TargetPresence.TERMINATED:
             executor.crashes.note_crash(self.identity, replica.head.url, sent_s, ended_s)
 
     async def _choose(self) -> Candidate | NotRun:
-        wait_s = existing(self.executor.state.keeper.view, "the table in force").site.queue_wait_s
+        wait_s = require(self.executor.state.keeper.view, "the table in force").site.queue_wait_s
         if self.relay.events:
             wait_s = max(wait_s, MIN_CONTINUATION_WAIT_S)
         return await self.executor.gate.choose(self.request, self.excluded, self.weight, wait_s)
@@ -315,9 +315,9 @@
     def end_by_stop(self) -> NotRun | GaveUp:
         """End a request that still runs at the time limit of the daemon's stop."""
         if self.life.give_up() is Run.NOT_RUN and not self.relay.events:
-            return NotRun(STOPPING)
+            return NotRun(STOPPING_REASON)
         self.cancel_at_engine()
-        return GaveUp(STOPPING, Run.UNKNOWN)
+        return GaveUp(STOPPING_REASON, Run.UNKNOWN)
 
     # One attempt --------------------------------------------------------------------------
 
@@ -326,7 +326,9 @@
         executor = self.executor
         self.attempts += 1
         self.replica = chosen.replica
-        in_flight = executor.loads.sent(chosen.replica, self.request.blocks, executor.clock.now_s())
+        in_flight = executor.loads.note_sent(
+            chosen.replica, self.request.blocks, executor.clock.now_s()
+        )
         self.caller.on_first = lambda: self._note_first_event(in_flight)
         try:
             self.life.dispatch()
@@ -343,12 +345,12 @@
                 outcome = resumed
             return outcome
         finally:
-            executor.loads.ended(in_flight)
+            executor.loads.note_ended(in_flight)
             executor.gate.assign_first_queued(self.request.model)
 
-    def _note_first_event(self, in_flight: Flight) -> None:
+    def _note_first_event(self, in_flight: InFlightRequest) -> None:
         self.life.first_byte()
-        self.executor.loads.first_token(in_flight, self.executor.clock.now_s())
+        self.executor.loads.note_first_token(in_flight, self.executor.clock.now_s())
 
     async def _send(self, replica: Replica, resume: bool):
         executor = self.executor
--- a/ferrydock/requests/tests/test_attempt.py
+++ b/ferrydock/requests/tests/test_attempt.py
@@ -23,7 +23,7 @@
                 raise
 
     async def request():
-        async with limit.hold():
+        async with limit.apply():
             await attempt_once()
             await asyncio.sleep(LIMIT_S)
 
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -36,9 +36,9 @@
             attestations=SimpleNamespace(whole=lambda replica, now_s: False),
         )
         self.loads = SimpleNamespace(
-            sent=lambda *arguments: None,
-            ended=lambda flight: None,
-            first_token=lambda *arguments: None,
+            note_sent=lambda *arguments: None,
+            note_ended=lambda flight: None,
+            note_first_token=lambda *arguments: None,
         )
 
     async def choose(self, request, excluded, weight, wait_s):
@@ -59,7 +59,7 @@
 
 def make_executor(engines):
     executor = RequestExecutor(engines, engines, EngineControl, random.Random(1), StopLimit())
-    executor.budget.limit(1000)
+    executor.budget.set_max_saved(1000)
     executor.budget._saved = 1000
     return executor
 
@@ -131,7 +131,7 @@
         for _ in range(2):
             outcome = await run(executor)
             assert isinstance(outcome, GaveUp) and outcome.reason == "reset"
-        assert executor.crashes.remembered_count == 0
+        assert executor.crashes.record_count == 0
         server.close()
         await executor.close()
 
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -70,12 +70,12 @@
 
 # How long changes of the target list may be batched before one store call returns them: shorter
 # while this daemon forms or dissolves replicas, because each step waits for a change.
-GATHER_WHILE_CONTROLLING_S = 0.2
-GATHER_S = 0.4
+BATCH_WHILE_CONTROLLING_S = 0.2
+BATCH_S = 0.4
 
 # The same while a new era of the store settles: all targets rewrite their entries, and every daemon
 # reads them itself because no hall has a leader yet.
-GATHER_SETTLING_S = 1.0
+BATCH_SETTLING_S = 1.0
 
 # Width of the random number of the first slot grant: wide enough that two leaders of a hall do not
 # use the same numbers.
@@ -93,14 +93,14 @@
 # be in flight when the process is killed, and is then cut off, while a caller whose connection is
 # closed or refused goes to another daemon at once. The platform tolerates a cut-off only for
 # requests sent within 3 s of SIGTERM.
-LISTEN_AFTER_READY_S = (BALANCER_MISSES + 0.5) * BALANCER_CHECK_S
+LISTEN_AFTER_NOT_READY_S = (BALANCER_MISSES + 0.5) * BALANCER_CHECK_S
 
 # How long before the process is killed the remaining requests are ended, so that there is time to
 # send their answers and to close everything else. Closing takes 0.02 s, but took 1.03 s once in 50
 # seeds of the soak of stops on a loaded machine. The margin is within the last sixth of the usual
 # grace period of 8 s (1.33 s), in which the platform lets a stop cut off requests that a target is
 # still working on.
-KILL_MARGIN_S = 1.2
+CLOSE_BEFORE_KILL_S = 1.2
 
 
 class RouteDaemon:
@@ -254,7 +254,7 @@
             store,
             self.current,
             self.order_sender,
-            self.stalls.replica_given_up,
+            self.stalls.handle_leader_decision,
             self.metrics,
             self._slots_wanted,
         )
@@ -278,7 +278,7 @@
             self.scheduler,
             self.leadership.known_leader_address,
             self.settings.peer_address,
-            self.selector.loads.running,
+            self.selector.loads.in_flight_by_target,
             self.clock,
         )
         self.selector.scheduler = self.scheduler_client
@@ -389,8 +389,8 @@
     async def stop(self) -> None:
         """Stop as planned: report not ready, let requests in flight finish, then close."""
         self.stopping.set()
-        within_s = self.settings.stop_within_s - KILL_MARGIN_S
-        await finish_requests([self.gateway], LISTEN_AFTER_READY_S, within_s, self.clock)
+        within_s = self.settings.stop_within_s - CLOSE_BEFORE_KILL_S
+        await finish_requests([self.gateway], LISTEN_AFTER_NOT_READY_S, within_s, self.clock)
         await self.close()
 
     async def close(self) -> None:
@@ -409,7 +409,7 @@
             self.deployment.control,
             self.deployment.store,
         )
-        # Concurrently: each may wait for its peers, and all must close within `KILL_MARGIN_S`.
+        # Concurrently: each may wait for its peers; all must close within `CLOSE_BEFORE_KILL_S`.
         await asyncio.gather(*(component.close() for component in components))
 
     def reread_settings(self) -> None:
@@ -422,28 +422,28 @@
         self.site_daemons.refresh(self.leadership)
         self.retry_shares.update()
         self.upkeep.run_once()
-        self.scheduler.pacer.tidy()
-        self.crash_exchange.history.tidy()
+        self.scheduler.pacer.prune()
+        self.crash_exchange.history.prune()
         self.store_follower.check_age()
 
     async def _set_gather_time(self) -> None:
         """Batch changes of the target list for less time while this daemon forms replicas."""
         is_controlling = any(controller.is_acting for controller in self.controllers)
-        gather_s = GATHER_WHILE_CONTROLLING_S if is_controlling else GATHER_S
+        batch_window_s = BATCH_WHILE_CONTROLLING_S if is_controlling else BATCH_S
         if not self.settling.is_settled():
-            gather_s = GATHER_SETTLING_S
-        self.deployment.target_source.gather_s = gather_s
+            batch_window_s = BATCH_SETTLING_S
+        self.deployment.target_source.batch_window_s = batch_window_s
 
     async def _poll_remote_halls(self) -> None:
         """Fetch in-flight counts from other halls while this daemon schedules its hall.
 
         A daemon that does not lead resets its measured demand and its request pacing instead.
         """
-        self.scheduler.counts.forget_silent(self.clock.now_s())
+        self.scheduler.counts.remove_silent(self.clock.now_s())
         if self.leadership.is_leader:
             self.scheduler.sample_demand()
             await self.remote_halls.step()
             self.scheduler.assign_free_slots()
         else:
-            self.demand.forget()
-            self.scheduler.pacer.forget()
+            self.demand.reset()
+            self.scheduler.pacer.reset()
--- a/ferrydock/route_daemon/_gauges.py
+++ b/ferrydock/route_daemon/_gauges.py
@@ -59,22 +59,22 @@
         self._set_plans()
         metrics.targets.set(len(self.directory.targets))
         metrics.in_flight.set(self.gateway.in_flight)
-        metrics.waiting.set(self.gateway.forwarder.selector.waiting)
+        metrics.waiting.set(self.gateway.forwarder.selector.queue_length)
         metrics.targets_limited.set(self.gateway.forwarder.selector.catalog.limits.limited_count)
-        rests = self.gateway.forwarder.selector.catalog.rests
-        metrics.targets_resting.set(rests.count(self.directory.targets))
+        backoffs = self.gateway.forwarder.selector.catalog.backoffs
+        metrics.targets_resting.set(backoffs.count_among(self.directory.targets))
         metrics.version.set(current.version)
         now_s = self.gateway.clock.now_s()
         metrics.age.set(current.age_s(now_s))
         metrics.store_era.set(self.deployment.store.era)
         metrics.targets_age.set(self.directory.age_s(now_s))
         for service, budget in self.retry_shares.items():
-            metrics.budget_left.labels(service).set(budget.left)
+            metrics.budget_left.labels(service).set(budget.available)
         for result, calls in self.deployment.store_calls.items():
             metrics.store_calls.labels(result).set(calls)
         crashes = self.gateway.forwarder.crashes.history
-        metrics.crashing_known.set(crashes.known_count)
-        metrics.crashes_remembered.set(crashes.remembered_count)
+        metrics.crashing_known.set(crashes.refused_count)
+        metrics.crashes_remembered.set(crashes.record_count)
         metrics.log_lines_left_out.set(_count_dropped_log_lines())
         return metrics.text().decode()
 
--- a/ferrydock/route_daemon/_own_leadership.py
+++ b/ferrydock/route_daemon/_own_leadership.py
@@ -12,7 +12,7 @@
 from ..outcomes import Unavailable
 from ..relay import RelayClient
 from ..store import RangeDone
-from ._leader_choice import is_better_leader, pause_before_taking_s
+from ._leader_choice import is_better_leader, pause_before_acquiring_s
 from ._leadership import HallLeadership
 
 __all__ = ["OFFER_METHOD", "OwnHallLeadership"]
@@ -94,7 +94,7 @@
     @property
     def is_relayed(self) -> bool:
         """Whether this daemon need not read the store because the hall leader relays it."""
-        return not self.lease.valid and self.clock.now_s() < self.relayed_until_s
+        return not self.lease.is_valid and self.clock.now_s() < self.relayed_until_s
 
     async def run(self) -> None:
         """Lead the hall or follow its leader until the daemon ends; only follow during a stop."""
@@ -132,7 +132,7 @@
         await self._wait_until_settled()
         if not self._is_offer_accepted:
             cores = self.lease.processor_cores or 0.0
-            await asyncio.sleep(pause_before_taking_s(cores, ACQUIRE_JITTER_S, self.rng))
+            await asyncio.sleep(pause_before_acquiring_s(cores, ACQUIRE_JITTER_S, self.rng))
         self._is_offer_accepted = False
         reread = await self.store.range(self.key)
         if not isinstance(reread, RangeDone):
@@ -164,7 +164,7 @@
         """
         failed_pulls = 0
         while self.leader_address and not self.is_leader and failed_pulls < MAX_FAILED_PULLS:
-            if await self.relay.pull(self.leader_address):
+            if await self.relay.poll(self.leader_address):
                 failed_pulls = 0
                 self.relayed_until_s = self.clock.now_s() + RELAY_VALID_S + self.extra_valid_s
                 await self._offer_to_lead()
@@ -191,7 +191,7 @@
         if isinstance(await self.store.range(self.key), Unavailable):
             return  # without the store this daemon could not acquire the lease
         offer = str(cores).encode()
-        answer = await self.relay.ask_leader(self.leader_address, OFFER_METHOD, offer)
+        answer = await self.relay.call_leader(self.leader_address, OFFER_METHOD, offer)
         self._is_offer_accepted = answer == ACCEPTED
         log_event(
             _LOG,
@@ -219,7 +219,7 @@
         """
         offered_cores = float(data)
         own_cores = self.lease.processor_cores or 0.0
-        if not self.lease.valid or self._is_stepping_down:
+        if not self.lease.is_valid or self._is_stepping_down:
             return DECLINED
         if not is_better_leader(offered_cores, own_cores, float("inf")):
             return DECLINED
--- a/ferrydock/route_daemon/_store_follower.py
+++ b/ferrydock/route_daemon/_store_follower.py
@@ -41,7 +41,7 @@
 
 # How long a daemon waits at the first start of a site for updates from its hall leader before it
 # reads the store itself.
-HEAR_PEER_S = 0.8
+FIRST_START_WAIT_S = 0.8
 
 
 # Time within which a hall has a leader that relays the complete target list after an era of the
@@ -146,7 +146,7 @@
 
     def _until_next_read_s(self) -> float:
         """Return the pause before the next read, in seconds; it ends when a new era has settled."""
-        is_leader = self.leadership.lease.valid
+        is_leader = self.leadership.lease.is_valid
         pause_s = LEADER_CONFIRM_EVERY_S if is_leader else CONFIRM_EVERY_S
         pause_s *= self.rng.uniform(*CONFIRM_JITTER)
         remaining_s = self.settling.remaining_s()
@@ -203,7 +203,7 @@
         ahead_for_s = self.directory.confirmation.ahead_for_s(now_s)
         if not self.directory.loaded or ahead_for_s is None or now_s < self._next_check_s:
             return False
-        waited_s = now_s - self._wait_began_s - self.deployment.target_source.gather_s
+        waited_s = now_s - self._wait_began_s - self.deployment.target_source.batch_window_s
         return min(ahead_for_s, waited_s) >= UNANSWERED_S
 
     async def _fetch_missed_changes(self) -> bool:
@@ -217,7 +217,7 @@
             return False
         known = self.directory.position
         ahead_for_s = self.directory.confirmation.ahead_for_s(now_s)
-        changes = await self.deployment.target_source.changes_since(known)
+        changes = await self.deployment.target_source.changes_after(known)
         if isinstance(changes, Unavailable):
             log_event(_LOG, logging.WARNING, "targets_unavailable", why=changes.reason, beside=True)
             self._next_check_s = self.clock.now_s() + self._failure_pause_s(self._check_backoff)
@@ -240,7 +240,7 @@
     def _apply_changes(self, changes: TargetChanges, requested_s: float) -> None:
         """Apply changes requested at local time `requested_s` unless the known list is newer."""
         if changes.position >= self.directory.position:
-            self.directory.take(changes)
+            self.directory.apply(changes)
             self.directory.confirmation.confirm(requested_s)
 
     async def _wait_for_leader(self) -> None:
@@ -251,19 +251,19 @@
         """
         if not self.deployment.settings.is_first_start:
             return
-        until_s = self.clock.now_s() + HEAR_PEER_S
+        until_s = self.clock.now_s() + FIRST_START_WAIT_S
         while self.clock.now_s() < until_s:
-            if self.leadership.is_relayed or self.leadership.lease.valid:
+            if self.leadership.is_relayed or self.leadership.lease.is_valid:
                 return
             await asyncio.sleep(RELAYED_CHECK_S / 2)
 
     def _apply_configuration(self, read: ConfigurationRead, began_s: float) -> None:
         """Apply the result of a read; `began_s` is the local time at which the call began."""
-        found = read.found
+        found = read.result
         confirmed_s = began_s if self._is_newest(read) else None
         if isinstance(found, Configuration):
             self._last_read_version = found.version
-            self.current.offer(found, confirmed_s)
+            self.current.apply_if_newer(found, confirmed_s)
             self.on_change()
         elif isinstance(found, ConfigurationUnchanged):
             self.current.confirm(self._last_read_version, confirmed_s)
@@ -279,7 +279,7 @@
         """
         if read.store_position.era != self._first_position_in_era.era:
             self._first_position_in_era = read.store_position
-        return self.settling.is_settled() or read.written > self._first_position_in_era
+        return self.settling.is_settled() or read.written_position > self._first_position_in_era
 
     async def _read_targets(self) -> None:
         """Apply what the target source yields until it ends; the caller restarts it."""
--- a/ferrydock/route_daemon/_upkeep.py
+++ b/ferrydock/route_daemon/_upkeep.py
@@ -41,16 +41,16 @@
         Connections to a target that still has requests running stay open.
         """
         listed_targets = self.directory.targets
-        busy_ids = {target_id for target_id, load in self._loads.items() if load.running}
-        self._upstream.forget_others(listed_targets, busy_ids)
-        self._loads.forget_others(listed_targets)
+        busy_ids = {target_id for target_id, load in self._loads.items() if load.in_flight}
+        self._upstream.close_unlisted(listed_targets, busy_ids)
+        self._loads.remove_unlisted(listed_targets)
         attempts = self.gateway.forwarder.attempts
-        attempts.notices.forget_others(listed_targets)
+        attempts.statements.remove_unlisted(listed_targets)
         now_s = self.gateway.clock.now_s()
-        attempts.selector.catalog.limits.tidy(now_s)
-        attempts.selector.pacer.tidy(now_s)
-        attempts.selector.catalog.rests.tidy(now_s)
-        self.order_sender.forget_others(listed_targets)
+        attempts.selector.catalog.limits.prune(now_s)
+        attempts.selector.pacer.prune(now_s)
+        attempts.selector.catalog.backoffs.prune(now_s)
+        self.order_sender.prune(listed_targets)
         self.gateway.enforce_timeouts()
         self.settings.reread()
 
--- a/ferrydock/scheduling/_scheduler.py
+++ b/ferrydock/scheduling/_scheduler.py
@@ -118,7 +118,7 @@
         """
         self.receive_counts(request)
         reply = await self._acquire(request)
-        missing_limits = self.catalog.limits.reports_beyond(request.limits, self.clock.now_s())
+        missing_limits = self.catalog.limits.unknown_to_sender(request.limits, self.clock.now_s())
         return replace(reply, limits=missing_limits) if missing_limits else reply
 
     async def _acquire(self, request: SlotRequest) -> SlotReply:
@@ -126,7 +126,7 @@
         # A daemon sends a request first with `hold_s` 0 and, if no slot is free, once more with the
         # time that it may wait in the queue; only the first counts as demand.
         if request.model and request.hold_s <= 0:
-            self.demand.asked(request.service, request.model)
+            self.demand.count_request(request.service, request.model)
         endpoints = self._endpoints(request)
         if not endpoints:
             return SlotReply("", 0)
@@ -139,7 +139,9 @@
             return reply
         limited_for_s = self._limited_for_s(needs, endpoints)
         if request.hold_s > limited_for_s:
-            reply = await self._queue.wait(rank, needs, request, request.hold_s, request.leaves_out)
+            reply = await self._queue.wait(
+                rank, needs, request, request.hold_s, request.excluded_targets
+            )
         return reply or SlotReply("", len(endpoints), limited_for_s=limited_for_s)
 
     def assign_free_slots(self) -> None:
@@ -179,7 +181,7 @@
             return None
         target_id = chosen.target.target_id
         if request.model:
-            self.demand.granted(request.service, request.model)
+            self.demand.count_grant(request.service, request.model)
         self.pacer.note_granted(chosen.target, now_s)
         grant = self.counts.grant(request.sender, target_id, now_s)
         return SlotReply(target_id, len(endpoints), grant)
@@ -219,5 +221,5 @@
         if service is None:
             return []
         endpoints = self.catalog.endpoints(service, request.model)
-        excluded = request.leaves_out
+        excluded = request.excluded_targets
         return [e for e in endpoints if e.target.target_id not in excluded]
--- a/ferrydock/targets/_directory.py
+++ b/ferrydock/targets/_directory.py
@@ -119,7 +119,7 @@
         self._changes_complete_after = self.position
         self._record_change()
 
-    def take(self, changes: TargetChanges) -> None:
+    def apply(self, changes: TargetChanges) -> None:
         """Apply a change that the source reports, either the whole list or a delta."""
         is_new_era = self.loaded and changes.position.era > self.position.era
         self.position = max(self.position, changes.position)
@@ -150,7 +150,7 @@
         """Return the seconds since the list was certainly complete; infinite if it never was."""
         return self.confirmation.age_s(now_s)
 
-    def changed_since(self, change: int) -> tuple[str, ...] | None:
+    def ids_changed_since(self, change: int) -> tuple[str, ...] | None:
         """Return the ids that changed after change number `change`; None if it is too old."""
         behind = self.changes - change
         if behind < 0 or behind > len(self._changed_ids):
@@ -158,7 +158,7 @@
         recent = list(self._changed_ids)
         return tuple(dict.fromkeys(recent[len(recent) - behind :]))
 
-    def changed_after(self, position: Position) -> tuple[str, ...] | None:
+    def ids_changed_after_position(self, position: Position) -> tuple[str, ...] | None:
         """Return the ids that changed after a position of the source; None if it is too old.
 
         For a daemon that followed another daemon's list before: the two number their changes
@@ -182,7 +182,7 @@
         Parameters
         ----------
         incarnation : int
-            Incarnation of the target that announced it (`Target.life`).
+            Incarnation of the target that announced it (`Target.incarnation`).
         """
         if not self._leaving_targets.note(target_id, incarnation):
             return
@@ -205,7 +205,7 @@
         return replace(target, last_model=previous.last_model) if previous else target
 
     def _note_member(self, target: Target) -> None:
-        key = (target.joined.replica, target.joined.epoch)
+        key = (target.existing_membership.replica, target.existing_membership.epoch)
         if key not in self._members_by_replica:
             self._members_by_replica[key] = {}
             if len(self._members_by_replica) > MAX_REPLICAS_REMEMBERED:
@@ -251,11 +251,16 @@
                 by_replica.setdefault(key, []).append(target)
         found: dict[str, list[ReplicaView]] = {}
         for (service, name, epoch), members in by_replica.items():
-            members.sort(key=lambda target: target.joined.rank)
+            members.sort(key=lambda target: target.existing_membership.rank)
             head = members[0]
-            if head.joined.rank != 0 or head.joined.state is not ReplicaState.OPEN:
+            if (
+                head.existing_membership.rank != 0
+                or head.existing_membership.state is not ReplicaState.OPEN
+            ):
                 continue
-            if any(t.draining or t.joined.state is ReplicaState.BROKEN for t in members):
+            if any(
+                t.draining or t.existing_membership.state is ReplicaState.BROKEN for t in members
+            ):
                 continue
             if not head.models:
                 continue
