--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -60,7 +60,7 @@
 def make_executor(engines):
     executor = RequestExecutor(engines, engines, EngineControl, random.Random(1), StopLimit())
     executor.budget.set_max_saved(1000)
-    executor.budget._saved = 1000
+    executor.budget._available = 1000
     return executor
 
 
