--- a/ferrydock/membership/__init__.py
+++ b/ferrydock/membership/__init__.py
@@ -7,8 +7,8 @@
 from ._members import DaemonInfo, MemberStatus, MemberTable, Responsibilities, rendezvous_rank
 from ._state import (
     Contact,
-    ControllerNews,
-    DemandNews,
+    ControllerUpdate,
+    DemandUpdate,
     HallSummary,
     ModelLoad,
     SharedState,
@@ -17,9 +17,9 @@
 __all__ = [
     "BurnGatherer",
     "Contact",
-    "ControllerNews",
+    "ControllerUpdate",
     "DaemonInfo",
-    "DemandNews",
+    "DemandUpdate",
     "ExchangeClient",
     "ExchangeServer",
     "CollectedCounts",
--- a/ferrydock/membership/_digest.py
+++ b/ferrydock/membership/_digest.py
@@ -6,7 +6,7 @@
 from ..hall import Attestation
 from ._exchange_pb2 import Digest
 from ._members import DaemonInfo, MemberStatus
-from ._state import Contact, ControllerNews, DemandNews, HallSummary, ModelLoad, SharedState
+from ._state import Contact, ControllerUpdate, DemandUpdate, HallSummary, ModelLoad, SharedState
 
 __all__ = ["NewerData", "apply_digest", "build_digest"]
 
@@ -113,11 +113,11 @@
     if digest.controller.name:
         renewed_s = sent_s - digest.controller.age_ms / 1000
         state.offer_controller(
-            ControllerNews(digest.controller.name, digest.controller.term, renewed_s)
+            ControllerUpdate(digest.controller.name, digest.controller.term, renewed_s)
         )
     for demand in digest.demands:
         rates = {d.share: d.rate_per_s for d in demand.demands}
-        state.offer_demand(DemandNews(demand.name, sent_s - demand.age_ms / 1000, rates))
+        state.offer_demand(DemandUpdate(demand.name, sent_s - demand.age_ms / 1000, rates))
 
 
 def _age_ms(at_s: float, now_s: float) -> int:
--- a/ferrydock/membership/_state.py
+++ b/ferrydock/membership/_state.py
@@ -12,8 +12,8 @@
 
 __all__ = [
     "Contact",
-    "ControllerNews",
-    "DemandNews",
+    "ControllerUpdate",
+    "DemandUpdate",
     "HallSummary",
     "ModelLoad",
     "SharedState",
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ControllerNews:
+class ControllerUpdate:
     """The daemon that held the hall's lease, and its last renewal on the local clock."""
 
     name: str
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DemandNews:
+class DemandUpdate:
     """Requests per second from callers of one daemon, by row of ``shares``."""
 
     name: str
@@ -149,10 +149,10 @@
         self.attestations = attestations
         self.random_source = random_source
         self.placement = HallPlacement(own.hall)
-        self.controller: ControllerNews | None = None
+        self.controller: ControllerUpdate | None = None
         self.halls: dict[str, HallSummary] = {}
         self._summary_updated_s: dict[str, float] = {}
-        self.demands: dict[str, DemandNews] = {}
+        self.demands: dict[str, DemandUpdate] = {}
         self.store_away = False
         self._placement_listeners: list[Callable[[HallPlacement], None]] = []
 
@@ -175,7 +175,7 @@
             listener(placement)
         return True
 
-    def offer_controller(self, update: ControllerNews) -> None:
+    def offer_controller(self, update: ControllerUpdate) -> None:
         """Update the holder of the hall's lease if the term or the renewal is newer."""
         known = self.controller
         if known is None or (update.term, update.renewed_s) > (known.term, known.renewed_s):
@@ -209,13 +209,13 @@
             and (everything or now_s - self._summary_updated_s[hall] <= RECENT_SUMMARY_S)
         ]
 
-    def offer_demand(self, demand: DemandNews) -> None:
+    def offer_demand(self, demand: DemandUpdate) -> None:
         """Store the demand of a daemon if it is newer than the known one."""
         known = self.demands.get(demand.name)
         if known is None or demand.made_s > known.made_s:
             self.demands[demand.name] = demand
 
-    def demands_to_send(self) -> list[DemandNews]:
+    def demands_to_send(self) -> list[DemandUpdate]:
         """Return this daemon's own demand and a random sample of those of others.
 
         The sample keeps digests small in a large hall; updates then take more rounds to spread.
--- a/ferrydock/membership/tests/test_membership.py
+++ b/ferrydock/membership/tests/test_membership.py
@@ -13,9 +13,9 @@
 from ...placement import HallPlacement, Member, Replica, ReplicaPhase
 from ...table import AcceptedEdit, Change, RowKey, Table, TableCopy, TableKeeper, next_lineage
 from .. import (
-    ControllerNews,
+    ControllerUpdate,
     DaemonInfo,
-    DemandNews,
+    DemandUpdate,
     ExchangeClient,
     ExchangeServer,
     Gossip,
@@ -155,12 +155,12 @@
     one, two = make_state("a"), make_state("b")
     one.members.merge(daemon_info("b"), 0.0)
     two.members.merge(daemon_info("a"), 0.0)
-    one.offer_controller(ControllerNews("a", 7, 8.0))
-    one.offer_demand(DemandNews("a", 9.5, {"s": 12.0}))
+    one.offer_controller(ControllerUpdate("a", 7, 8.0))
+    one.offer_demand(DemandUpdate("a", 9.5, {"s": 12.0}))
     one.keeper.offer_copy(TableCopy(Table({}, 4), "f" * 16, ()))
     newer_data = exchange(one, two)
     assert newer_data.table
-    assert two.controller == ControllerNews("a", 7, 8.0)
+    assert two.controller == ControllerUpdate("a", 7, 8.0)
     assert two.demands["a"].rates_per_s == {"s": 12.0}
     assert two.members.revision_of("a") == 4
 
@@ -189,7 +189,7 @@
         one.attestations.accept(Attestation(name, generation, 99.9, 5, 0))
     one.offer_placement(HallPlacement("hall-a", Fence(100, 0, 99), replicas))
     for number in range(75):
-        one.offer_demand(DemandNews(f"daemon-{number:04d}", 99.0, {"lanyu-draft": 3.0}))
+        one.offer_demand(DemandUpdate(f"daemon-{number:04d}", 99.0, {"lanyu-draft": 3.0}))
     size = len(build_digest(one, 100.0, "hall-a", False).SerializeToString())
     assert size <= 420
 
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -24,7 +24,7 @@
 from ..membership import (
     BurnGatherer,
     DaemonInfo,
-    DemandNews,
+    DemandUpdate,
     ExchangeClient,
     ExchangeServer,
     Gossip,
@@ -369,7 +369,7 @@
         now_s = self.clock.now_s()
         self.limits.update(view, now_s, self.known_demand(), len(view.halls) or 1)
         rates = self.limits.demands(view)
-        self.state.offer_demand(DemandNews(self.name, now_s, rates))
+        self.state.offer_demand(DemandUpdate(self.name, now_s, rates))
 
 
 def _peer_security(settings: Settings) -> PeerSecurity | None:
--- a/ferrydock/node/_rounds.py
+++ b/ferrydock/node/_rounds.py
@@ -6,7 +6,7 @@
 
 from ..hall import ControllerMode
 from ..logs import log_event
-from ..membership import ControllerNews, Responsibilities
+from ..membership import ControllerUpdate, Responsibilities
 from ..outcomes import Unavailable
 from ..table import TableView
 
@@ -146,7 +146,7 @@
         lease = node.controller.lease.held
         if node.controller.mode is ControllerMode.CONTROLLER and lease is not None:
             renewed_s = lease.valid_until_s - view.site.lease_ttl_s
-            node.state.offer_controller(ControllerNews(node.name, lease.term, renewed_s))
+            node.state.offer_controller(ControllerUpdate(node.name, lease.term, renewed_s))
         node.state.store_away = node.controller.store_away
 
     def _may_acquire_lease(self, view: TableView, rank: int) -> bool:
