--- a/ferrydock/demo.py
+++ b/ferrydock/demo.py
@@ -140,7 +140,7 @@
     """Return the replicas of the node's hall that may get work."""
     now_s = node.clock.now_s()
     serving = [r for r in node.state.placement.replicas.values() if r.phase == "serving"]
-    return [r for r in serving if node.attestations.whole(r, now_s)]
+    return [r for r in serving if node.attestations.is_complete(r, now_s)]
 
 
 class _Demo:
--- a/ferrydock/hall/_attestation.py
+++ b/ferrydock/hall/_attestation.py
@@ -89,11 +89,11 @@
             and now_s - newest.probed_s <= self.ttl_s
         )
 
-    def whole(self, replica: Replica, now_s: float) -> bool:
+    def is_complete(self, replica: Replica, now_s: float) -> bool:
         """Return whether the recorded generation of `replica` is attested at `now_s`."""
         return self.is_attested(replica.replica_id, replica.generation, now_s)
 
-    def keep_only(self, replica_ids: set[str]) -> None:
+    def prune(self, replica_ids: set[str]) -> None:
         """Remove the attestations of all replicas but `replica_ids`."""
         for replica_id in self._newest.keys() - replica_ids:
             del self._newest[replica_id]
--- a/ferrydock/hall/_controller.py
+++ b/ferrydock/hall/_controller.py
@@ -143,17 +143,17 @@
 
     # State shared with the daemon ---------------------------------------------------------
 
-    def learn(self, placement: HallPlacement) -> None:
+    def adopt_record(self, placement: HallPlacement) -> None:
         """Adopt a newer placement record of another daemon, unless this one is the controller."""
         if placement.fence > self.placement.fence and self.mode is not ControllerMode.CONTROLLER:
             self.placement = placement
 
     @property
-    def store_away(self) -> bool:
+    def is_store_unreachable(self) -> bool:
         """Whether the last call to the store failed."""
         return self._store_unreachable_since_s is not None
 
-    def shortage(self) -> tuple[float, float]:
+    def shortage_totals(self) -> tuple[float, float]:
         """Return missing replica-seconds and unused box-seconds, summed while in control."""
         return self._short_replica_seconds, self._stranded_box_seconds
 
@@ -168,7 +168,7 @@
         if previous_s is None or now_s - previous_s > MAX_SHORTAGE_INTERVAL_S:
             return
         replicas = self.placement.replicas.values()
-        complete = [r for r in replicas if self.observer.attestations.whole(r, now_s)]
+        complete = [r for r in replicas if self.observer.attestations.is_complete(r, now_s)]
         wanted = sum(m.replicas_in(self.hall) for m in view.models.values())
         present_count = sum(1 for observed in boxes.values() if observed.present)
         member_count = sum(len(r.members) for r in complete)
--- a/ferrydock/hall/_observer.py
+++ b/ferrydock/hall/_observer.py
@@ -135,7 +135,7 @@
     def _apply_attestations(self, placement: HallPlacement) -> None:
         now_s = self.clock.now_s()
         for replica in placement.replicas.values():
-            if not self.attestations.whole(replica, now_s):
+            if not self.attestations.is_complete(replica, now_s):
                 continue
             attestation = self.attestations.get(replica.replica_id)
             for member in replica.members:
@@ -151,7 +151,8 @@
         attested = {
             box
             for replica in placement.replicas.values()
-            if replica.phase is ReplicaPhase.SERVING and self.attestations.whole(replica, now_s)
+            if replica.phase is ReplicaPhase.SERVING
+            and self.attestations.is_complete(replica, now_s)
             for box in replica.boxes
         }
         assigned = {box for replica in placement.replicas.values() for box in replica.boxes}
--- a/ferrydock/hall/tests/world.py
+++ b/ferrydock/hall/tests/world.py
@@ -76,8 +76,8 @@
     def learn(self, placement):
         if placement.fence > self.placement.fence:
             self.placement = placement
-            self.attestations.keep_only(set(placement.replicas))
-            self.controller.learn(placement)
+            self.attestations.prune(set(placement.replicas))
+            self.controller.adopt_record(placement)
 
     async def step(self, candidate=True, is_first_rank=True):
         await self.controller.step(self.simulation.view, candidate, is_first_rank)
@@ -88,7 +88,9 @@
     def complete_replicas(self):
         now_s = self.simulation.clock.now_s()
         replicas = self.placement.replicas.values()
-        return [r for r in replicas if r.phase == "serving" and self.attestations.whole(r, now_s)]
+        return [
+            r for r in replicas if r.phase == "serving" and self.attestations.is_complete(r, now_s)
+        ]
 
 
 class HallSimulation:
--- a/ferrydock/membership/_state.py
+++ b/ferrydock/membership/_state.py
@@ -134,7 +134,7 @@
         "members",
         "placement",
         "random_source",
-        "store_away",
+        "store_unreachable",
     )
 
     def __init__(
@@ -153,7 +153,7 @@
         self.halls: dict[str, HallSummary] = {}
         self._summary_updated_s: dict[str, float] = {}
         self.demands: dict[str, DemandUpdate] = {}
-        self.store_away = False
+        self.store_unreachable = False
         self._placement_listeners: list[Callable[[HallPlacement], None]] = []
 
     @property
@@ -170,7 +170,7 @@
         if placement.fence <= self.placement.fence:
             return False
         self.placement = placement
-        self.attestations.keep_only(set(placement.replicas))
+        self.attestations.prune(set(placement.replicas))
         for listener in self._placement_listeners:
             listener(placement)
         return True
@@ -257,10 +257,12 @@
             contacts=tuple(contacts),
             models=self._model_loads(now_s),
             controller=controller,
-            store_away=self.store_away,
+            store_away=self.store_unreachable,
             wanted=_count_wanted_replicas(view, self.hall),
             serving=sum(
-                1 for r in self.placement.replicas.values() if self.attestations.whole(r, now_s)
+                1
+                for r in self.placement.replicas.values()
+                if self.attestations.is_complete(r, now_s)
             ),
             demands=self._hall_demands(),
         )
@@ -269,7 +271,7 @@
         loads: dict[str, list[int]] = {}
         for replica in self.placement.replicas.values():
             serving = replica.phase is ReplicaPhase.SERVING
-            if not serving or not self.attestations.whole(replica, now_s):
+            if not serving or not self.attestations.is_complete(replica, now_s):
                 continue
             attestation = require(self.attestations.get(replica.replica_id), "its attestation")
             load = loads.setdefault(replica.model, [0, 0, 0])
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -151,7 +151,7 @@
         self.background_tasks = BackgroundTasks(self.stop_limit)
         self.recorder = Recorder(make_statsd(settings.statsd), clock)
         self.burn_gatherer = BurnGatherer(
-            self.state, self.recorder, self.exchange_client, self.controller.shortage
+            self.state, self.recorder, self.exchange_client, self.controller.shortage_totals
         )
         self.exchange_server.on_burn = self.burn_gatherer.reply
         self.limits = TeamLimits()
@@ -342,7 +342,7 @@
             self.gossip.spread()
 
     def _on_placement(self, placement: HallPlacement) -> None:
-        self.controller.learn(placement)
+        self.controller.adopt_record(placement)
         self.replica_loads.keep_only(placement)
 
     # Team limits --------------------------------------------------------------------------
--- a/ferrydock/node/_rounds.py
+++ b/ferrydock/node/_rounds.py
@@ -147,7 +147,7 @@
         if node.controller.mode is ControllerMode.CONTROLLER and lease is not None:
             renewed_s = lease.valid_until_s - view.site.lease_ttl_s
             node.state.offer_controller(ControllerUpdate(node.name, lease.term, renewed_s))
-        node.state.store_away = node.controller.store_away
+        node.state.store_unreachable = node.controller.is_store_unreachable
 
     def _may_acquire_lease(self, view: TableView, rank: int) -> bool:
         """Return whether to try to acquire the lease.
@@ -195,7 +195,7 @@
         node.recorder.gauge("hall.replicas_wanted", summary.wanted)
         node.recorder.gauge("hall.replicas_serving", summary.serving)
         node.recorder.gauge("table.revision", node.keeper.revision)
-        node.recorder.gauge("store.away", int(node.state.store_away))
+        node.recorder.gauge("store.away", int(node.state.store_unreachable))
         node.recorder.gauge("requests.in_flight", node.gateway.in_flight)
         for model, length in node.gate.queue_lengths().items():
             node.recorder.gauge(f"queue.{model}", length)
--- a/ferrydock/node/_status.py
+++ b/ferrydock/node/_status.py
@@ -81,7 +81,7 @@
                 "model": replica.model,
                 "version": replica.version,
                 "phase": replica.phase.value,
-                "whole": node.attestations.whole(replica, now_s),
+                "whole": node.attestations.is_complete(replica, now_s),
                 "generation": str(replica.generation),
                 "boxes": list(replica.boxes),
                 "running": statement.running if statement else 0,
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -183,7 +183,7 @@
         """Abandon each attempt whose replica has been incomplete for too long at `now_s`."""
         for watched in list(self._watched):
             replica = watched.attempt.replica
-            if self.state.attestations.whole(replica, now_s):
+            if self.state.attestations.is_complete(replica, now_s):
                 watched.incomplete_since_s = None
             elif watched.incomplete_since_s is None:
                 watched.incomplete_since_s = now_s
@@ -336,7 +336,9 @@
             for _ in range(MAX_RESUMES):
                 if not isinstance(outcome, Broken) or not self.request.stream:
                     break
-                if not executor.state.attestations.whole(chosen.replica, executor.clock.now_s()):
+                if not executor.state.attestations.is_complete(
+                    chosen.replica, executor.clock.now_s()
+                ):
                     break
                 self.life.resume()
                 resumed = await self._send(chosen.replica, resume=True)
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -33,7 +33,7 @@
         view = SimpleNamespace(site=SimpleNamespace(queue_wait_s=1.0))
         self.state = SimpleNamespace(
             keeper=SimpleNamespace(view=view),
-            attestations=SimpleNamespace(whole=lambda replica, now_s: False),
+            attestations=SimpleNamespace(is_complete=lambda replica, now_s: False),
         )
         self.loads = SimpleNamespace(
             note_sent=lambda *arguments: None,
--- a/ferrydock/routing/_replica_loads.py
+++ b/ferrydock/routing/_replica_loads.py
@@ -105,7 +105,7 @@
         """
         if placement is not self._placement or view is not self._view:
             self._cache_serving(placement, view)
-        attested = self.attestations.whole
+        attested = self.attestations.is_complete
         return [r for r in self._serving.get(model, ()) if attested(r, now_s)]
 
     def _cache_serving(self, placement: HallPlacement, view: TableView) -> None:
