--- a/benchmarks/_replay.py
+++ b/benchmarks/_replay.py
@@ -11,7 +11,7 @@
 
 from ferrydock.engines import BoxPhase, BoxState, Fence, OrderAction
 from ferrydock.placement import (
-    Absence,
+    AbsenceCause,
     AbsenceModel,
     HallPlacement,
     ObservedBox,
@@ -234,7 +234,7 @@
         box = self.boxes[name]
         box.up = True
         if box.silent_s is not None:
-            self.absences.record(Absence.SILENT, self.now_s - box.silent_s)
+            self.absences.record(AbsenceCause.SILENT, self.now_s - box.silent_s)
             box.silent_s = None
         if not outage.keeps:
             box.boots += 1
--- a/ferrydock/hall/_controller.py
+++ b/ferrydock/hall/_controller.py
@@ -51,7 +51,7 @@
     plans: int = 0
     writes: int = 0
     orders: int = 0
-    refused: int = 0
+    refused_orders: int = 0
 
 
 class HallController:
@@ -411,7 +411,7 @@
         answer = await self.control.send(addressed.url, addressed.order)
         if not isinstance(answer, OrderRefused):
             return
-        self.counters.refused += 1
+        self.counters.refused_orders += 1
         log_event(
             _LOG,
             logging.WARNING,
--- a/ferrydock/hall/_observer.py
+++ b/ferrydock/hall/_observer.py
@@ -11,7 +11,14 @@
 from ..clock import Clock
 from ..engines import BoxPhase, BoxState, EngineControl
 from ..outcomes import Unavailable
-from ..placement import Absence, AbsenceModel, HallPlacement, ObservedBox, Replica, ReplicaPhase
+from ..placement import (
+    AbsenceCause,
+    AbsenceModel,
+    HallPlacement,
+    ObservedBox,
+    Replica,
+    ReplicaPhase,
+)
 from ..store import Box, BoxList
 from ..table import TableView
 from ._attestation import Attestations
@@ -65,9 +72,9 @@
         "clock",
         "control",
         "hall",
-        "list_reads",
+        "list_read_count",
         "list_error",
-        "probes",
+        "probe_count",
     )
 
     def __init__(
@@ -85,8 +92,8 @@
         self.attestations = attestations
         self.absences = absences
         self.clock = clock
-        self.probes = 0
-        self.list_reads = 0
+        self.probe_count = 0
+        self.list_read_count = 0
         self.list_error = ""
         self._entries: dict[str, _BoxEntry] = {}
         self._drain_idle_since_s: dict[str, float] = {}
@@ -104,7 +111,7 @@
 
     async def _read_list(self, placement: HallPlacement) -> None:
         self._last_list_read_s = self.clock.now_s()
-        self.list_reads += 1
+        self.list_read_count += 1
         listed = await self.box_list.fetch(self.hall)
         if isinstance(listed, Unavailable):
             self.list_error = listed.reason
@@ -175,7 +182,7 @@
     async def _probe(self, entry: _BoxEntry) -> None:
         probed_s = self.clock.now_s()
         entry.last_probe_s = probed_s
-        self.probes += 1
+        self.probe_count += 1
         state = await self.control.state(entry.box.url)
         if isinstance(state, BoxState) and state.box == entry.box.name:
             self._store_state(entry, state, probed_s)
@@ -184,7 +191,7 @@
 
     def _store_state(self, entry: _BoxEntry, state: BoxState, taken_s: float) -> None:
         if entry.silent_since_s is not None:
-            self.absences.record(Absence.SILENT, max(0.0, taken_s - entry.silent_since_s))
+            self.absences.record(AbsenceCause.SILENT, max(0.0, taken_s - entry.silent_since_s))
             entry.silent_since_s = None
         is_idle = state.phase is BoxPhase.IDLE and not state.replica_id
         if not is_idle:
--- a/ferrydock/hall/_prober.py
+++ b/ferrydock/hall/_prober.py
@@ -48,13 +48,13 @@
         Dates the attestations.
     """
 
-    __slots__ = ("attestations", "clock", "control", "probes")
+    __slots__ = ("attestations", "clock", "control", "probe_count")
 
     def __init__(self, control: EngineControl, attestations: Attestations, clock: Clock):
         self.control = control
         self.attestations = attestations
         self.clock = clock
-        self.probes = 0
+        self.probe_count = 0
 
     async def probe(self, placement: HallPlacement, replica_ids: list[str]) -> None:
         """Probe the replicas of the record named by `replica_ids` concurrently."""
@@ -63,7 +63,7 @@
 
     async def _probe_replica(self, replica: Replica) -> None:
         probed_s = self.clock.now_s()
-        self.probes += len(replica.members)
+        self.probe_count += len(replica.members)
         states = await asyncio.gather(
             *(self.control.state(member.url) for member in replica.members)
         )
--- a/ferrydock/node/_status.py
+++ b/ferrydock/node/_status.py
@@ -119,13 +119,13 @@
         "peer_sent_bytes": node.exchange_client.sent_bytes + node.exchange_server.sent_bytes,
         "peer_received_bytes": node.exchange_client.received_bytes
         + node.exchange_server.received_bytes,
-        "probes": node.prober.probes + node.observer.probes,
+        "probes": node.prober.probe_count + node.observer.probe_count,
         "orders": node.controller.counters.orders,
-        "orders_refused": node.controller.counters.refused,
+        "orders_refused": node.controller.counters.refused_orders,
         "record_writes": node.controller.counters.writes,
         "claim_writes": node.claim_writer.groups,
         "retries": node.executor.budget.spent,
         "in_flight": node.gateway.in_flight,
-        "box_list_reads": node.observer.list_reads,
+        "box_list_reads": node.observer.list_read_count,
         "connections": node.gateway.connection_counts(),
     }
--- a/ferrydock/placement/__init__.py
+++ b/ferrydock/placement/__init__.py
@@ -4,7 +4,7 @@
 from ._cost_based import CostBased
 from ._health import ReplicaHealth, assess_health
 from ._naive import FirstFit
-from ._observed import Absence, AbsenceModel, ObservedBox
+from ._observed import AbsenceCause, AbsenceModel, ObservedBox
 from ._orders import AddressedOrder, pending_orders
 from ._policy import (
     PlacementInput,
@@ -17,7 +17,7 @@
 from ._record import HallPlacement, Member, Prepare, Replica, ReplicaPhase
 
 __all__ = [
-    "Absence",
+    "AbsenceCause",
     "AbsenceModel",
     "AddressedOrder",
     "CostBased",
--- a/ferrydock/placement/_observed.py
+++ b/ferrydock/placement/_observed.py
@@ -9,7 +9,7 @@
 from ..invariants import require
 from ..store import Box
 
-__all__ = ["Absence", "AbsenceModel", "ObservedBox"]
+__all__ = ["AbsenceCause", "AbsenceModel", "ObservedBox"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
         return self.state is not None and (model, version) in self.state.held
 
 
-class Absence(StrEnum):
+class AbsenceCause(StrEnum):
     """Cause of a box's absence, as known from the platform."""
 
     SILENT = "silent"
@@ -97,8 +97,8 @@
     --------
     >>> model = AbsenceModel()
     >>> for _ in range(20):
-    ...     model.record(Absence.SILENT, 8.0)
-    >>> model.expected_remaining_s(Absence.SILENT, 5.0) < 400
+    ...     model.record(AbsenceCause.SILENT, 8.0)
+    >>> model.expected_remaining_s(AbsenceCause.SILENT, 5.0) < 400
     True
     """
 
@@ -107,17 +107,17 @@
     def __init__(self, max_absence_s: float = 3600.0, max_samples: int = 128):
         self.max_absence_s = max_absence_s
         self.max_samples = max_samples
-        self._absences_s: dict[Absence, deque[float]] = {
-            cause: deque(_INITIAL_ABSENCES_S, maxlen=max_samples) for cause in Absence
+        self._absences_s: dict[AbsenceCause, deque[float]] = {
+            cause: deque(_INITIAL_ABSENCES_S, maxlen=max_samples) for cause in AbsenceCause
         }
 
-    def record(self, cause: Absence, lasted_s: float) -> None:
+    def record(self, cause: AbsenceCause, lasted_s: float) -> None:
         """Record an absence that ended, or was no longer waited for, after `lasted_s`."""
         self._absences_s[cause].append(min(lasted_s, self.max_absence_s))
 
-    def expected_remaining_s(self, cause: Absence, elapsed_s: float) -> float:
+    def expected_remaining_s(self, cause: AbsenceCause, elapsed_s: float) -> float:
         """Return how many more seconds an absence of `elapsed_s` so far is expected to last."""
-        if cause is Absence.DELISTED:
+        if cause is AbsenceCause.DELISTED:
             return self.max_absence_s
         absences_s = sorted(self._absences_s[cause])
         longer_absences_s = absences_s[bisect_right(absences_s, elapsed_s) :]
--- a/ferrydock/placement/_repairs.py
+++ b/ferrydock/placement/_repairs.py
@@ -6,7 +6,7 @@
 from ._costs import Costs
 from ._draft import Draft, prefer_holders
 from ._health import ReplicaHealth, assess_health
-from ._observed import Absence, AbsenceModel, ObservedBox
+from ._observed import AbsenceCause, AbsenceModel, ObservedBox
 from ._record import Replica, ReplicaPhase
 
 __all__ = ["Repairs"]
@@ -86,7 +86,7 @@
         waits = []
         for box in health.silent:
             observed = draft.inputs.boxes[box]
-            cause = Absence.LEAVING if observed.leaving else Absence.SILENT
+            cause = AbsenceCause.LEAVING if observed.leaving else AbsenceCause.SILENT
             waits.append(self.absences.expected_remaining_s(cause, observed.missing_s))
         return max(waits)
 
@@ -165,7 +165,7 @@
         else:
             unused_count = len(donor_boxes) - len(chosen)
             expected_downtime_s = self.absences.expected_remaining_s(
-                Absence.SILENT, health.missing_s
+                AbsenceCause.SILENT, health.missing_s
             )
             cost += (
                 HYSTERESIS_FACTOR
--- a/ferrydock/placement/tests/test_policies.py
+++ b/ferrydock/placement/tests/test_policies.py
@@ -9,7 +9,7 @@
 from ...store import Box
 from ...table import RowKey, Table
 from .. import (
-    Absence,
+    AbsenceCause,
     AbsenceModel,
     HallPlacement,
     Member,
@@ -373,7 +373,7 @@
 def test_expected_absences_are_estimated_per_cause():
     model = AbsenceModel()
     for _ in range(200):
-        model.record(Absence.SILENT, 6.0)
-    assert model.expected_remaining_s(Absence.SILENT, 2.0) == pytest.approx(4.0)
-    assert model.expected_remaining_s(Absence.SILENT, 100.0) == model.max_absence_s
-    assert model.expected_remaining_s(Absence.DELISTED, 0.0) == model.max_absence_s
+        model.record(AbsenceCause.SILENT, 6.0)
+    assert model.expected_remaining_s(AbsenceCause.SILENT, 2.0) == pytest.approx(4.0)
+    assert model.expected_remaining_s(AbsenceCause.SILENT, 100.0) == model.max_absence_s
+    assert model.expected_remaining_s(AbsenceCause.DELISTED, 0.0) == model.max_absence_s
