--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -27,7 +27,7 @@
     GaveUp,
     ModelRequest,
     RequestExecutor,
-    RequestLife,
+    RequestLifecycle,
     parse_model_request,
     prompt_blocks,
 )
@@ -220,10 +220,10 @@
                 return claim_response(opened)
             claim = opened
         started_s = self.clock.now_s()
-        life = RequestLife(model_request.repeatable)
+        lifecycle = RequestLifecycle(model_request.repeatable)
         caller = CallerStream(request, model_request, self.clock)
         try:
-            outcome = await self.executor.run(model_request, caller, life, share.weight)
+            outcome = await self.executor.run(model_request, caller, lifecycle, share.weight)
         except CallerLeft:
             self.recorder.left(model_request)
             return require(caller.response, "the started response")
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -17,7 +17,7 @@
 from ..logs import log_event
 from ..outcomes import NotRun, Run
 from ..planned_stop import STOPPING_REASON, DaemonStopping
-from ..requests import Answered, Claim, ClaimStore, GaveUp, RequestLife
+from ..requests import Answered, Claim, ClaimStore, GaveUp, RequestLifecycle
 from ..retry_budget import DEFAULT_RETRY_RATIO, RetryBudget
 from ..table import TableKeeper, Target
 from ._bodies import read_body
@@ -138,23 +138,23 @@
         self, request: web.Request, team: str, target: Target, body: bytes
     ) -> web.Response:
         key = request.headers.get("Idempotency-Key", "")
-        life = RequestLife(request.method in target.repeatable_methods and not key)
+        lifecycle = RequestLifecycle(request.method in target.repeatable_methods and not key)
         if not key:
-            outcome = await self._call_within_stop_limit(request, target, body, life)
-            return self._response(outcome, life.repeatable)
+            outcome = await self._call_within_stop_limit(request, target, body, lifecycle)
+            return self._response(outcome, lifecycle.repeatable)
         deadline_s = self.clock.now_s() + CLAIM_TIMEOUT_S
         claim = await open_claim(
             self.claims, self.background_tasks, team, f"{target.name}/{key}", deadline_s
         )
         if not isinstance(claim, Claim):
             return claim_response(claim)
-        outcome = await self._call_within_stop_limit(request, target, body, life)
+        outcome = await self._call_within_stop_limit(request, target, body, lifecycle)
         if isinstance(outcome, Answered):
             end = self.claims.end(claim, outcome.status, outcome.content_type, outcome.body)
             await self.background_tasks.record(end)
         elif isinstance(outcome, NotRun):
             await self.background_tasks.record(self.claims.withdraw(claim))
-        return self._response(outcome, life.repeatable)
+        return self._response(outcome, lifecycle.repeatable)
 
     def _response(self, outcome: Answered | NotRun | GaveUp, repeatable: bool) -> web.Response:
         if isinstance(outcome, Answered):
@@ -168,19 +168,19 @@
         return lost_answer_response(outcome, repeatable)
 
     async def _call_within_stop_limit(
-        self, request: web.Request, target: Target, body: bytes, life: RequestLife
+        self, request: web.Request, target: Target, body: bytes, lifecycle: RequestLifecycle
     ) -> Answered | NotRun | GaveUp:
         """Send the call, with retries, unless the stop limit expires first."""
         try:
             async with self.background_tasks.stop_limit.apply():
-                return await self._attempt_until_final(request, target, body, life)
+                return await self._attempt_until_final(request, target, body, lifecycle)
         except DaemonStopping:
-            if life.run is Run.NOT_RUN:
+            if lifecycle.run is Run.NOT_RUN:
                 return NotRun(STOPPING_REASON)
             return GaveUp(STOPPING_REASON, Run.UNKNOWN)
 
     async def _attempt_until_final(
-        self, request: web.Request, target: Target, body: bytes, life: RequestLife
+        self, request: web.Request, target: Target, body: bytes, lifecycle: RequestLifecycle
     ) -> Answered | NotRun | GaveUp:
         """Make attempts until one is answered or no further attempt is allowed."""
         self.budget.first_attempt()
@@ -191,11 +191,11 @@
             if url is None or (attempt and not self.budget.spend()):
                 break
             tried.add(url)
-            life.queue()
-            life.dispatch()
+            lifecycle.queue()
+            lifecycle.dispatch()
             outcome = await self._attempt(request, target, url, body, request_id)
             if isinstance(outcome, Answered):
-                life.finish()
+                lifecycle.finish()
                 return outcome
             log_event(
                 _LOG,
@@ -206,13 +206,13 @@
                 why=outcome,
             )
             if outcome == NOT_SENT:
-                life.take_back()
+                lifecycle.undo_dispatch()
                 self._avoid_until_s[url] = self.clock.now_s() + UNREACHABLE_AVOID_S
             else:
-                life.lose_contact()
-            if not life.may_run_again:
+                lifecycle.lose_contact()
+            if not lifecycle.may_run_again:
                 break
-        if life.run is Run.NOT_RUN:
+        if lifecycle.run is Run.NOT_RUN:
             return NotRun("unreachable", f"{target.name} cannot be reached", UNREACHABLE_RETRY_S)
         return GaveUp("the service did not answer", Run.UNKNOWN)
 
--- a/ferrydock/requests/__init__.py
+++ b/ferrydock/requests/__init__.py
@@ -20,7 +20,7 @@
 from ._claims import Claim, ClaimEnd, ClaimStore, ClaimUnfinished, ClaimUnwritten, claim_key
 from ._events import EventRelay, error_event, text_so_far
 from ._executor import Ended, GaveUp, RequestExecutor
-from ._lifecycle import RequestLife, RequestPhase
+from ._lifecycle import RequestLifecycle, RequestPhase
 from ._model_request import ModelRequest, parse_model_request, prompt_blocks
 
 __all__ = [
@@ -47,7 +47,7 @@
     "Refused",
     "RelayingClaimWriter",
     "ReplicaGate",
-    "RequestLife",
+    "RequestLifecycle",
     "RequestPhase",
     "Streamed",
     "WritesClaims",
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -1,8 +1,8 @@
 """Runs a model request to its end: choose a replica, send, resume, retry or fail.
 
 Owns the running attempts, and abandons those whose replica has been incomplete for too long. The
-gate chooses replicas, `RequestLife` decides which steps are allowed, and the retry budget limits
-the number of attempts.
+gate chooses replicas, `RequestLifecycle` decides which steps are allowed, and the retry budget
+limits the number of attempts.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 from ._admission import ReplicaGate
 from ._attempt import Answered, Attempt, Broken, Caller, CallerLeft, EngineClient, Refused, Streamed
 from ._events import EventRelay, text_so_far
-from ._lifecycle import RequestLife
+from ._lifecycle import RequestLifecycle
 from ._model_request import ModelRequest
 
 __all__ = ["RequestExecutor", "Ended", "GaveUp"]
@@ -140,7 +140,7 @@
         self,
         request: ModelRequest,
         caller: Caller,
-        life: RequestLife,
+        lifecycle: RequestLifecycle,
         weight: float,
     ) -> Ended | NotRun | GaveUp:
         """Run a request to its end.
@@ -151,7 +151,7 @@
             The request to run.
         caller : Caller
             Receives the stream.
-        life : RequestLife
+        lifecycle : RequestLifecycle
             Tracks whether the request may run again, and whether it ran.
         weight : float
             Weight of the team in the queues.
@@ -160,7 +160,7 @@
         -------
         Ended or NotRun or GaveUp
         """
-        run = _RequestRun(self, request, caller, life, weight)
+        run = _RequestRun(self, request, caller, lifecycle, weight)
         try:
             async with self.stop_limit.apply():
                 return await run.run_to_end()
@@ -228,7 +228,7 @@
         "executor",
         "excluded",
         "identity",
-        "life",
+        "lifecycle",
         "relay",
         "replica",
         "request",
@@ -236,11 +236,11 @@
         "weight",
     )
 
-    def __init__(self, executor, request, caller, life, weight):
+    def __init__(self, executor, request, caller, lifecycle, weight):
         self.executor: RequestExecutor = executor
         self.request: ModelRequest = request
         self.caller: Caller = caller
-        self.life: RequestLife = life
+        self.lifecycle: RequestLifecycle = lifecycle
         self.weight: float = weight
         self.relay = EventRelay(keep=request.stream)
         self.excluded: set = set()
@@ -260,7 +260,7 @@
             )
         self.executor.budget.first_attempt()
         while True:
-            self.life.queue()
+            self.lifecycle.queue()
             chosen = await self._choose()
             if isinstance(chosen, NotRun):
                 return self._end_without_replica(chosen)
@@ -271,7 +271,7 @@
             if isinstance(outcome, Refused):
                 self._undo_dispatch(outcome, chosen)
             else:
-                self.life.lose_contact()
+                self.lifecycle.lose_contact()
                 log_event(
                     _LOG,
                     logging.WARNING,
@@ -282,7 +282,7 @@
                 )
                 await self._check_for_crash(chosen.replica, sent_s)
                 if self.executor.crashes.was_detected_since(self.identity, self.admitted_s):
-                    return GaveUp(CRASHES_TARGETS, self.life.give_up())
+                    return GaveUp(CRASHES_TARGETS, self.lifecycle.fail())
             final_outcome = await self._prepare_retry(outcome)
             if final_outcome is not None:
                 return final_outcome
@@ -307,14 +307,14 @@
         return await self.executor.gate.choose(self.request, self.excluded, self.weight, wait_s)
 
     def _end_without_replica(self, refusal: NotRun) -> NotRun | GaveUp:
-        run = self.life.give_up()
+        run = self.lifecycle.fail()
         if run is Run.NOT_RUN and not self.relay.events:
             return refusal
         return GaveUp(f"lost contact, and then {refusal.reason}", Run.UNKNOWN)
 
     def end_by_stop(self) -> NotRun | GaveUp:
         """End a request that still runs at the time limit of the daemon's stop."""
-        if self.life.give_up() is Run.NOT_RUN and not self.relay.events:
+        if self.lifecycle.fail() is Run.NOT_RUN and not self.relay.events:
             return NotRun(STOPPING_REASON)
         self.cancel_at_engine()
         return GaveUp(STOPPING_REASON, Run.UNKNOWN)
@@ -331,7 +331,7 @@
         )
         self.caller.on_first = lambda: self._note_first_event(in_flight)
         try:
-            self.life.dispatch()
+            self.lifecycle.dispatch()
             outcome = await self._send(chosen.replica, resume=False)
             for _ in range(MAX_RESUMES):
                 if not isinstance(outcome, Broken) or not self.request.stream:
@@ -340,7 +340,7 @@
                     chosen.replica, executor.clock.now_s()
                 ):
                     break
-                self.life.resume()
+                self.lifecycle.resume()
                 resumed = await self._send(chosen.replica, resume=True)
                 if isinstance(resumed, Refused):
                     break
@@ -351,7 +351,7 @@
             executor.gate.assign_first_queued(self.request.model)
 
     def _note_first_event(self, in_flight: InFlightRequest) -> None:
-        self.life.first_byte()
+        self.lifecycle.first_byte()
         self.executor.loads.note_first_token(in_flight, self.executor.clock.now_s())
 
     async def _send(self, replica: Replica, resume: bool):
@@ -370,14 +370,14 @@
             executor.unwatch_attempt(watched)
 
     def _record_success(self, outcome: Answered | Streamed, chosen: Candidate) -> Ended:
-        self.life.finish()
+        self.lifecycle.finish()
         self.executor.crashes.note_answer(self.identity)
         took_s = self.executor.clock.now_s() - self.started_s
         self.executor.gate.update_service_time(self.request.model, took_s)
         return Ended(outcome, chosen.replica.replica_id)
 
     def _undo_dispatch(self, refused: Refused, chosen: Candidate) -> None:
-        self.life.take_back()
+        self.lifecycle.undo_dispatch()
         self.excluded.add(chosen.replica.generation)
         if refused.stale or not refused.connected:
             self.executor.state.attestations.revoke(
@@ -392,13 +392,13 @@
         `MAX_ATTEMPTS`, or without retry budget. After a broken attempt, and from the second attempt
         on, a back-off with jitter precedes the retry.
         """
-        if not self.life.may_run_again:
-            return GaveUp(outcome.reason, self.life.give_up())
+        if not self.lifecycle.may_run_again:
+            return GaveUp(outcome.reason, self.lifecycle.fail())
         if isinstance(outcome, Broken) and self.relay.events and not self._prepare_continuation():
-            return GaveUp(outcome.reason, self.life.give_up())
+            return GaveUp(outcome.reason, self.lifecycle.fail())
         deadline_passed = self.executor.clock.now_s() >= self.request.deadline_s
         if deadline_passed or self.attempts >= MAX_ATTEMPTS or not self.executor.budget.spend():
-            run = self.life.give_up()
+            run = self.lifecycle.fail()
             if run is Run.NOT_RUN:
                 retry_after_s = self.executor.gate.retry_after_s(
                     self.request.model, self.request.priority
--- a/ferrydock/requests/_lifecycle.py
+++ b/ferrydock/requests/_lifecycle.py
@@ -8,7 +8,7 @@
 
 from ..outcomes import Run
 
-__all__ = ["RequestLife", "RequestPhase"]
+__all__ = ["RequestLifecycle", "RequestPhase"]
 
 
 class RequestPhase(StrEnum):
@@ -30,7 +30,7 @@
 }
 
 
-class RequestLife:
+class RequestLifecycle:
     """Phase of a request, and whether it ran, may have run or did not run.
 
     Parameters
@@ -46,9 +46,9 @@
 
     Examples
     --------
-    >>> life = RequestLife(repeatable=False)
-    >>> life.queue(); life.dispatch(); life.lose_contact()
-    >>> life.run, life.may_run_again
+    >>> lifecycle = RequestLifecycle(repeatable=False)
+    >>> lifecycle.queue(); lifecycle.dispatch(); lifecycle.lose_contact()
+    >>> lifecycle.run, lifecycle.may_run_again
     (<Run.UNKNOWN: 'unknown'>, False)
     """
 
@@ -92,7 +92,7 @@
             raise AssertionError("a request that is not repeatable may not be sent twice")
         self._move_to(RequestPhase.DISPATCHED)
 
-    def take_back(self) -> None:
+    def undo_dispatch(self) -> None:
         """Undo a dispatch: the target did not run the request, or no byte was sent."""
         if self.phase is not RequestPhase.DISPATCHED:
             raise AssertionError(f"the dispatch of a request that is {self.phase} cannot be undone")
@@ -120,7 +120,7 @@
         self._ran = True
         self._may_have_run = False
 
-    def give_up(self) -> Run:
+    def fail(self) -> Run:
         """End the request without a complete answer; return whether it ran."""
         run = self.run
         self._may_have_run = run is Run.UNKNOWN
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -10,7 +10,7 @@
 from ...engines import EngineControl
 from ...outcomes import NotRun
 from ...planned_stop import StopLimit
-from .. import Answered, GaveUp, ModelRequest, RequestExecutor, RequestLife
+from .. import Answered, GaveUp, ModelRequest, RequestExecutor, RequestLifecycle
 from .._attempt import Broken
 
 
@@ -72,8 +72,8 @@
 
 async def run(executor, **options):
     request = make_request(**options)
-    life = RequestLife(request.repeatable)
-    return await executor.run(request, SimpleNamespace(on_first=None), life, 1.0)
+    lifecycle = RequestLifecycle(request.repeatable)
+    return await executor.run(request, SimpleNamespace(on_first=None), lifecycle, 1.0)
 
 
 @pytest.fixture
--- a/ferrydock/requests/tests/test_life_and_claims.py
+++ b/ferrydock/requests/tests/test_life_and_claims.py
@@ -26,7 +26,7 @@
     ClaimWriter,
     EventRelay,
     RelayingClaimWriter,
-    RequestLife,
+    RequestLifecycle,
     RequestPhase,
     error_event,
     text_so_far,
@@ -35,59 +35,59 @@
 STEPS = (
     "queue",
     "dispatch",
-    "take_back",
+    "undo_dispatch",
     "lose_contact",
     "resume",
     "first_byte",
     "finish",
-    "give_up",
+    "fail",
 )
 
 
 @given(st.booleans(), st.lists(st.sampled_from(STEPS), max_size=12))
 def test_not_run_is_only_said_when_every_dispatch_was_taken_back(repeatable, steps):
-    life = RequestLife(repeatable)
+    lifecycle = RequestLifecycle(repeatable)
     open_dispatches, finished = 0, False
     for step in steps:
-        may_run_again = life.may_run_again
+        may_run_again = lifecycle.may_run_again
         try:
-            getattr(life, step)()
+            getattr(lifecycle, step)()
         except AssertionError:
             continue
         if step == "dispatch":
             assert may_run_again
             open_dispatches += 1
-        elif step == "take_back":
+        elif step == "undo_dispatch":
             open_dispatches -= 1
         elif step == "finish":
             finished = True
-    if life.run is Run.NOT_RUN:
+    if lifecycle.run is Run.NOT_RUN:
         assert open_dispatches == 0
         assert not finished
-    if life.run is Run.RAN:
+    if lifecycle.run is Run.RAN:
         assert finished
 
 
 def test_a_request_that_is_not_repeatable_is_not_sent_again_if_it_may_have_run():
-    life = RequestLife(repeatable=False)
-    life.queue()
-    life.dispatch()
-    life.lose_contact()
-    assert life.run is Run.UNKNOWN
+    lifecycle = RequestLifecycle(repeatable=False)
+    lifecycle.queue()
+    lifecycle.dispatch()
+    lifecycle.lose_contact()
+    assert lifecycle.run is Run.UNKNOWN
     with pytest.raises(AssertionError):
-        life.dispatch()
-    assert life.give_up() is Run.UNKNOWN
-    assert life.phase is RequestPhase.ENDED
+        lifecycle.dispatch()
+    assert lifecycle.fail() is Run.UNKNOWN
+    assert lifecycle.phase is RequestPhase.ENDED
 
 
 def test_a_request_refused_by_its_target_may_be_sent_to_another():
-    life = RequestLife(repeatable=False)
-    life.queue()
-    life.dispatch()
-    life.take_back()
-    life.dispatch()
-    life.finish()
-    assert life.run is Run.RAN
+    lifecycle = RequestLifecycle(repeatable=False)
+    lifecycle.queue()
+    lifecycle.dispatch()
+    lifecycle.undo_dispatch()
+    lifecycle.dispatch()
+    lifecycle.finish()
+    assert lifecycle.run is Run.RAN
 
 
 # Events ---------------------------------------------------------------------------------------
