--- a/ferrydock/gateway/_errors.py
+++ b/ferrydock/gateway/_errors.py
@@ -10,7 +10,7 @@
 
 from ..outcomes import Invalid, NotRun, Run
 from ..planned_stop import STOPPING_REASON, STOPPING_RETRY_S
-from ..requests import GaveUp
+from ..requests import Failed
 
 __all__ = [
     "error_body",
@@ -101,7 +101,7 @@
     return response
 
 
-def lost_answer_response(outcome: GaveUp, repeatable: bool) -> web.Response:
+def lost_answer_response(outcome: Failed, repeatable: bool) -> web.Response:
     """Return the response to a request that may have run but whose answer is lost."""
     if outcome.reason == STOPPING_REASON:
         return error_response(502, STOPPING_REASON, STOPPING_MESSAGE, outcome.run, retry=repeatable)
--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -20,11 +20,11 @@
 from ..reports import Recorder
 from ..requests import (
     Answered,
-    CallerLeft,
+    CallerDisconnected,
     Claim,
     ClaimStore,
-    Ended,
-    GaveUp,
+    Completed,
+    Failed,
     ModelRequest,
     RequestExecutor,
     RequestLifecycle,
@@ -224,7 +224,7 @@
         caller = CallerStream(request, model_request, self.clock)
         try:
             outcome = await self.executor.run(model_request, caller, lifecycle, share.weight)
-        except CallerLeft:
+        except CallerDisconnected:
             self.recorder.left(model_request)
             return require(caller.response, "the started response")
         if claim is not None:
@@ -237,7 +237,7 @@
     async def _end_claim(self, claim: Claim, outcome, caller: CallerStream) -> None:
         if isinstance(outcome, NotRun):
             await self.claims.withdraw(claim)
-        elif isinstance(outcome, Ended):
+        elif isinstance(outcome, Completed):
             answer = outcome.answer
             if isinstance(answer, Answered):
                 await self.claims.end(claim, answer.status, answer.content_type, answer.body)
@@ -246,9 +246,12 @@
                 await self.claims.end(claim, 200, "text/event-stream", body)
 
     async def _respond(
-        self, model_request: ModelRequest, outcome: Ended | NotRun | GaveUp, caller: CallerStream
+        self,
+        model_request: ModelRequest,
+        outcome: Completed | NotRun | Failed,
+        caller: CallerStream,
     ) -> web.StreamResponse:
-        if isinstance(outcome, Ended):
+        if isinstance(outcome, Completed):
             answer = outcome.answer
             if isinstance(answer, Answered):
                 return web.Response(
--- a/ferrydock/gateway/_services.py
+++ b/ferrydock/gateway/_services.py
@@ -17,7 +17,7 @@
 from ..logs import log_event
 from ..outcomes import NotRun, Run
 from ..planned_stop import STOPPING_REASON, DaemonStopping
-from ..requests import Answered, Claim, ClaimStore, GaveUp, RequestLifecycle
+from ..requests import Answered, Claim, ClaimStore, Failed, RequestLifecycle
 from ..retry_budget import DEFAULT_RETRY_RATIO, RetryBudget
 from ..table import TableKeeper, Target
 from ._bodies import read_body
@@ -156,7 +156,7 @@
             await self.background_tasks.record(self.claims.withdraw(claim))
         return self._response(outcome, lifecycle.repeatable)
 
-    def _response(self, outcome: Answered | NotRun | GaveUp, repeatable: bool) -> web.Response:
+    def _response(self, outcome: Answered | NotRun | Failed, repeatable: bool) -> web.Response:
         if isinstance(outcome, Answered):
             return web.Response(
                 body=outcome.body,
@@ -169,7 +169,7 @@
 
     async def _call_within_stop_limit(
         self, request: web.Request, target: Target, body: bytes, lifecycle: RequestLifecycle
-    ) -> Answered | NotRun | GaveUp:
+    ) -> Answered | NotRun | Failed:
         """Send the call, with retries, unless the stop limit expires first."""
         try:
             async with self.background_tasks.stop_limit.apply():
@@ -177,11 +177,11 @@
         except DaemonStopping:
             if lifecycle.run is Run.NOT_RUN:
                 return NotRun(STOPPING_REASON)
-            return GaveUp(STOPPING_REASON, Run.UNKNOWN)
+            return Failed(STOPPING_REASON, Run.UNKNOWN)
 
     async def _attempt_until_final(
         self, request: web.Request, target: Target, body: bytes, lifecycle: RequestLifecycle
-    ) -> Answered | NotRun | GaveUp:
+    ) -> Answered | NotRun | Failed:
         """Make attempts until one is answered or no further attempt is allowed."""
         self.budget.first_attempt()
         request_id = uuid.uuid4().hex
@@ -214,7 +214,7 @@
                 break
         if lifecycle.run is Run.NOT_RUN:
             return NotRun("unreachable", f"{target.name} cannot be reached", UNREACHABLE_RETRY_S)
-        return GaveUp("the service did not answer", Run.UNKNOWN)
+        return Failed("the service did not answer", Run.UNKNOWN)
 
     def _choose_url(self, target: Target, tried: set[str]) -> str | None:
         """Return the untried address with the fewest calls in flight from this daemon.
--- a/ferrydock/gateway/_spill.py
+++ b/ferrydock/gateway/_spill.py
@@ -16,7 +16,7 @@
 from ..membership import HallSummary, SharedState
 from ..outcomes import NotRun, Run
 from ..planned_stop import STOPPING_REASON, DaemonStopping, StopLimit
-from ..requests import EventRelay, GaveUp, ModelRequest, error_event
+from ..requests import EventRelay, Failed, ModelRequest, error_event
 from ._errors import error_body, lost_answer_response
 
 __all__ = ["HOP_HEADER", "RemoteHallForwarder"]
@@ -174,4 +174,4 @@
 
 
 def _lost_answer(reason: str, model_request: ModelRequest) -> web.Response:
-    return lost_answer_response(GaveUp(reason, Run.UNKNOWN), model_request.repeatable)
+    return lost_answer_response(Failed(reason, Run.UNKNOWN), model_request.repeatable)
--- a/ferrydock/gateway/_stream_caller.py
+++ b/ferrydock/gateway/_stream_caller.py
@@ -10,7 +10,7 @@
 from ..clock import Clock
 from ..invariants import require
 from ..outcomes import NotRun, Run
-from ..requests import CallerLeft, GaveUp, ModelRequest, error_event
+from ..requests import CallerDisconnected, Failed, ModelRequest, error_event
 from ._errors import error_body
 
 __all__ = ["CallerStream"]
@@ -94,7 +94,7 @@
         """Record that the caller has disconnected; abort the request only if it is repeatable."""
         self.is_disconnected = True
         if self._model_request.repeatable:
-            raise CallerLeft
+            raise CallerDisconnected
 
     def sent_events(self) -> bytes | None:
         """Return all events written, for the record of a claim; None without a key."""
@@ -106,7 +106,7 @@
             await self._started_response().write_eof()
         return self._started_response()
 
-    async def fail(self, outcome: NotRun | GaveUp) -> web.StreamResponse:
+    async def fail(self, outcome: NotRun | Failed) -> web.StreamResponse:
         """End an incomplete stream with an error event."""
         run = Run.UNKNOWN if self.first_event_s is not None else outcome.run
         error = error_body("stream_broken", outcome.reason, run, self._model_request.repeatable)
--- a/ferrydock/reports/_recorder.py
+++ b/ferrydock/reports/_recorder.py
@@ -43,7 +43,7 @@
         ----------
         request : ModelRequest
             The request.
-        outcome : Ended or NotRun or GaveUp
+        outcome : Completed or NotRun or Failed
             Its result.
         first_s : float or None
             Time on the clock at which the first event of a stream was sent to the caller.
--- a/ferrydock/requests/__init__.py
+++ b/ferrydock/requests/__init__.py
@@ -8,7 +8,16 @@
 """
 
 from ._admission import ReplicaGate
-from ._attempt import Answered, Attempt, Broken, Caller, CallerLeft, EngineClient, Refused, Streamed
+from ._attempt import (
+    Answered,
+    Attempt,
+    Broken,
+    Caller,
+    CallerDisconnected,
+    EngineClient,
+    Refused,
+    Streamed,
+)
 from ._claim_writer import (
     GROUP_WAIT_S,
     RELAY_FROM_DAEMONS,
@@ -19,7 +28,7 @@
 )
 from ._claims import Claim, ClaimEnd, ClaimStore, ClaimUnfinished, ClaimUnwritten, claim_key
 from ._events import EventRelay, error_event, text_so_far
-from ._executor import Ended, GaveUp, RequestExecutor
+from ._executor import Completed, Failed, RequestExecutor
 from ._lifecycle import RequestLifecycle, RequestPhase
 from ._model_request import ModelRequest, parse_model_request, prompt_blocks
 
@@ -31,7 +40,7 @@
     "Attempt",
     "Broken",
     "Caller",
-    "CallerLeft",
+    "CallerDisconnected",
     "Claim",
     "ClaimStore",
     "ClaimEnd",
@@ -39,10 +48,10 @@
     "ClaimUnwritten",
     "ClaimWriter",
     "RequestExecutor",
-    "Ended",
+    "Completed",
     "EngineClient",
     "EventRelay",
-    "GaveUp",
+    "Failed",
     "ModelRequest",
     "Refused",
     "RelayingClaimWriter",
--- a/ferrydock/requests/_attempt.py
+++ b/ferrydock/requests/_attempt.py
@@ -23,7 +23,7 @@
     "Attempt",
     "Broken",
     "Caller",
-    "CallerLeft",
+    "CallerDisconnected",
     "EngineClient",
     "Refused",
     "Streamed",
@@ -77,7 +77,7 @@
     reason: str
 
 
-class CallerLeft(Exception):
+class CallerDisconnected(Exception):
     """The caller has closed its connection; raised by `Caller.write`, never by an engine."""
 
 
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -24,12 +24,21 @@
 from ..retry_budget import DEFAULT_RETRY_RATIO, RetryBudget, backoff_s
 from ..routing import Candidate, InFlightRequest, ReplicaLoads
 from ._admission import ReplicaGate
-from ._attempt import Answered, Attempt, Broken, Caller, CallerLeft, EngineClient, Refused, Streamed
+from ._attempt import (
+    Answered,
+    Attempt,
+    Broken,
+    Caller,
+    CallerDisconnected,
+    EngineClient,
+    Refused,
+    Streamed,
+)
 from ._events import EventRelay, text_so_far
 from ._lifecycle import RequestLifecycle
 from ._model_request import ModelRequest
 
-__all__ = ["RequestExecutor", "Ended", "GaveUp"]
+__all__ = ["RequestExecutor", "Completed", "Failed"]
 
 _LOG = logging.getLogger("ferrydock.requests")
 
@@ -57,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class Completed:
     """The request ended with a complete answer, which was or will be sent to the caller."""
 
     answer: Answered | Streamed
@@ -65,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GaveUp:
+class Failed:
     """The request ended without a complete answer; `run` says whether it ran."""
 
     reason: str
@@ -142,7 +151,7 @@
         caller: Caller,
         lifecycle: RequestLifecycle,
         weight: float,
-    ) -> Ended | NotRun | GaveUp:
+    ) -> Completed | NotRun | Failed:
         """Run a request to its end.
 
         Parameters
@@ -158,7 +167,7 @@
 
         Returns
         -------
-        Ended or NotRun or GaveUp
+        Completed or NotRun or Failed
         """
         run = _RequestRun(self, request, caller, lifecycle, weight)
         try:
@@ -166,7 +175,7 @@
                 return await run.run_to_end()
         except DaemonStopping:
             return run.end_by_stop()
-        except (asyncio.CancelledError, CallerLeft):
+        except (asyncio.CancelledError, CallerDisconnected):
             run.cancel_at_engine()
             raise
 
@@ -251,7 +260,7 @@
         self.admitted_s = self.started_s
         self.identity = request_identity("POST", "", request.path, request.team, request.body)
 
-    async def run_to_end(self) -> Ended | NotRun | GaveUp:
+    async def run_to_end(self) -> Completed | NotRun | Failed:
         """Make attempts until one gives a complete answer or no further attempt is allowed."""
         retry_after_s = self.executor.crashes.admit(self.identity)
         if retry_after_s > 0:
@@ -282,7 +291,7 @@
                 )
                 await self._check_for_crash(chosen.replica, sent_s)
                 if self.executor.crashes.was_detected_since(self.identity, self.admitted_s):
-                    return GaveUp(CRASHES_TARGETS, self.lifecycle.fail())
+                    return Failed(CRASHES_TARGETS, self.lifecycle.fail())
             final_outcome = await self._prepare_retry(outcome)
             if final_outcome is not None:
                 return final_outcome
@@ -306,18 +315,18 @@
             wait_s = max(wait_s, MIN_CONTINUATION_WAIT_S)
         return await self.executor.gate.choose(self.request, self.excluded, self.weight, wait_s)
 
-    def _end_without_replica(self, refusal: NotRun) -> NotRun | GaveUp:
+    def _end_without_replica(self, refusal: NotRun) -> NotRun | Failed:
         run = self.lifecycle.fail()
         if run is Run.NOT_RUN and not self.relay.events:
             return refusal
-        return GaveUp(f"lost contact, and then {refusal.reason}", Run.UNKNOWN)
+        return Failed(f"lost contact, and then {refusal.reason}", Run.UNKNOWN)
 
-    def end_by_stop(self) -> NotRun | GaveUp:
+    def end_by_stop(self) -> NotRun | Failed:
         """End a request that still runs at the time limit of the daemon's stop."""
         if self.lifecycle.fail() is Run.NOT_RUN and not self.relay.events:
             return NotRun(STOPPING_REASON)
         self.cancel_at_engine()
-        return GaveUp(STOPPING_REASON, Run.UNKNOWN)
+        return Failed(STOPPING_REASON, Run.UNKNOWN)
 
     # One attempt --------------------------------------------------------------------------
 
@@ -369,12 +378,12 @@
         finally:
             executor.unwatch_attempt(watched)
 
-    def _record_success(self, outcome: Answered | Streamed, chosen: Candidate) -> Ended:
+    def _record_success(self, outcome: Answered | Streamed, chosen: Candidate) -> Completed:
         self.lifecycle.finish()
         self.executor.crashes.note_answer(self.identity)
         took_s = self.executor.clock.now_s() - self.started_s
         self.executor.gate.update_service_time(self.request.model, took_s)
-        return Ended(outcome, chosen.replica.replica_id)
+        return Completed(outcome, chosen.replica.replica_id)
 
     def _undo_dispatch(self, refused: Refused, chosen: Candidate) -> None:
         self.lifecycle.undo_dispatch()
@@ -384,7 +393,7 @@
                 chosen.replica.replica_id, chosen.replica.generation
             )
 
-    async def _prepare_retry(self, outcome: Refused | Broken) -> NotRun | GaveUp | None:
+    async def _prepare_retry(self, outcome: Refused | Broken) -> NotRun | Failed | None:
         """Return the final outcome, or None once another attempt may begin.
 
         No further attempt is made if the request may have run and must not run twice, if the caller
@@ -393,9 +402,9 @@
         on, a back-off with jitter precedes the retry.
         """
         if not self.lifecycle.may_run_again:
-            return GaveUp(outcome.reason, self.lifecycle.fail())
+            return Failed(outcome.reason, self.lifecycle.fail())
         if isinstance(outcome, Broken) and self.relay.events and not self._prepare_continuation():
-            return GaveUp(outcome.reason, self.lifecycle.fail())
+            return Failed(outcome.reason, self.lifecycle.fail())
         deadline_passed = self.executor.clock.now_s() >= self.request.deadline_s
         if deadline_passed or self.attempts >= MAX_ATTEMPTS or not self.executor.budget.spend():
             run = self.lifecycle.fail()
@@ -404,7 +413,7 @@
                     self.request.model, self.request.priority
                 )
                 return NotRun("refused_by_target", outcome.reason, retry_after_s)
-            return GaveUp(outcome.reason, run)
+            return Failed(outcome.reason, run)
         if isinstance(outcome, Broken) or self.attempts > 1:
             await asyncio.sleep(backoff_s(self.attempts, self.executor.random_source))
         return None
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -10,7 +10,7 @@
 from ...engines import EngineControl
 from ...outcomes import NotRun
 from ...planned_stop import StopLimit
-from .. import Answered, GaveUp, ModelRequest, RequestExecutor, RequestLifecycle
+from .. import Answered, Failed, ModelRequest, RequestExecutor, RequestLifecycle
 from .._attempt import Broken
 
 
@@ -97,14 +97,14 @@
         engines = Engines(closed_port)
         executor = make_executor(engines)
         outcome = await run(executor)
-        assert isinstance(outcome, GaveUp) and outcome.reason == "crashes_targets"
+        assert isinstance(outcome, Failed) and outcome.reason == "crashes_targets"
         assert engines.sent == 3
         refused = await run(executor)
         assert isinstance(refused, NotRun) and refused.reason == "crashes_targets"
         assert 50 < refused.retry_after_s <= 60
         assert engines.sent == 3
         engines.answers = True
-        assert not isinstance(await run(executor, body=b"other"), NotRun | GaveUp)
+        assert not isinstance(await run(executor, body=b"other"), NotRun | Failed)
         await executor.close()
 
     asyncio.run(check())
@@ -115,7 +115,7 @@
         engines = Engines(closed_port)
         executor = make_executor(engines)
         for _ in range(3):
-            assert isinstance(await run(executor, repeatable=False), GaveUp)
+            assert isinstance(await run(executor, repeatable=False), Failed)
         assert isinstance(await run(executor, repeatable=False), NotRun)
         assert engines.sent == 3
         await executor.close()
@@ -130,7 +130,7 @@
         executor = make_executor(engines)
         for _ in range(2):
             outcome = await run(executor)
-            assert isinstance(outcome, GaveUp) and outcome.reason == "reset"
+            assert isinstance(outcome, Failed) and outcome.reason == "reset"
         assert executor.crashes.record_count == 0
         server.close()
         await executor.close()
