--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -96,7 +96,7 @@
         await book.end(claim, 200, "text/plain", b"x")
 
     await asyncio.gather(*(one(number) for number in range(count)))
-    return writer.groups / count * 1000
+    return writer.transaction_count / count * 1000
 
 
 def main() -> int:
--- a/ferrydock/gateway/_spill.py
+++ b/ferrydock/gateway/_spill.py
@@ -165,8 +165,8 @@
         except DaemonStopping:
             reason = STOPPING_REASON
         except (aiohttp.ClientPayloadError, TimeoutError):
-            relay.whole = False
-        if not relay.whole:
+            relay.complete = False
+        if not relay.complete:
             error = error_body("stream_broken", reason, Run.UNKNOWN, False)
             await answer.write(error_event(error))
         await answer.write_eof()
--- a/ferrydock/gateway/_stream_caller.py
+++ b/ferrydock/gateway/_stream_caller.py
@@ -36,7 +36,7 @@
         "clock",
         "first_event_s",
         "is_disconnected",
-        "on_first",
+        "on_first_event",
         "response",
     )
 
@@ -47,7 +47,7 @@
         self.clock = clock
         self.first_event_s: float | None = None
         self.is_disconnected = False
-        self.on_first: Callable[[], None] | None = None
+        self.on_first_event: Callable[[], None] | None = None
         self.response: web.StreamResponse | None = None
 
     @property
@@ -73,8 +73,8 @@
 
     async def write(self, events: bytes) -> None:
         """Send complete events."""
-        if self.on_first is not None:
-            self._report_first_event(self.on_first)
+        if self.on_first_event is not None:
+            self._report_first_event(self.on_first_event)
         if self._recorded_events is not None:
             self._recorded_events.append(events)
         if self.is_disconnected:
@@ -84,9 +84,9 @@
         except ConnectionError:
             self._on_disconnect()
 
-    def _report_first_event(self, on_first: Callable[[], None]) -> None:
-        self.on_first = None
-        on_first()
+    def _report_first_event(self, on_first_event: Callable[[], None]) -> None:
+        self.on_first_event = None
+        on_first_event()
         if self.first_event_s is None:
             self.first_event_s = self.clock.now_s()
 
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -36,7 +36,7 @@
 from ..reports import Recorder, make_statsd
 from ..requests import (
     GROUP_WAIT_S,
-    RELAY_FROM_DAEMONS,
+    MIN_RELAYING_DAEMONS,
     RELAYED_WAIT_S,
     ClaimStore,
     ClaimWriter,
@@ -324,7 +324,7 @@
     def _claim_writer_address(self) -> str | None:
         """Return the address of the daemon that writes this hall's claims; None if this one."""
         active_members = self.state.members.working()
-        if len(active_members) < RELAY_FROM_DAEMONS:
+        if len(active_members) < MIN_RELAYING_DAEMONS:
             self.claim_writer.wait_s = GROUP_WAIT_S
             return None
         self.claim_writer.wait_s = RELAYED_WAIT_S
--- a/ferrydock/node/_rounds.py
+++ b/ferrydock/node/_rounds.py
@@ -92,12 +92,12 @@
         """Start all loops."""
         node = self.node
         self._spawn(node.gossip.run())
-        self._spawn(node.executor.watch())
+        self._spawn(node.executor.watch_replicas())
         self._spawn(self._watch_store())
         self._spawn(self._run_every(CONTROL_INTERVAL_S, self._run_controller))
         self._spawn(self._run_probes())
         self._spawn(self._run_every(LIMIT_INTERVAL_S, self._update_limits))
-        self._spawn(self._run_every(CLAIM_CLEANUP_S, node.claims.tidy))
+        self._spawn(self._run_every(CLAIM_CLEANUP_S, node.claims.remove_abandoned))
         self._spawn(self._run_every(WEIGHT_RATE_POLL_S, self._poll_weight_rate))
         self._spawn(self._poll_cache_events())
         self._spawn(self._run_every(GAUGE_INTERVAL_S, self._send_gauges))
--- a/ferrydock/node/_status.py
+++ b/ferrydock/node/_status.py
@@ -123,7 +123,7 @@
         "orders": node.controller.counters.orders,
         "orders_refused": node.controller.counters.refused_orders,
         "record_writes": node.controller.counters.writes,
-        "claim_writes": node.claim_writer.groups,
+        "claim_writes": node.claim_writer.transaction_count,
         "retries": node.executor.budget.spent,
         "in_flight": node.gateway.in_flight,
         "box_list_reads": node.observer.list_read_count,
--- a/ferrydock/requests/__init__.py
+++ b/ferrydock/requests/__init__.py
@@ -20,7 +20,7 @@
 )
 from ._claim_writer import (
     GROUP_WAIT_S,
-    RELAY_FROM_DAEMONS,
+    MIN_RELAYING_DAEMONS,
     RELAYED_WAIT_S,
     ClaimWriter,
     RelayingClaimWriter,
@@ -35,7 +35,7 @@
 __all__ = [
     "GROUP_WAIT_S",
     "RELAYED_WAIT_S",
-    "RELAY_FROM_DAEMONS",
+    "MIN_RELAYING_DAEMONS",
     "Answered",
     "Attempt",
     "Broken",
--- a/ferrydock/requests/_attempt.py
+++ b/ferrydock/requests/_attempt.py
@@ -86,11 +86,11 @@
 
     Attributes
     ----------
-    on_first : callable or None
+    on_first_event : callable or None
         Called at the first event of each attempt.
     """
 
-    on_first: Callable[[], None] | None
+    on_first_event: Callable[[], None] | None
 
     async def begin(self) -> None:
         """Send the response headers unless they were sent before."""
@@ -253,7 +253,7 @@
             relay.drop_incomplete_event()
             return Broken(f"the stream broke: {type(error).__name__}")
         relay.drop_incomplete_event()
-        if relay.whole:
+        if relay.complete:
             response.release()
             return Streamed(relay.events)
         return Broken("the stream ended without its terminal marker")
--- a/ferrydock/requests/_claim_writer.py
+++ b/ferrydock/requests/_claim_writer.py
@@ -18,7 +18,7 @@
 __all__ = [
     "GROUP_WAIT_S",
     "RELAYED_WAIT_S",
-    "RELAY_FROM_DAEMONS",
+    "MIN_RELAYING_DAEMONS",
     "ClaimWriter",
     "RelayingClaimWriter",
     "WritesClaims",
@@ -33,7 +33,7 @@
 RELAYED_WAIT_S = 0.02
 
 # Number of daemons in a hall from which on one of them writes the claims of all.
-RELAY_FROM_DAEMONS = 4
+MIN_RELAYING_DAEMONS = 4
 
 Outcome = TxnDone | Unavailable | Unknown
 
@@ -68,12 +68,12 @@
     Each claim is a nested transaction of the shared one and depends only on its own condition.
     """
 
-    __slots__ = ("_flush_task", "_pending", "groups", "store", "wait_s")
+    __slots__ = ("_flush_task", "_pending", "transaction_count", "store", "wait_s")
 
     def __init__(self, store: Store, wait_s: float = GROUP_WAIT_S):
         self.store = store
         self.wait_s = wait_s
-        self.groups = 0
+        self.transaction_count = 0
         self._pending: deque[_PendingWrite] = deque()
         self._flush_task: asyncio.Task | None = None
 
@@ -91,7 +91,7 @@
         while self._pending:
             count = min(MAX_GROUP_CLAIMS, len(self._pending))
             group = [self._pending.popleft() for _ in range(count)]
-            self.groups += 1
+            self.transaction_count += 1
             done = await self.store.transact(Txn((), tuple(p.txn for p in group)))
             for index, pending in enumerate(group):
                 outcome = done.nested[index] if isinstance(done, TxnDone) else done
@@ -118,7 +118,7 @@
     different writers do no harm.
     """
 
-    __slots__ = ("choose", "own", "relayed", "send")
+    __slots__ = ("choose", "own", "relayed_count", "send")
 
     def __init__(
         self,
@@ -129,13 +129,13 @@
         self.own = own
         self.choose = choose
         self.send = send
-        self.relayed = 0
+        self.relayed_count = 0
 
     async def write(self, txn: Txn) -> Outcome:
         """Apply one claim's transaction through the hall's writer, or directly if unavailable."""
         address = self.choose()
         if address is not None:
-            self.relayed += 1
+            self.relayed_count += 1
             outcome = await self.send(address, txn)
             if not isinstance(outcome, Unavailable):
                 return outcome
--- a/ferrydock/requests/_claims.py
+++ b/ferrydock/requests/_claims.py
@@ -230,7 +230,7 @@
         self._abandoned[claim.key] = (claim.nonce, self.clock.now_s())
         return False
 
-    async def tidy(self) -> None:
+    async def remove_abandoned(self) -> None:
         """Remove abandoned claims from the store whose write arrived after all."""
         now_s = self.clock.now_s()
         for store_key, (nonce, abandoned_s) in list(self._abandoned.items()):
--- a/ferrydock/requests/_events.py
+++ b/ferrydock/requests/_events.py
@@ -32,7 +32,7 @@
     >>> relay = EventRelay(keep=False)
     >>> relay.feed(b"data: 1\\n\\ndata: 2")
     b'data: 1\\n\\n'
-    >>> relay.feed(b"\\n\\ndata: [DONE]\\n\\n"), relay.events, relay.whole
+    >>> relay.feed(b"\\n\\ndata: [DONE]\\n\\n"), relay.events, relay.complete
     (b'data: 2\\n\\ndata: [DONE]\\n\\n', 3, True)
     """
 
@@ -43,12 +43,12 @@
         "_incomplete",
         "_events_before_run",
         "keep",
-        "whole",
+        "complete",
     )
 
     def __init__(self, keep: bool):
         self.keep = keep
-        self.whole = False
+        self.complete = False
         self._counted = 0
         self._kept = b""
         self._recent: list[bytes] = []
@@ -65,7 +65,7 @@
         if len(self._recent) >= MAX_RECENT_CHUNKS:
             self._count_recent()
         if chunk.endswith(DONE_EVENT):
-            self.whole = True
+            self.complete = True
         return chunk
 
     def _take_complete(self, chunk: bytes) -> bytes:
--- a/ferrydock/requests/_executor.py
+++ b/ferrydock/requests/_executor.py
@@ -181,7 +181,7 @@
 
     # Abandoning attempts ------------------------------------------------------------------
 
-    async def watch(self) -> None:
+    async def watch_replicas(self) -> None:
         """Periodically abandon attempts whose replica has been incomplete for too long."""
         while True:
             await asyncio.sleep(REPLICA_CHECK_INTERVAL_S)
@@ -338,7 +338,7 @@
         in_flight = executor.loads.note_sent(
             chosen.replica, self.request.blocks, executor.clock.now_s()
         )
-        self.caller.on_first = lambda: self._note_first_event(in_flight)
+        self.caller.on_first_event = lambda: self._note_first_event(in_flight)
         try:
             self.lifecycle.dispatch()
             outcome = await self._send(chosen.replica, resume=False)
--- a/ferrydock/requests/tests/test_crashing_requests.py
+++ b/ferrydock/requests/tests/test_crashing_requests.py
@@ -73,7 +73,7 @@
 async def run(executor, **options):
     request = make_request(**options)
     lifecycle = RequestLifecycle(request.repeatable)
-    return await executor.run(request, SimpleNamespace(on_first=None), lifecycle, 1.0)
+    return await executor.run(request, SimpleNamespace(on_first_event=None), lifecycle, 1.0)
 
 
 @pytest.fixture
--- a/ferrydock/requests/tests/test_life_and_claims.py
+++ b/ferrydock/requests/tests/test_life_and_claims.py
@@ -108,7 +108,7 @@
         relayed += ready
         offset += size
     assert relayed == whole
-    assert relay.whole
+    assert relay.complete
     assert relay.events == count + 1
     assert relay.relayed() == whole
     assert text_so_far(whole) == "".join(f"t{i} " for i in range(count))
@@ -119,13 +119,13 @@
     relay.feed(stream(2)[:70])
     relay.drop_incomplete_event()
     assert relay.events == 1
-    assert not relay.whole
+    assert not relay.complete
 
 
 def test_an_error_event_does_not_complete_a_stream():
     relay = EventRelay(keep=False)
     relay.feed(error_event({"message": "gone"}))
-    assert not relay.whole
+    assert not relay.complete
 
 
 # Claims ---------------------------------------------------------------------------------------
@@ -190,7 +190,7 @@
         store.lose_writes = 0
         await store.deliver_late()
         assert isinstance(await make_claim_store(store).open("t", "k", 9.0), ClaimUnfinished)
-        await own_store.tidy()
+        await own_store.remove_abandoned()
         assert isinstance(await make_claim_store(store).open("t", "k", 9.0), Claim)
 
     run(check)
@@ -202,7 +202,7 @@
         own_store = make_claim_store(store)
         found = await asyncio.gather(*(own_store.open("t", f"k{i}", 9.0) for i in range(40)))
         assert all(isinstance(f, Claim) for f in found)
-        assert own_store.writer.groups <= 2
+        assert own_store.writer.transaction_count <= 2
 
     run(check)
 
@@ -226,7 +226,7 @@
             *(b.open("t", f"k{i}", 9.0) for i, b in enumerate(claim_stores))
         )
         assert all(isinstance(f, Claim) for f in found)
-        assert hall_writer.groups <= 3
+        assert hall_writer.transaction_count <= 3
         ended = await asyncio.gather(
             *(b.end(f, 200, "text/plain", b"x") for b, f in zip(claim_stores, found, strict=True))
         )
