--- a/ferrydock/gateway/tests/test_planned_stop.py
+++ b/ferrydock/gateway/tests/test_planned_stop.py
@@ -176,7 +176,7 @@
     then on a kept connection and sent to an engine would be cut without an error event when the
     server shuts down.
     """
-    original_leave = Gossip.leave
+    original_leave = Gossip.announce_leaving
 
     async def check():
         async with hall_to_stop() as (site, node):
@@ -190,7 +190,7 @@
                 await until(lambda: node.gateway.in_flight or kept.reader.at_eof(), LIMIT_S)
                 await original_leave(gossip)
 
-            monkeypatch.setattr(Gossip, "leave", delayed_leave)
+            monkeypatch.setattr(Gossip, "announce_leaving", delayed_leave)
             await node.stop()
             answer = b""
             with contextlib.suppress(ConnectionError):
--- a/ferrydock/membership/_exchange.py
+++ b/ferrydock/membership/_exchange.py
@@ -122,7 +122,7 @@
         State that is sent to peers and updated from them.
     clock : Clock
         Converts ages to times.
-    on_needs : callable
+    on_newer_data : callable
         Called with the name of a peer and what it has newer than this daemon.
     """
 
@@ -131,17 +131,17 @@
         "clock",
         "on_burn",
         "on_claim",
-        "on_needs",
+        "on_newer_data",
         "port",
         "received_bytes",
         "sent_bytes",
         "state",
     )
 
-    def __init__(self, state: SharedState, clock: Clock, on_needs):
+    def __init__(self, state: SharedState, clock: Clock, on_newer_data):
         self.state = state
         self.clock = clock
-        self.on_needs = on_needs
+        self.on_newer_data = on_newer_data
         self.on_claim: Callable[[Txn], Awaitable[TxnDone | Unavailable | Unknown]] | None = None
         self.on_burn: Callable[[int, bool], Awaitable[BurnReply]] | None = None
         self.port = 0
@@ -190,7 +190,7 @@
         known_before = self.state.members.get(digest.sender) is not None
         newer_data = apply_digest(self.state, digest, now_s, CALL_TIMEOUT_S / 2)
         if newer_data.table or newer_data.placement:
-            self.on_needs(digest.sender, newer_data)
+            self.on_newer_data(digest.sender, newer_data)
         everything = digest.wants_all or not known_before
         reply = build_digest(self.state, now_s, digest.hall, everything)
         reply.wants_all = not known_before
@@ -248,7 +248,9 @@
         self.received_bytes = 0
         self._channels: dict[str, grpc.aio.Channel] = {}
 
-    async def tell(self, address: str, hall: str, wants_all: bool) -> DigestReply | Unavailable:
+    async def exchange_digests(
+        self, address: str, hall: str, wants_all: bool
+    ) -> DigestReply | Unavailable:
         """Exchange digests with the daemon at `address`; return its name, hall and newer data."""
         digest = build_digest(self.state, self.clock.now_s(), hall, wants_all)
         digest.wants_all = wants_all
--- a/ferrydock/membership/_gossip.py
+++ b/ferrydock/membership/_gossip.py
@@ -147,7 +147,7 @@
 
     async def _exchange_with(self, peer: DaemonInfo) -> None:
         wants_all = self._rounds % FULL_DIGEST_ROUNDS == 0
-        outcome = await self.client.tell(peer.peer_address, self.state.hall, wants_all)
+        outcome = await self.client.exchange_digests(peer.peer_address, self.state.hall, wants_all)
         now_s = self.clock.now_s()
         if isinstance(outcome, Unavailable):
             await self._record_failure(peer, now_s)
@@ -178,7 +178,7 @@
     async def _exchange_with_address(self, address: str) -> None:
         """Exchange digests with an address whose daemon may be unknown."""
         hall = self.outside.get(address, "")
-        outcome = await self.client.tell(address, hall, wants_all=not hall)
+        outcome = await self.client.exchange_digests(address, hall, wants_all=not hall)
         if isinstance(outcome, Unavailable):
             return
         self._seed_names[address] = outcome.name
@@ -207,7 +207,7 @@
 
     # Pulls --------------------------------------------------------------------------------
 
-    def on_needs(self, sender: str, newer_data: NewerData) -> None:
+    def pull_from(self, sender: str, newer_data: NewerData) -> None:
         """Pull from a daemon whose digest shows newer data than this one has."""
         member = self.state.members.get(sender)
         if member is not None:
@@ -243,13 +243,13 @@
     async def _pull_table(self, address: str) -> None:
         outcome = await self.client.pull_table(address)
         if outcome is Offer.TAKEN:
-            self.spread()
+            self.push_update()
 
     async def _pull_placement(self, address: str) -> None:
         if await self.client.pull_placement(address) is True:
-            self.spread()
+            self.push_update()
 
-    def spread(self) -> None:
+    def push_update(self) -> None:
         """Exchange digests with a few random peers at once, to spread an update."""
         others = [m for m in self.state.members.live() if m.name != self.state.members.own.name]
         for peer in self.random_source.sample(others, min(URGENT_PEERS, len(others))):
@@ -257,7 +257,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def leave(self) -> None:
+    async def announce_leaving(self) -> None:
         """Announce to a few random peers that this daemon leaves, at the end of a planned stop."""
         now_s = self.clock.now_s()
         members = self.state.members
--- a/ferrydock/membership/tests/test_membership.py
+++ b/ferrydock/membership/tests/test_membership.py
@@ -90,7 +90,7 @@
 class FailingClient:
     """A client whose calls all fail."""
 
-    async def tell(self, address, hall, wants_all):
+    async def exchange_digests(self, address, hall, wants_all):
         return Unavailable("nobody there")
 
     async def forget(self, address):
@@ -251,7 +251,7 @@
         port = await server.start("127.0.0.1:0")
         client = ExchangeClient(new, clock)
         address = f"127.0.0.1:{port}"
-        reply = await client.tell(address, "hall-a", True)
+        reply = await client.exchange_digests(address, "hall-a", True)
         assert (reply.name, reply.hall) == ("a", "hall-a")
         assert (reply.newer_data.table, reply.newer_data.placement) == (True, True)
         await client.pull_table(address)
@@ -264,6 +264,8 @@
         assert await client.pull_placement(address) is True
         await client.close()
         await server.close()
-        assert isinstance(await ExchangeClient(new, clock).tell(address, "", True), Unavailable)
+        assert isinstance(
+            await ExchangeClient(new, clock).exchange_digests(address, "", True), Unavailable
+        )
 
     asyncio.run(check())
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -142,7 +142,7 @@
         self.gossip = Gossip(
             self.state, self.exchange_client, clock, self.random_source, settings.peers
         )
-        self.exchange_server = ExchangeServer(self.state, clock, self.gossip.on_needs)
+        self.exchange_server = ExchangeServer(self.state, clock, self.gossip.pull_from)
         self._create_request_components()
 
     def _create_request_components(self) -> None:
@@ -200,7 +200,7 @@
             authenticator=self.authenticator,
             get_status=lambda: status_fields(self),
             get_burn=lambda query: burn_fields(self, query),
-            on_edit=self.gossip.spread,
+            on_edit=self.gossip.push_update,
             clock=clock,
             stop_limit=self.stop_limit,
         )
@@ -274,7 +274,7 @@
             lambda: self.background_tasks.count,
         )
         await self._end_requests()
-        await self.gossip.leave()
+        await self.gossip.announce_leaving()
         await self._close_components()
 
     async def close(self) -> None:
@@ -339,7 +339,7 @@
 
     def _publish(self, placement: HallPlacement) -> None:
         if self.state.offer_placement(placement):
-            self.gossip.spread()
+            self.gossip.push_update()
 
     def _on_placement(self, placement: HallPlacement) -> None:
         self.controller.adopt_record(placement)
--- a/ferrydock/node/tests/test_tls.py
+++ b/ferrydock/node/tests/test_tls.py
@@ -95,7 +95,7 @@
         async def send_digest(name, security):
             client = ExchangeClient(state(name), clock, security)
             for _ in range(10):
-                outcome = await client.tell(address, "hall-a", True)
+                outcome = await client.exchange_digests(address, "hall-a", True)
                 if not isinstance(outcome, Unavailable):
                     break
             await client.close()
