--- a/ferrydock/membership/__init__.py
+++ b/ferrydock/membership/__init__.py
@@ -4,7 +4,7 @@
 from ._digest import NewerData, apply_digest, build_digest
 from ._exchange import ExchangeClient, ExchangeServer, PeerSecurity
 from ._gossip import Gossip
-from ._members import DaemonInfo, MemberStatus, MemberTable, Responsibilities, rendezvous_rank
+from ._members import DaemonInfo, MemberStatus, MemberTable, RendezvousCache, rendezvous_rank
 from ._state import (
     Contact,
     ControllerUpdate,
@@ -30,7 +30,7 @@
     "ModelLoad",
     "NewerData",
     "PeerSecurity",
-    "Responsibilities",
+    "RendezvousCache",
     "SharedState",
     "apply_digest",
     "build_digest",
--- a/ferrydock/membership/_digest.py
+++ b/ferrydock/membership/_digest.py
@@ -47,7 +47,7 @@
     if to_hall == own.hall:
         _pack_hall_state(digest, state, now_s, everything)
     else:
-        _pack_hall(digest.halls.add(), state.own_summary(now_s), now_s)
+        _pack_hall(digest.halls.add(), state.summarize_hall(now_s), now_s)
     for summary in state.summaries_to_send(now_s, to_hall, everything):
         _pack_hall(digest.halls.add(), summary, now_s)
     return digest
@@ -55,7 +55,7 @@
 
 def _pack_hall_state(digest: Digest, state: SharedState, now_s: float, everything: bool) -> None:
     members = state.members
-    for info in members.everyone() if everything else members.recent_changes(now_s):
+    for info in members.all_members() if everything else members.recent_changes(now_s):
         _pack_member(digest.members.add(), info)
     digest.member_set = members.live_set_hash()
     members.record_revision(members.own.name, state.keeper.revision)
--- a/ferrydock/membership/_gossip.py
+++ b/ferrydock/membership/_gossip.py
@@ -187,7 +187,7 @@
         self._pull_missing(address, outcome.newer_data)
 
     def _is_bridge(self) -> bool:
-        ranked = rendezvous_rank(self.state.members.working(), "bridge/" + self.state.hall)
+        ranked = rendezvous_rank(self.state.members.available_names(), "bridge/" + self.state.hall)
         return self.state.members.own.name in ranked[:BRIDGES_PER_HALL]
 
     def _remote_contacts(self, now_s: float) -> list[str]:
@@ -261,7 +261,7 @@
         """Announce to a few random peers that this daemon leaves, at the end of a planned stop."""
         now_s = self.clock.now_s()
         members = self.state.members
-        members.change_own(now_s, status=MemberStatus.LEFT, stopping=True)
+        members.update_own_record(now_s, status=MemberStatus.LEFT, stopping=True)
         others = [m for m in members.live() if m.name != members.own.name]
         chosen = self.random_source.sample(others, min(URGENT_PEERS, len(others)))
         await asyncio.gather(*(self._exchange_with(peer) for peer in chosen))
--- a/ferrydock/membership/_members.py
+++ b/ferrydock/membership/_members.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-__all__ = ["DaemonInfo", "MemberStatus", "MemberTable", "Responsibilities", "rendezvous_rank"]
+__all__ = ["DaemonInfo", "MemberStatus", "MemberTable", "RendezvousCache", "rendezvous_rank"]
 
 SUSPICION_S = 3.0
 TOMBSTONE_S = 120.0
@@ -87,7 +87,7 @@
     return sorted(names, key=lambda name: _rendezvous_weight(name, key), reverse=True)
 
 
-class Responsibilities:
+class RendezvousCache:
     """Cache of rendezvous orders, valid while the names stay the same.
 
     In a hall of 76 daemons, ordering all names for each of 36 replicas twice a second would take
@@ -129,7 +129,7 @@
         "_members",
         "_revisions",
         "_suspected_since_s",
-        "_working",
+        "_available_names",
         "own",
     )
 
@@ -140,7 +140,7 @@
         self._suspected_since_s: dict[str, float] = {}
         self._revisions: dict[str, int] = {}
         self._live: list[DaemonInfo] | None = None
-        self._working: list[str] | None = None
+        self._available_names: list[str] | None = None
 
     def merge(self, info: DaemonInfo, now_s: float) -> bool:
         """Merge a record of a daemon; return whether it changed the table."""
@@ -159,10 +159,10 @@
     def _refute(self, info: DaemonInfo, now_s: float) -> bool:
         if info.status is MemberStatus.ALIVE or info.incarnation < self.own.incarnation:
             return False
-        self.change_own(now_s, incarnation=info.incarnation + 1)
+        self.update_own_record(now_s, incarnation=info.incarnation + 1)
         return True
 
-    def change_own(self, now_s: float, **fields) -> None:
+    def update_own_record(self, now_s: float, **fields) -> None:
         """Change fields of this daemon's own record."""
         self.own = replace(self.own, update=self.own.update + 1, **fields)
         self._update_record(self.own, now_s)
@@ -170,7 +170,7 @@
     def _update_record(self, info: DaemonInfo, now_s: float) -> None:
         self._members[info.name] = info
         self._live = None
-        self._working = None
+        self._available_names = None
         self._changed_at_s[info.name] = now_s
         if info.status is MemberStatus.SUSPECT:
             self._suspected_since_s[info.name] = now_s
@@ -215,7 +215,7 @@
         """Return the record of a daemon, or None."""
         return self._members.get(name)
 
-    def everyone(self) -> tuple[DaemonInfo, ...]:
+    def all_members(self) -> tuple[DaemonInfo, ...]:
         """Return the records of all known daemons, tombstones included."""
         return tuple(self._members.values())
 
@@ -227,12 +227,12 @@
             self._live = sorted(found, key=lambda m: m.name)
         return self._live
 
-    def working(self) -> list[str]:
+    def available_names(self) -> list[str]:
         """Return the sorted names of the daemons that may take tasks: alive and not stopping."""
-        if self._working is None:
+        if self._available_names is None:
             alive = [m for m in self.live() if m.status is MemberStatus.ALIVE]
-            self._working = [m.name for m in alive if not m.stopping]
-        return self._working
+            self._available_names = [m.name for m in alive if not m.stopping]
+        return self._available_names
 
     def recent_changes(self, now_s: float) -> tuple[DaemonInfo, ...]:
         """Return the records that changed within the last `RECENT_CHANGE_S` seconds."""
--- a/ferrydock/membership/_state.py
+++ b/ferrydock/membership/_state.py
@@ -161,7 +161,7 @@
         """Hall of this daemon."""
         return self.members.own.hall
 
-    def listen_placement(self, listener) -> None:
+    def add_placement_listener(self, listener) -> None:
         """Register a listener that is called with each newer placement record."""
         self._placement_listeners.append(listener)
 
@@ -237,7 +237,7 @@
             if now_s - demand.made_s > DEMAND_TTL_S:
                 del self.demands[name]
 
-    def own_summary(self, now_s: float) -> HallSummary:
+    def summarize_hall(self, now_s: float) -> HallSummary:
         """Return the summary of this daemon's hall for the other halls."""
         live = self.members.live()
         revisions = {m.name: self.members.revision_of(m.name) for m in live}
--- a/ferrydock/membership/tests/test_membership.py
+++ b/ferrydock/membership/tests/test_membership.py
@@ -21,7 +21,7 @@
     Gossip,
     MemberStatus,
     MemberTable,
-    Responsibilities,
+    RendezvousCache,
     SharedState,
     apply_digest,
     build_digest,
@@ -43,17 +43,17 @@
     table.merge(daemon_info("b"), 0.0)
     table.suspect("b", 1.0)
     assert [m.name for m in table.live()] == ["a", "b"]
-    assert table.working() == ["a"]
+    assert table.available_names() == ["a"]
     suspicion = table.get("b")
     assert other.merge(suspicion, 1.5)
     assert other.own.incarnation == 2
     assert table.merge(other.own, 2.0)
     assert table.tick(60.0) == []
-    assert table.working() == ["a", "b"]
+    assert table.available_names() == ["a", "b"]
 
 
 def test_cached_responsibilities_follow_the_names():
-    known, source = Responsibilities(), random.Random(4)
+    known, source = RendezvousCache(), random.Random(4)
     for _ in range(200):
         names = sorted(source.sample("abcdefgh", source.randint(1, 8)))
         key = f"replica-{source.randrange(5)}"
--- a/ferrydock/node/_burn_report.py
+++ b/ferrydock/node/_burn_report.py
@@ -46,7 +46,7 @@
 def _hall_rows(node, daemons) -> list[dict]:
     """Return replica downtime and stranded boxes by hall, as observed by the halls' controllers."""
     now_s = node.clock.now_s()
-    summaries = [node.state.own_summary(now_s), *node.state.halls.values()]
+    summaries = [node.state.summarize_hall(now_s), *node.state.halls.values()]
     hall_rows = []
     for summary in sorted(summaries, key=lambda s: s.hall):
         hall_daemons = [d for d in daemons if d.hall == summary.hall]
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -118,7 +118,7 @@
         self.keeper = TableKeeper(self._on_table)
         self.attestations = Attestations(ttl_s=2.0)
         self.state = SharedState(own_info, self.keeper, self.attestations, self.random_source)
-        self.state.listen_placement(self._on_placement)
+        self.state.add_placement_listener(self._on_placement)
         self.repository = TableRepository(store, clock, self.random_source)
         self.watcher = TableWatcher(self.repository, self.keeper, clock)
         self.control = make_engine_control(settings.engine)
@@ -230,7 +230,7 @@
         address = await self.gateway.start(settings.listen, tls)
         scheme = "https" if tls is not None else "http"
         outside_address = settings.outside_advertise
-        self.state.members.change_own(
+        self.state.members.update_own_record(
             self.clock.now_s(),
             peer_address=settings.peer_advertise or peer_address,
             url=f"{scheme}://{settings.advertise or address}",
@@ -261,7 +261,7 @@
         listeners: list[StoppingListener] = [self.gateway, self.table_routes.gateway]
         for listener in listeners:
             listener.announce_stop()
-        self.state.members.change_own(self.clock.now_s(), stopping=True)
+        self.state.members.update_own_record(self.clock.now_s(), stopping=True)
         await self.controller.step_down()
         time_limit_s = None
         if settings.stop_longest_s is not None:
@@ -323,7 +323,7 @@
 
     def _claim_writer_address(self) -> str | None:
         """Return the address of the daemon that writes this hall's claims; None if this one."""
-        active_members = self.state.members.working()
+        active_members = self.state.members.available_names()
         if len(active_members) < MIN_RELAYING_DAEMONS:
             self.claim_writer.wait_s = GROUP_WAIT_S
             return None
--- a/ferrydock/node/_rounds.py
+++ b/ferrydock/node/_rounds.py
@@ -6,7 +6,7 @@
 
 from ..hall import ControllerMode
 from ..logs import log_event
-from ..membership import ControllerUpdate, Responsibilities
+from ..membership import ControllerUpdate, RendezvousCache
 from ..outcomes import Unavailable
 from ..table import TableView
 
@@ -69,7 +69,7 @@
     def __init__(self, node):
         self.node = node
         self.failed = asyncio.Event()
-        self.responsibilities = Responsibilities()
+        self.responsibilities = RendezvousCache()
         self._tasks: list[asyncio.Task] = []
 
     def _spawn(self, coroutine) -> None:
@@ -132,7 +132,7 @@
     def rank(self, task: str) -> int:
         """Return this daemon's rank among those that can do a task; the one with rank 0 does it."""
         node = self.node
-        ranked = self.responsibilities.order(node.state.members.working(), task)
+        ranked = self.responsibilities.order(node.state.members.available_names(), task)
         return ranked.index(node.name) if node.name in ranked else len(ranked)
 
     async def _run_controller(self) -> None:
@@ -160,7 +160,7 @@
         free_since_s = node.started_s
         if controller is not None:
             free_since_s = controller.renewed_s + view.site.lease_ttl_s
-            if controller.name not in node.state.members.working():
+            if controller.name not in node.state.members.available_names():
                 free_since_s = controller.renewed_s
         return now_s >= free_since_s + rank * RANK_DELAY_S
 
@@ -179,18 +179,19 @@
         """Probe the replicas assigned to this daemon."""
         node = self.node
         placement = node.state.placement
-        working = node.state.members.working()
+        available_names = node.state.members.available_names()
         own_replica_ids = [
             replica_id
             for replica_id in placement.replicas
-            if not working or self.responsibilities.order(working, replica_id)[0] == node.name
+            if not available_names
+            or self.responsibilities.order(available_names, replica_id)[0] == node.name
         ]
         await node.prober.probe(placement, own_replica_ids)
 
     async def _send_gauges(self) -> None:
         """Report metrics that are sampled rather than counted."""
         node = self.node
-        summary = node.state.own_summary(node.clock.now_s())
+        summary = node.state.summarize_hall(node.clock.now_s())
         node.recorder.gauge("hall.daemons", summary.daemons)
         node.recorder.gauge("hall.replicas_wanted", summary.wanted)
         node.recorder.gauge("hall.replicas_serving", summary.serving)
--- a/ferrydock/node/_status.py
+++ b/ferrydock/node/_status.py
@@ -8,7 +8,7 @@
 def status_fields(node) -> dict:
     """Return the status as JSON fields."""
     now_s = node.clock.now_s()
-    own = node.state.own_summary(now_s)
+    own = node.state.summarize_hall(now_s)
     halls = [_hall_fields(own, now_s)]
     halls += [
         _hall_fields(s, now_s) for s in sorted(node.state.halls.values(), key=lambda s: s.hall)
@@ -57,7 +57,7 @@
 def _members(node) -> list[dict]:
     members = node.state.members
     rows = []
-    for info in sorted(members.everyone(), key=lambda m: m.name):
+    for info in sorted(members.all_members(), key=lambda m: m.name):
         is_own = info.name == node.name
         rows.append(
             {
--- a/ferrydock/node/tests/test_tls.py
+++ b/ferrydock/node/tests/test_tls.py
@@ -107,7 +107,7 @@
             assert isinstance(await send_digest("stranger", stranger), Unavailable)
         finally:
             await server.close()
-        assert {m.name for m in server_state.members.everyone()} == {"a"} | ACCEPTED
+        assert {m.name for m in server_state.members.all_members()} == {"a"} | ACCEPTED
 
     asyncio.run(check())
 
--- a/ferrydock/requests/_admission.py
+++ b/ferrydock/requests/_admission.py
@@ -87,7 +87,7 @@
         now_s = self.clock.now_s()
         serving = self._serving(request.model, now_s)
         eligible = [r for r in serving if r.generation not in excluded]
-        daemons = max(1, len(self.state.members.working()))
+        daemons = max(1, len(self.state.members.available_names()))
         candidates = self.loads.candidates(eligible, request.blocks, now_s, daemons)
         with_room = [c for c in candidates if _has_room(c)]
         route = RouteRequest(request.model, request.blocks, request.priority)
