--- a/ferrydock/gateway/_operators.py
+++ b/ferrydock/gateway/_operators.py
@@ -157,7 +157,7 @@
         """Read the table from the store; if the stop limit expires, the edit stays accepted."""
         try:
             async with self.stop_limit.apply():
-                await self.watcher.look()
+                await self.watcher.poll()
         except DaemonStopping:
             log_event(
                 _LOG,
--- a/ferrydock/membership/_exchange.py
+++ b/ferrydock/membership/_exchange.py
@@ -14,7 +14,7 @@
 from ..outcomes import Unavailable, Unknown
 from ..placement import HallPlacement
 from ..store import Txn, TxnDone
-from ..table import AcceptedEdit, Offer, TableCopy
+from ..table import AcceptedEdit, OfferResult, TableCopy
 from ._claim_relay import pack_claim, pack_written, unpack_claim, unpack_written
 from ._digest import NewerData, apply_digest, build_digest
 from ._exchange_pb2 import (
@@ -199,7 +199,7 @@
 
     async def _fetch_table(self, request: TableRequest, context) -> TableReply:
         keeper = self.state.keeper
-        newer_edits = None if request.whole else keeper.history.since(request.after_revision)
+        newer_edits = None if request.whole else keeper.history.edits_since(request.after_revision)
         reply = TableReply()
         if newer_edits is None or (not newer_edits and request.after_revision < keeper.revision):
             reply.copy = keeper.copy().to_json()
@@ -262,15 +262,15 @@
         newer_data = apply_digest(self.state, reply, now_s, now_s - started_s)
         return DigestReply(reply.sender, reply.hall, newer_data)
 
-    async def pull_table(self, address: str) -> Offer | Unavailable:
+    async def pull_table(self, address: str) -> OfferResult | Unavailable:
         """Fetch table edits after this daemon's revision, or the full table, from `address`."""
         keeper = self.state.keeper
         outcome = await self._pull_table(address, keeper.revision, whole=not keeper.loaded)
-        if outcome is Offer.GAP:
+        if outcome is OfferResult.GAP:
             return await self._pull_table(address, keeper.revision, whole=True)
         return outcome
 
-    async def _pull_table(self, address: str, after: int, whole: bool) -> Offer | Unavailable:
+    async def _pull_table(self, address: str, after: int, whole: bool) -> OfferResult | Unavailable:
         request = TableRequest(after_revision=after, whole=whole)
         reply = await self._call(address, "FetchTable", request, TableReply, PULL_TIMEOUT_S)
         if isinstance(reply, Unavailable):
--- a/ferrydock/membership/_gossip.py
+++ b/ferrydock/membership/_gossip.py
@@ -8,7 +8,7 @@
 from ..clock import Clock
 from ..logs import log_event
 from ..outcomes import Unavailable
-from ..table import Offer
+from ..table import OfferResult
 from ._digest import NewerData
 from ._exchange import ExchangeClient
 from ._members import DaemonInfo, MemberStatus, rendezvous_rank
@@ -242,7 +242,7 @@
 
     async def _pull_table(self, address: str) -> None:
         outcome = await self.client.pull_table(address)
-        if outcome is Offer.TAKEN:
+        if outcome is OfferResult.TAKEN:
             self.push_update()
 
     async def _pull_placement(self, address: str) -> None:
--- a/ferrydock/membership/tests/test_membership.py
+++ b/ferrydock/membership/tests/test_membership.py
@@ -216,7 +216,7 @@
     revisions = [0, 0, 0, 0]
 
     def pull(receiver, sender):
-        newer = sender.keeper.history.since(receiver.keeper.revision)
+        newer = sender.keeper.history.edits_since(receiver.keeper.revision)
         if newer is None:
             receiver.keeper.offer_copy(sender.keeper.copy())
         else:
--- a/ferrydock/node/_rounds.py
+++ b/ferrydock/node/_rounds.py
@@ -118,14 +118,14 @@
         await asyncio.sleep(MAX_FIRST_READ_DELAY_S * node.random_source.random())
         while True:
             if not node.keeper.loaded:
-                await node.watcher.look()
+                await node.watcher.poll()
             rank = self.rank("watch/" + node.settings.hall)
             if rank == 0:
                 await node.watcher.follow(WATCH_STALL_TIMEOUT_S)
                 await asyncio.sleep(STORE_RETRY_S * (0.5 + node.random_source.random()))
             elif rank == 1:
                 await asyncio.sleep(STANDBY_POLL_S * (0.75 + 0.5 * node.random_source.random()))
-                await node.watcher.look()
+                await node.watcher.poll()
             else:
                 await asyncio.sleep(STORE_RETRY_S)
 
--- a/ferrydock/table/__init__.py
+++ b/ferrydock/table/__init__.py
@@ -3,7 +3,7 @@
 from ._columns import SHEETS, Column, Sheet, is_row_name
 from ._csv import changes_between, read_sheets, write_sheet
 from ._history import LINEAGE_WITHOUT_EDITS, AcceptedEdit, Edit, History, merge, next_lineage
-from ._keeper import Offer, TableCopy, TableKeeper
+from ._keeper import OfferResult, TableCopy, TableKeeper
 from ._keys import digest_key, is_operator_key, team_of_key
 from ._repository import (
     HEAD_KEY,
@@ -30,7 +30,7 @@
     "Head",
     "History",
     "Model",
-    "Offer",
+    "OfferResult",
     "RowKey",
     "Share",
     "Sheet",
--- a/ferrydock/table/_history.py
+++ b/ferrydock/table/_history.py
@@ -129,7 +129,7 @@
         self._edits.append(edit)
         del self._edits[: -self.limit]
 
-    def since(self, revision: int) -> tuple[AcceptedEdit, ...] | None:
+    def edits_since(self, revision: int) -> tuple[AcceptedEdit, ...] | None:
         """Return the edits accepted after `revision`, or None if not all of them are kept."""
         newer = tuple(edit for edit in self._edits if edit.revision > revision)
         if newer and newer[0].revision != revision + 1:
@@ -150,7 +150,7 @@
 
     def table_at(self, table: Table, revision: int) -> Table | None:
         """Return `table` as of `revision`, or None if not all edits since then are kept."""
-        newer = self.since(revision)
+        newer = self.edits_since(revision)
         if newer is None or (not newer and revision != table.revision):
             return None
         for edit in reversed(newer):
@@ -174,7 +174,7 @@
         return Conflict(
             f"revision {edit.base_revision} does not exist; the newest is {table.revision}"
         )
-    newer = history.since(edit.base_revision) if edit.base_revision < table.revision else ()
+    newer = history.edits_since(edit.base_revision) if edit.base_revision < table.revision else ()
     if newer is None:
         return Conflict(
             f"revision {edit.base_revision} is too old to merge from; read the table again"
--- a/ferrydock/table/_keeper.py
+++ b/ferrydock/table/_keeper.py
@@ -13,12 +13,12 @@
 from ._table import RowKey, Table
 from ._view import TableView
 
-__all__ = ["Offer", "TableCopy", "TableKeeper"]
+__all__ = ["OfferResult", "TableCopy", "TableKeeper"]
 
 _LOG = logging.getLogger("ferrydock.table")
 
 
-class Offer(StrEnum):
+class OfferResult(StrEnum):
     """Result of offering a complete table or edits to a `TableKeeper`.
 
     Attributes
@@ -96,7 +96,7 @@
         """Revision of the table in force."""
         return self.table.revision
 
-    def listen(self, on_change: Callable[[TableView], None]) -> None:
+    def add_listener(self, on_change: Callable[[TableView], None]) -> None:
         """Register `on_change`, which is called with the typed rows after each change."""
         self._listeners.append(on_change)
 
@@ -104,7 +104,7 @@
         """Return the complete table, for a daemon that lacks edits."""
         return TableCopy(self.table, self.lineage, self.history.latest(self.history.limit))
 
-    def offer_copy(self, copy: TableCopy) -> Offer:
+    def offer_copy(self, copy: TableCopy) -> OfferResult:
         """Put a complete table in force unless it is older than, or diverged from, the current one.
 
         If the copy holds all edits since the revision in force, only these are applied.
@@ -112,10 +112,12 @@
         if not self.loaded:
             return self._replace_table(copy)
         if copy.table.revision < self.revision:
-            return Offer.OLDER
+            return OfferResult.OLDER
         if copy.table.revision == self.revision:
             return (
-                Offer.KNOWN if copy.lineage == self.lineage else self._refuse_diverged(copy.lineage)
+                OfferResult.KNOWN
+                if copy.lineage == self.lineage
+                else self._refuse_diverged(copy.lineage)
             )
         known = next((e for e in copy.edits if e.revision == self.revision), None)
         if known is not None and known.lineage != self.lineage:
@@ -125,14 +127,14 @@
             return self.offer_edits(newer)
         return self._replace_table(copy)
 
-    def offer_edits(self, edits: Iterable[AcceptedEdit]) -> Offer:
+    def offer_edits(self, edits: Iterable[AcceptedEdit]) -> OfferResult:
         """Apply accepted edits, oldest first; skip those that are already in force."""
-        outcome = Offer.KNOWN
+        outcome = OfferResult.KNOWN
         for edit in edits:
             if edit.revision <= self.revision:
                 continue
             if not self.loaded or edit.revision != self.revision + 1:
-                return Offer.GAP
+                return OfferResult.GAP
             lineage = next_lineage(self.lineage, edit.edit_id, edit.changes)
             if lineage != edit.lineage:
                 return self._refuse_diverged(edit.lineage)
@@ -141,12 +143,12 @@
                 return self._refuse_invalid(changed)
             self.table, self.lineage = changed, lineage
             self.history.append(edit)
-            outcome = Offer.TAKEN
-        if outcome is Offer.TAKEN:
+            outcome = OfferResult.TAKEN
+        if outcome is OfferResult.TAKEN:
             self._notify_listeners()
         return outcome
 
-    def _replace_table(self, copy: TableCopy) -> Offer:
+    def _replace_table(self, copy: TableCopy) -> OfferResult:
         if isinstance(copy.table.view(), Invalid):
             return self._refuse_invalid(copy.table)
         self.table, self.lineage = copy.table, copy.lineage
@@ -155,7 +157,7 @@
             self.history.append(edit)
         self.loaded = True
         self._notify_listeners()
-        return Offer.TAKEN
+        return OfferResult.TAKEN
 
     def _notify_listeners(self) -> None:
         view = self.table.view()
@@ -166,7 +168,7 @@
         for listener in self._listeners:
             listener(view)
 
-    def _refuse_diverged(self, lineage: str) -> Offer:
+    def _refuse_diverged(self, lineage: str) -> OfferResult:
         log_event(
             _LOG,
             logging.ERROR,
@@ -175,11 +177,11 @@
             lineage=self.lineage,
             offered=lineage,
         )
-        return Offer.DIVERGED
+        return OfferResult.DIVERGED
 
-    def _refuse_invalid(self, table: Table) -> Offer:
+    def _refuse_invalid(self, table: Table) -> OfferResult:
         """Log that this version cannot read the offered rows; the table in force stays."""
         view = table.view()
         why = view.reason if isinstance(view, Invalid) else "readable"
         log_event(_LOG, logging.ERROR, "table_not_readable", revision=table.revision, why=why)
-        return Offer.INVALID
+        return OfferResult.INVALID
--- a/ferrydock/table/_watcher.py
+++ b/ferrydock/table/_watcher.py
@@ -12,7 +12,7 @@
 from ..outcomes import Unavailable, Unknown
 from ..store import Compare, Position, Put, Store, Txn, TxnDone
 from ._history import AcceptedEdit
-from ._keeper import Offer, TableCopy, TableKeeper
+from ._keeper import OfferResult, TableCopy, TableKeeper
 from ._repository import (
     HEAD_KEY,
     Head,
@@ -68,29 +68,29 @@
     does, less often, the daemon that would replace it.
     """
 
-    __slots__ = ("answered_s", "clock", "keeper", "repository", "sight")
+    __slots__ = ("last_answer_s", "clock", "keeper", "repository", "comparison")
 
     def __init__(self, repository: TableRepository, keeper: TableKeeper, clock: Clock):
         self.repository = repository
         self.keeper = keeper
         self.clock = clock
-        self.answered_s: float | None = None
-        self.sight = StoreComparison.UNREACHABLE
+        self.last_answer_s: float | None = None
+        self.comparison = StoreComparison.UNREACHABLE
 
     @property
     def store(self) -> Store:
         """The platform's key-value service."""
         return self.repository.store
 
-    async def look(self) -> StoreComparison:
+    async def poll(self) -> StoreComparison:
         """Read the head, and apply the edits that the store has beyond the table in force."""
         head = await self.repository.read_head()
         if isinstance(head, Unavailable):
-            self.sight = StoreComparison.UNREACHABLE
-            return self.sight
-        self.answered_s = self.clock.now_s()
-        self.sight = await self._compare(head)
-        return self.sight
+            self.comparison = StoreComparison.UNREACHABLE
+            return self.comparison
+        self.last_answer_s = self.clock.now_s()
+        self.comparison = await self._compare(head)
+        return self.comparison
 
     async def _compare(self, head: Head) -> StoreComparison:
         keeper = self.keeper
@@ -107,16 +107,16 @@
         if isinstance(edits, Unavailable):
             return StoreComparison.UNREACHABLE
         offer = keeper.offer_edits(edits)
-        if offer is Offer.GAP:
+        if offer is OfferResult.GAP:
             return await self._load()
-        return StoreComparison.DIVERGED if offer is Offer.DIVERGED else StoreComparison.NEWER
+        return StoreComparison.DIVERGED if offer is OfferResult.DIVERGED else StoreComparison.NEWER
 
     async def _load(self) -> StoreComparison:
         stored = await self.repository.read_all()
         if isinstance(stored, Unavailable):
             return StoreComparison.UNREACHABLE
         offer = self.keeper.offer_copy(TableCopy(stored.table, stored.head.lineage, stored.edits))
-        return StoreComparison.DIVERGED if offer is Offer.DIVERGED else StoreComparison.NEWER
+        return StoreComparison.DIVERGED if offer is OfferResult.DIVERGED else StoreComparison.NEWER
 
     async def _restore_missing_edits(self, head: Head) -> StoreComparison:
         """Write the edits that the store lacks after being restored from an older copy.
@@ -126,7 +126,7 @@
         """
         keeper = self.keeper
         known = keeper.history.edit_by_revision(head.revision)
-        missing = keeper.history.since(head.revision)
+        missing = keeper.history.edits_since(head.revision)
         lineage = known.lineage if known is not None else head.lineage
         log_event(
             _LOG,
@@ -164,8 +164,8 @@
         Returns when the stream ends, when it sends nothing for `stall_timeout_s` (after polling
         the store once more), or when the store is unreachable or has diverged.
         """
-        sight = await self.look()
-        if sight in (StoreComparison.UNREACHABLE, StoreComparison.DIVERGED):
+        comparison = await self.poll()
+        if comparison in (StoreComparison.UNREACHABLE, StoreComparison.DIVERGED):
             return
         head = await self.repository.read_head()
         if isinstance(head, Unavailable):
@@ -177,11 +177,11 @@
                 pending = asyncio.ensure_future(anext(stream, None))
                 done, _ = await asyncio.wait({pending}, timeout=stall_timeout_s)
                 if not done:
-                    await self.look()
+                    await self.poll()
                     return
                 if pending.result() is None:
                     return
-                if await self.look() in (StoreComparison.UNREACHABLE, StoreComparison.DIVERGED):
+                if await self.poll() in (StoreComparison.UNREACHABLE, StoreComparison.DIVERGED):
                     return
         finally:
             if pending is not None:
--- a/ferrydock/table/tests/test_edits.py
+++ b/ferrydock/table/tests/test_edits.py
@@ -15,7 +15,7 @@
     Change,
     Edit,
     History,
-    Offer,
+    OfferResult,
     RowKey,
     StoreComparison,
     Table,
@@ -232,10 +232,10 @@
         await commit(repository, Edit("edit00001", 0, (cell("region", "x"),)))
         backup = store.store.snapshot()
         await commit(repository, Edit("edit00002", 1, (cell("region", "y"),)))
-        await watcher.look()
+        await watcher.poll()
         assert keeper.revision == 2
         store.store.restore(backup)
-        assert await watcher.look() is StoreComparison.SAME
+        assert await watcher.poll() is StoreComparison.SAME
         assert (await repository.read_all()).table.text(HALL, "region") == "y"
         assert keeper.table.text(HALL, "region") == "y"
 
@@ -249,11 +249,11 @@
         watcher = make_watcher(store, keeper)
         backup = store.store.snapshot()
         await commit(repository, Edit("edit00001", 0, (cell("region", "x"),)))
-        await watcher.look()
+        await watcher.poll()
         store.store.restore(backup)
         await commit(repository, Edit("edit00009", 0, (cell("region", "z"),)))
         await commit(repository, Edit("edit00010", 1, (cell("region", "zz"),)))
-        assert await watcher.look() is StoreComparison.DIVERGED
+        assert await watcher.poll() is StoreComparison.DIVERGED
         assert keeper.table.text(HALL, "region") == "x"
 
     asyncio.run(check())
@@ -324,7 +324,7 @@
     for index in order:
         offer = keeper.offer_edits([edits[index]])
         assert keeper.revision >= highest
-        if offer is Offer.TAKEN:
+        if offer is OfferResult.TAKEN:
             assert keeper.revision == highest + 1
         highest = keeper.revision
     keeper.offer_edits(edits)
@@ -339,8 +339,8 @@
     keeper.offer_edits(edits)
     older = TableCopy(Table({}, 1), edits[0].lineage, ())
     foreign = TableCopy(Table({}, 3), "f" * 16, ())
-    assert keeper.offer_copy(older) is Offer.OLDER
-    assert keeper.offer_copy(foreign) is Offer.DIVERGED
+    assert keeper.offer_copy(older) is OfferResult.OLDER
+    assert keeper.offer_copy(foreign) is OfferResult.DIVERGED
     assert keeper.revision == 3
 
 
