--- a/ferrydock/gateway/_models.py
+++ b/ferrydock/gateway/_models.py
@@ -141,7 +141,7 @@
         model_request.priority = share.priority
         admission = self.limits.admit(share, self.clock.now_s())
         if isinstance(admission, NotRun):
-            self.recorder.refused(model_request, admission.reason)
+            self.recorder.record_refusal(model_request, admission.reason)
             return not_run_response(admission)
         return await self._serve(request, model_request, share, admission)
 
@@ -225,11 +225,11 @@
         try:
             outcome = await self.executor.run(model_request, caller, lifecycle, share.weight)
         except CallerDisconnected:
-            self.recorder.left(model_request)
+            self.recorder.record_disconnect(model_request)
             return require(caller.response, "the started response")
         if claim is not None:
             await self.background_tasks.record(self._end_claim(claim, outcome, caller))
-        self.recorder.ended(
+        self.recorder.record_end(
             model_request, outcome, caller.first_event_s, started_s, self.clock.now_s()
         )
         return await self._respond(model_request, outcome, caller)
--- a/ferrydock/membership/_burn.py
+++ b/ferrydock/membership/_burn.py
@@ -97,13 +97,13 @@
             stranded_box_s=stranded_s,
         )
         for team, model in self.recorder.burn.pairs():
-            for counted in self.recorder.burn.minutes(team, model, since_minute):
+            for counted in self.recorder.burn.minutes_since(team, model, since_minute):
                 reply.minutes.add(
                     team=team,
                     model=model,
                     minute=counted.minute,
                     answers=counted.answers,
-                    not_whole=counted.not_whole,
+                    not_whole=counted.incomplete,
                     first_token=counted.first_token.encode(),
                     between_tokens=counted.between_tokens.encode(),
                 )
--- a/ferrydock/reports/_burn.py
+++ b/ferrydock/reports/_burn.py
@@ -70,7 +70,7 @@
 
     minute: int
     answers: int = 0
-    not_whole: int = 0
+    incomplete: int = 0
     first_token: HdrHistogram = field(default_factory=_histogram)
     between_tokens: HdrHistogram = field(default_factory=_histogram)
 
@@ -78,7 +78,7 @@
         """Count one answer."""
         self.answers += 1
         if not sample.complete:
-            self.not_whole += 1
+            self.incomplete += 1
         if sample.first_token_ms is not None:
             self.first_token.record_value(_in_range(sample.first_token_ms))
         if sample.between_tokens_ms is not None:
@@ -87,7 +87,7 @@
     def merge(self, other: "BurnMinute") -> None:
         """Add the counts of `other`, from another daemon or minute."""
         self.answers += other.answers
-        self.not_whole += other.not_whole
+        self.incomplete += other.incomplete
         self.first_token.add(other.first_token)
         self.between_tokens.add(other.between_tokens)
 
@@ -123,7 +123,7 @@
         """Return the pairs of team and model for which an answer was counted."""
         return tuple(self._minutes)
 
-    def minutes(self, team: str, model: str, since_minute: int) -> list[BurnMinute]:
+    def minutes_since(self, team: str, model: str, since_minute: int) -> list[BurnMinute]:
         """Return the counts from `since_minute` on, in minutes since the Unix epoch."""
         kept = self._minutes.get((team, model), ())
         return [minute for minute in kept if minute.minute >= since_minute]
--- a/ferrydock/reports/_recorder.py
+++ b/ferrydock/reports/_recorder.py
@@ -34,7 +34,7 @@
         self.clock = clock
         self.burn = BurnHistory(clock.wall_s())
 
-    def ended(
+    def record_end(
         self, request, outcome, first_s: float | None, started_s: float, now_s: float
     ) -> None:
         """Record the end of a request that was admitted.
@@ -61,14 +61,14 @@
         if sample.first_token_ms is not None:
             self.time(f"requests.{request.model}.first_token_ms", sample.first_token_ms)
 
-    def refused(self, request, reason: str) -> None:
+    def record_refusal(self, request, reason: str) -> None:
         """Record a request refused because of its team's limit.
 
         It does not count in the burn report, as it is no failure of the service.
         """
         self.count(f"requests.{request.model}.{reason}")
 
-    def left(self, request) -> None:
+    def record_disconnect(self, request) -> None:
         """Record that the caller disconnected before the request ended."""
         self.count(f"requests.{request.model}.caller_left")
 
--- a/ferrydock/reports/_report.py
+++ b/ferrydock/reports/_report.py
@@ -17,7 +17,7 @@
 
     team: str
     model: str
-    counted: BurnMinute
+    counts: BurnMinute
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
     by_pair: dict[tuple[str, str], list[BurnMinute]] = {}
     for minute in counted:
         if team in ("", minute.team) and model in ("", minute.model):
-            by_pair.setdefault((minute.team, minute.model), []).append(minute.counted)
+            by_pair.setdefault((minute.team, minute.model), []).append(minute.counts)
     rows = []
     for (pair_team, pair_model), minutes in sorted(by_pair.items()):
         if pair_model in view.models:
@@ -130,7 +130,7 @@
         w: _count_above(total.between_tokens, objectives.between_tokens_ms)
         for w, total in windows.items()
     }
-    incomplete = {w: (total.not_whole, total.answers) for w, total in windows.items()}
+    incomplete = {w: (total.incomplete, total.answers) for w, total in windows.items()}
     longest = windows[WINDOWS_MINUTES[-1]]
     latency_ratio = objectives.latency_ratio
     return [
--- a/ferrydock/reports/tests/test_burn.py
+++ b/ferrydock/reports/tests/test_burn.py
@@ -57,7 +57,7 @@
         CountedMinute(team, model, minute)
         for history in histories
         for team, model in history.pairs()
-        for minute in history.minutes(team, model, 0)
+        for minute in history.minutes_since(team, model, 0)
     ]
 
 
