--- a/ferrydock/cli/_explain.py
+++ b/ferrydock/cli/_explain.py
@@ -8,7 +8,7 @@
 from ..logs import parse_event
 from ._verbs import Context, ExitStatus, finish, register_verb
 
-__all__ = ["Explanation", "LogLine", "tell_replica", "tell_request"]
+__all__ = ["Explanation", "LogLine", "explain_replica", "explain_request"]
 
 _LEADING_FIELDS = ("time", "daemon", "event")
 _HIDDEN_FIELDS = frozenset({"level", "logger"})
@@ -101,7 +101,7 @@
     return f"{why}: {known}" if known else why
 
 
-def tell_request(request_id: str, log_lines: Iterable[LogLine]) -> Explanation:
+def explain_request(request_id: str, log_lines: Iterable[LogLine]) -> Explanation:
     """Return the log lines of one request, and the cause of its end.
 
     The deciding line is the last failed attempt if the request was answered after it, may have
@@ -111,7 +111,7 @@
     Examples
     --------
     >>> line = "time=1 event=request_refused request=r why=unknown_key"
-    >>> tell_request("r", _parse_lines([line])).cause
+    >>> explain_request("r", _parse_lines([line])).cause
     'unknown_key: no tenant of the configuration in force holds the key'
     """
     all_lines = sorted(log_lines, key=lambda line: line.time)
@@ -155,7 +155,7 @@
     return Explanation(tuple(lines), deciding, cause)
 
 
-def tell_replica(name: str, log_lines: Iterable[LogLine]) -> Explanation:
+def explain_replica(name: str, log_lines: Iterable[LogLine]) -> Explanation:
     """Return the log lines of one replica, without those of requests, and the cause of its end."""
     all_lines = sorted(log_lines, key=lambda line: line.time)
     own = [line for line in all_lines if line.fields.get("replica") == name]
@@ -173,7 +173,7 @@
     return Explanation(tuple(own), deciding, cause)
 
 
-def _gather(paths: list[str]) -> list[LogLine] | str:
+def _read_log_files(paths: list[str]) -> list[LogLine] | str:
     """Return the log lines of the files, or of standard input if none is given; or an error."""
     if not paths:
         return _parse_lines(sys.stdin)
@@ -198,10 +198,10 @@
     replica = context.flags.replica
     if not replica and not args:
         return finish(ExitStatus.BAD_INPUT, "explain needs the id of a request, or --replica=NAME")
-    log_lines = _gather(args if replica else args[1:])
+    log_lines = _read_log_files(args if replica else args[1:])
     if isinstance(log_lines, str):
         return finish(ExitStatus.BAD_INPUT, log_lines)
-    found = tell_replica(replica, log_lines) if replica else tell_request(args[0], log_lines)
+    found = explain_replica(replica, log_lines) if replica else explain_request(args[0], log_lines)
     for line in found.lines:
         mark = "->" if line is found.deciding else "  "
         print(f"{mark} {line}")
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -6,7 +6,7 @@
 import pytest
 
 from benchmarks.soak import soak_experiment
-from ferrydock.cli._explain import _gather, tell_replica, tell_request
+from ferrydock.cli._explain import _read_log_files, explain_replica, explain_request
 from ferrydock.emulator import Emulation, figures, page, read_experiment
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -21,7 +21,7 @@
 
 
 def lines_of(folder):
-    return _gather([str(path) for path in folder.glob("*.log")])
+    return _read_log_files([str(path) for path in folder.glob("*.log")])
 
 
 def requests_with(told, **wanted):
@@ -47,7 +47,7 @@
     told = lines_of(tmp_path)
     refused = requests_with(told, event="request_refused")
     assert refused
-    story = tell_request(refused[0], told)
+    story = explain_request(refused[0], told)
     assert story.cause.startswith("configuration_unconfirmed")
     assert any(line.fields["event"] == "store_lost" for line in told)
 
@@ -58,11 +58,11 @@
     told = lines_of(tmp_path)
     given_up = [line for line in told if line.fields["event"] == "replica_silent"]
     assert given_up
-    story = tell_replica(given_up[0].fields["replica"], told)
+    story = explain_replica(given_up[0].fields["replica"], told)
     assert story.lines
     moved = requests_with(told, event="attempt_failed", why="member_dead")
     if moved:
-        assert "was silent" in tell_request(moved[0], told).cause
+        assert "was silent" in explain_request(moved[0], told).cause
 
 
 def test_an_overload_is_explained(tmp_path):
@@ -79,7 +79,7 @@
     told = lines_of(tmp_path)
     refused = requests_with(told, event="request_failed", why="no_room")
     assert refused
-    assert tell_request(refused[0], told).cause.startswith("no_room")
+    assert explain_request(refused[0], told).cause.startswith("no_room")
 
 
 def soak_seeds():
