--- a/ferrydock/forwarding/_upstream.py
+++ b/ferrydock/forwarding/_upstream.py
@@ -117,7 +117,7 @@
     """Open a pool whose connections are reused, or else closed after one request."""
     return open_session(
         connect_timeout_s=CONNECT_TIMEOUT_S,
-        keep_idle_s=IDLE_TIMEOUT_S if keep_alive else None,
+        idle_timeout_s=IDLE_TIMEOUT_S if keep_alive else None,
         socket_factory=_open_socket,
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
--- a/ferrydock/gateway/_spill.py
+++ b/ferrydock/gateway/_spill.py
@@ -106,7 +106,7 @@
     ) -> web.StreamResponse | None:
         if self._session is None:
             self._session = open_session(
-                CONNECT_TIMEOUT_S, keep_idle_s=None, cookie_jar=aiohttp.DummyCookieJar()
+                CONNECT_TIMEOUT_S, idle_timeout_s=None, cookie_jar=aiohttp.DummyCookieJar()
             )
         headers = {
             name: request.headers[name] for name in _FORWARDED_HEADERS if name in request.headers
--- a/ferrydock/hall_lease.py
+++ b/ferrydock/hall_lease.py
@@ -230,7 +230,7 @@
         if held is None:
             return LeaseLost(0)
         sent_s = self.clock.now_s()
-        renewed = await self.store.keep_lease(held.lease_id)
+        renewed = await self.store.renew_lease(held.lease_id)
         if held.era != self.store.era:
             # The id may belong to another daemon's lease in the new era: see `reclaim`.
             return Unavailable("the store has come back older")
--- a/ferrydock/http_client.py
+++ b/ferrydock/http_client.py
@@ -10,7 +10,7 @@
 
 def open_session(
     connect_timeout_s: float,
-    keep_idle_s: float | None,
+    idle_timeout_s: float | None,
     socket_factory: Callable[..., socket.socket] | None = None,
     **options,
 ) -> aiohttp.ClientSession:
@@ -24,7 +24,7 @@
     ----------
     connect_timeout_s : float
         Time limit for connecting, in seconds.
-    keep_idle_s : float or None
+    idle_timeout_s : float or None
         Seconds for which an idle connection is kept open; None to use each connection once.
     socket_factory : callable, optional
         Creates sockets with custom options.
@@ -32,7 +32,7 @@
         Additional arguments of `aiohttp.ClientSession`.
     """
     keep_alive_options = (
-        {"force_close": True} if keep_idle_s is None else {"keepalive_timeout": keep_idle_s}
+        {"force_close": True} if idle_timeout_s is None else {"keepalive_timeout": idle_timeout_s}
     )
     connector = aiohttp.TCPConnector(
         limit=0, use_dns_cache=False, socket_factory=socket_factory, **keep_alive_options
--- a/ferrydock/platform/_control.py
+++ b/ferrydock/platform/_control.py
@@ -124,7 +124,7 @@
 
     def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
-            self._session = open_session(CONNECT_TIMEOUT_S, keep_idle_s=None)
+            self._session = open_session(CONNECT_TIMEOUT_S, idle_timeout_s=None)
         return self._session
 
 
--- a/ferrydock/platform/_store.py
+++ b/ferrydock/platform/_store.py
@@ -185,7 +185,7 @@
             return _unexpected_status(answer)
         return _decode(decode_lease, answer, answer.era)
 
-    async def keep_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
+    async def renew_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
         """Renew a lease for its full time to live."""
         answer = await self._call("POST", f"/kv-keep/{lease_id}")
         if isinstance(answer, Unavailable | Unknown):
@@ -255,7 +255,9 @@
 
     def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
-            self._session = open_session(CONNECT_TIMEOUT_S, keep_idle_s=IDLE_CONNECTION_TIMEOUT_S)
+            self._session = open_session(
+                CONNECT_TIMEOUT_S, idle_timeout_s=IDLE_CONNECTION_TIMEOUT_S
+            )
         return self._session
 
     async def _call(
@@ -300,7 +302,7 @@
             return Unavailable(f"the store answered {response.status}")
         return _Answer(response.status, fields, era)
 
-    def note_era(self, era: int) -> None:
+    def raise_era(self, era: int) -> None:
         """Raise `era` to one that another daemon has seen; answers of older eras are ignored."""
         self.era = max(self.era, era)
 
@@ -317,7 +319,7 @@
             )
             return self.era
         era = int(header_value)
-        self.note_era(era)
+        self.raise_era(era)
         return era
 
     def _count_call(self, kind: str, result: str) -> None:
--- a/ferrydock/platform/tests/test_store_eras.py
+++ b/ferrydock/platform/tests/test_store_eras.py
@@ -50,7 +50,7 @@
     "pages": lambda store: store.range("k", "l"),
     "transact": lambda store: store.transact(Txn((), (Put("k", b"1"),))),
     "grant": lambda store: store.grant_lease(2.0),
-    "renewal": lambda store: store.keep_lease(1),
+    "renewal": lambda store: store.renew_lease(1),
     "revoke": lambda store: store.revoke_lease(1),
     "watch": lambda store: store.watch_once("k", Position(0, 1), 0),
 }
@@ -80,11 +80,11 @@
 
 def test_an_answer_of_an_older_era_is_ignored():
     async def scenario(fixture):
-        fixture.store.note_era(1)  # another daemon has seen it
+        fixture.store.raise_era(1)  # another daemon has seen it
         assert isinstance(await fixture.store.range("k"), Unavailable)
         assert isinstance(await fixture.store.transact(Txn((), (Put("k", b"1"),))), Unknown)
-        assert isinstance(await fixture.store.keep_lease(7), Unavailable)
-        assert not isinstance(await fixture.store.keep_lease(7), LeaseLost)
+        assert isinstance(await fixture.store.renew_lease(7), Unavailable)
+        assert not isinstance(await fixture.store.renew_lease(7), LeaseLost)
 
     run_scenario(scenario)
 
--- a/ferrydock/relay/_client.py
+++ b/ferrydock/relay/_client.py
@@ -54,7 +54,7 @@
         Name of this daemon, by which the leader counts its followers.
     crashes : CrashExchange, optional
         Exchanges with the leader which requests crash their targets.
-    note_era : callable, optional
+    raise_era : callable, optional
         Called with the era of the store in each reply.
     is_settled : callable, optional
         Returns whether the store's era has settled. Until then reading the store confirms nothing
@@ -81,7 +81,7 @@
         "directory",
         "is_settled",
         "name",
-        "note_era",
+        "raise_era",
     )
 
     def __init__(
@@ -94,10 +94,10 @@
         daemon_counter: DaemonCounter | None = None,
         name: str = "",
         crashes: CrashExchange | None = None,
-        note_era: Callable[[int], None] = lambda era: None,
+        raise_era: Callable[[int], None] = lambda era: None,
         is_settled: Callable[[], bool] = lambda: True,
     ):
-        self.note_era = note_era
+        self.raise_era = raise_era
         self.is_settled = is_settled
         self.current = current
         self.directory = directory
@@ -172,7 +172,7 @@
         self.daemon_counter.receive(reply.daemons, sent_s)
         if reply.position < self.directory.position:
             return False  # this daemon has already read newer targets
-        self.note_era(reply.era)
+        self.raise_era(reply.era)
         self._leader_incarnation, self._last_change = reply.life, reply.change
         self.directory.apply(
             TargetChanges(reply.whole, reply.entries, reply.removed, reply.position)
--- a/ferrydock/requests/_attempt.py
+++ b/ferrydock/requests/_attempt.py
@@ -274,10 +274,10 @@
         return Answered(response.status, content_type, body)
 
 
-def _open_session(keep_idle_s: float | None) -> aiohttp.ClientSession:
+def _open_session(idle_timeout_s: float | None) -> aiohttp.ClientSession:
     return open_session(
         CONNECT_TIMEOUT_S,
-        keep_idle_s,
+        idle_timeout_s,
         cookie_jar=aiohttp.DummyCookieJar(),
         skip_auto_headers=_OMITTED_HEADERS,
         auto_decompress=False,
--- a/ferrydock/route_daemon/_daemon.py
+++ b/ferrydock/route_daemon/_daemon.py
@@ -193,7 +193,7 @@
             self.daemon_counter,
             self.settings.name,
             self.crash_exchange,
-            self.deployment.store.note_era,
+            self.deployment.store.raise_era,
             self.settling.is_settled,
         )
         self.relay_server = RelayServer(
--- a/ferrydock/standins/_etcd.py
+++ b/ferrydock/standins/_etcd.py
@@ -103,7 +103,7 @@
         return {"header": self._header(), "ID": str(lease.lease_id), "TTL": body["TTL"]}
 
     async def _keep(self, body: dict) -> dict:
-        kept = await self.store.keep_lease(int(body["ID"]))
+        kept = await self.store.renew_lease(int(body["ID"]))
         ttl_s = 0 if isinstance(kept, LeaseLost) else int(kept.ttl_s)
         result = {"ID": body["ID"], "TTL": str(ttl_s)} if ttl_s else {"ID": body["ID"]}
         return {"result": {"header": self._header(), **result}}
--- a/ferrydock/standins/_local.py
+++ b/ferrydock/standins/_local.py
@@ -168,8 +168,8 @@
         """The era of the store behind it."""
         return self.store.era
 
-    def note_era(self, era: int) -> None:
-        self.store.note_era(era)
+    def raise_era(self, era: int) -> None:
+        self.store.raise_era(era)
 
     async def range(self, key: str, range_end: str = "") -> RangeDone | Unavailable:
         self.calls += 1
@@ -199,9 +199,9 @@
         self.calls += 1
         return Unavailable("down") if self.down else await self.store.grant_lease(ttl_s)
 
-    async def keep_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
+    async def renew_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
         self.calls += 1
-        return Unavailable("down") if self.down else await self.store.keep_lease(lease_id)
+        return Unavailable("down") if self.down else await self.store.renew_lease(lease_id)
 
     async def revoke_lease(self, lease_id: int) -> LeaseLost | Unavailable:
         self.calls += 1
--- a/ferrydock/standins/fleet/_store_http.py
+++ b/ferrydock/standins/fleet/_store_http.py
@@ -235,7 +235,7 @@
         return _json({"lease": lease.lease_id, "ttl-ms": int(lease.ttl_s * 1000)})
 
     async def _keep(self, request: web.Request) -> web.Response:
-        kept = await self.store.keep_lease(int(request.match_info["lease"]))
+        kept = await self.store.renew_lease(int(request.match_info["lease"]))
         if isinstance(kept, LeaseLost):
             return _json({}, 404)
         return _json({"ttl-ms": int(kept.ttl_s * 1000)})
--- a/ferrydock/store/_etcd.py
+++ b/ferrydock/store/_etcd.py
@@ -122,7 +122,7 @@
         """Always 0: etcd does not report that it was restored (docs/design/store-eras.md)."""
         return 0
 
-    def note_era(self, era: int) -> None:
+    def raise_era(self, era: int) -> None:
         """Do nothing: this store has only era 0."""
 
     async def range(self, key: str, range_end: str = "") -> RangeDone | Unavailable:
@@ -147,7 +147,7 @@
             return answer
         return LeaseGranted(int(answer["ID"]), float(answer["TTL"]))
 
-    async def keep_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
+    async def renew_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
         answer = await self._call("/v3/lease/keepalive", {"ID": str(lease_id)})
         if not isinstance(answer, dict):
             return Unavailable(answer.reason)
--- a/ferrydock/store/_memory.py
+++ b/ferrydock/store/_memory.py
@@ -118,7 +118,7 @@
         self.era += 1
         self._notify()
 
-    def note_era(self, era: int) -> None:
+    def raise_era(self, era: int) -> None:
         """Do nothing: no other daemon can know a newer era than the store itself."""
 
     def put(self, key: str, value: bytes) -> int:
@@ -155,7 +155,7 @@
         self._leases[lease_id] = _Lease(ttl_s, self.clock.now_s() + ttl_s)
         return LeaseGranted(lease_id, ttl_s, self.era)
 
-    async def keep_lease(self, lease_id: int) -> LeaseGranted | LeaseLost:
+    async def renew_lease(self, lease_id: int) -> LeaseGranted | LeaseLost:
         self.expire_leases()
         lease = self._leases.get(lease_id)
         if lease is None:
--- a/ferrydock/store/_store.py
+++ b/ferrydock/store/_store.py
@@ -191,7 +191,7 @@
     def era(self) -> int:
         """See the attributes of the class."""
 
-    def note_era(self, era: int) -> None:
+    def raise_era(self, era: int) -> None:
         """Record an era of the store that another daemon has reported."""
 
     async def range(self, key: str, range_end: str = "") -> RangeDone | Unavailable:
@@ -203,7 +203,7 @@
     async def grant_lease(self, ttl_s: float) -> LeaseGranted | Unavailable | Unknown:
         """Create a lease that expires after `ttl_s` seconds unless it is renewed."""
 
-    async def keep_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
+    async def renew_lease(self, lease_id: int) -> LeaseGranted | LeaseLost | Unavailable:
         """Renew a lease for its full time to live."""
 
     async def revoke_lease(self, lease_id: int) -> LeaseLost | Unavailable | Unknown:
--- a/ferrydock/store/tests/test_stores.py
+++ b/ferrydock/store/tests/test_stores.py
@@ -135,12 +135,12 @@
         lease = await setup.store.grant_lease(5)
         await setup.store.transact(Txn((), (Put("/l", b"", lease.lease_id),)))
         setup.clock.advance(4)
-        assert isinstance(await setup.store.keep_lease(lease.lease_id), LeaseGranted)
+        assert isinstance(await setup.store.renew_lease(lease.lease_id), LeaseGranted)
         setup.clock.advance(4)
         assert len((await setup.store.range("/l")).items) == 1
         setup.clock.advance(2)
         assert (await setup.store.range("/l")).items == ()
-        assert isinstance(await setup.store.keep_lease(lease.lease_id), LeaseLost)
+        assert isinstance(await setup.store.renew_lease(lease.lease_id), LeaseLost)
 
     run(check)
 
