--- a/ferrydock/daemon.py
+++ b/ferrydock/daemon.py
@@ -15,7 +15,7 @@
 from .logs import log_event
 from .node import (
     Node,
-    Platform,
+    PlatformClients,
     Settings,
     define_flags,
     embedded_platform,
@@ -56,7 +56,7 @@
         """Create the node and start it; called by aiomisc."""
         clock = SystemClock()
         if self.settings.embedded:
-            platform: Platform = await embedded_platform(
+            platform: PlatformClients = await embedded_platform(
                 self.settings.hall, clock, self.settings.seed
             )
         else:
@@ -71,7 +71,7 @@
         """Serve until a signal stops the daemon; return the exit status."""
         node = self.node
         return await run_until_stopped(
-            signals, node.rounds.failed, node.stop, node.close, _log_ignored_hangup
+            signals, node.loops.failed, node.stop, node.close, _log_ignored_hangup
         )
 
 
@@ -80,11 +80,11 @@
     log_event(_LOG, logging.INFO, "hangup_passed_over")
 
 
-def _platform(settings: Settings) -> Platform:
+def _platform(settings: Settings) -> PlatformClients:
     weight_store: WeightStore = StaticWeightStore(ASSUMED_RATE_BYTES_PER_S)
     if settings.weight_store_url:
         weight_store = HttpWeightStore(settings.weight_store_url)
-    return Platform(
+    return PlatformClients(
         EtcdStore(settings.store_urls), HttpBoxList(settings.box_list_url), weight_store
     )
 
--- a/ferrydock/demo.py
+++ b/ferrydock/demo.py
@@ -15,7 +15,7 @@
 from .clock import SystemClock
 from .demo_keys import DEMO_OPERATOR_KEY, DEMO_TEAM_KEY
 from .logs import configure, format_event
-from .node import Node, Platform, Settings, write_demo_table
+from .node import Node, PlatformClients, Settings, write_demo_table
 from .standins import EngineProfile, Link, SiteSize, StandInSite
 from .store import EtcdStore, HttpBoxList, HttpWeightStore
 from .table import digest_key
@@ -69,7 +69,7 @@
         """Start a daemon whose address for other halls is a link."""
         last = hall == self.halls[-1]
         platform_url = f"http://{self.platform_link.address}" if last else self.site.url
-        platform = Platform(
+        platform = PlatformClients(
             EtcdStore((platform_url,), timeout_s=1.0),
             HttpBoxList(platform_url, timeout_s=1.0),
             HttpWeightStore(self.site.url),
--- a/ferrydock/node/_embedded.py
+++ b/ferrydock/node/_embedded.py
@@ -15,7 +15,7 @@
     TableRepository,
     digest_key,
 )
-from ._node import Platform
+from ._node import PlatformClients
 
 __all__ = ["demo_changes", "embedded_platform", "write_demo_table"]
 
@@ -101,7 +101,7 @@
         return None
 
 
-class _EmbeddedPlatform(Platform):
+class _EmbeddedPlatform(PlatformClients):
     """Store and stand-ins that are closed with the daemon."""
 
     __slots__ = ("site",)
--- a/ferrydock/node/_node.py
+++ b/ferrydock/node/_node.py
@@ -55,7 +55,7 @@
 from ._status import status_fields
 from ._tls import CallerTls
 
-__all__ = ["Node", "Platform"]
+__all__ = ["Node", "PlatformClients"]
 
 _LOG = logging.getLogger("ferrydock.node")
 
@@ -63,7 +63,7 @@
 FINAL_RECORDS_TIMEOUT_S = 1.0
 
 
-class Platform:
+class PlatformClients:
     """Clients of the platform's services for one daemon."""
 
     __slots__ = ("box_list", "store", "weight_store")
@@ -86,7 +86,7 @@
     ----------
     settings : Settings
         Checked settings.
-    platform : Platform
+    platform : PlatformClients
         Clients of store, box list and weight store.
     clock : Clock, default=SystemClock()
         Time source.
@@ -97,7 +97,7 @@
     def __init__(
         self,
         settings: Settings,
-        platform: Platform,
+        platform: PlatformClients,
         clock: Clock | None = None,
         random_source: random.Random | None = None,
     ):
@@ -107,7 +107,7 @@
         self.random_source = random_source or random.Random(settings.seed or None)
         # Not drawn from the seed: daemons with the same seed must have different names.
         self.name = f"{settings.hall}-{uuid.uuid4().hex[:8]}"
-        self.rounds = NodeLoops(self)
+        self.loops = NodeLoops(self)
         self.started_s = self.clock.now_s()
         self.security = _peer_security(settings)
         self._create_components()
@@ -240,7 +240,7 @@
         route_address = ""
         if settings.route_listen:
             route_address = await self.table_routes.start(settings.route_listen)
-        self.rounds.start()
+        self.loops.start()
         log_event(
             _LOG,
             logging.INFO,
@@ -289,7 +289,7 @@
 
     async def _close_components(self) -> None:
         """Close the components that serve requests; no request is in flight any more."""
-        await self.rounds.stop()
+        await self.loops.stop()
         await self.gossip.close()
         await self.exchange_server.close()
         await self.exchange_client.close()
@@ -328,7 +328,7 @@
             self.claim_writer.wait_s = GROUP_WAIT_S
             return None
         self.claim_writer.wait_s = RELAYED_WAIT_S
-        writer_name = self.rounds.responsibilities.order(
+        writer_name = self.loops.responsibilities.order(
             active_members, "claims/" + self.settings.hall
         )[0]
         if writer_name == self.name:
