--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that are run by hand: ``python -m benchmarks.NAME``; figures go to docs/."""
+"""Benchmarks, run with ``python -m benchmarks.NAME``; their results are recorded in docs/."""
--- a/benchmarks/_engines.py
+++ b/benchmarks/_engines.py
@@ -1,4 +1,4 @@
-"""A small replay of replicas that batch, for routing decisions in virtual time."""
+"""A simulation of batching replicas in virtual time, for benchmarks of routing policies."""
 
 import random
 from collections import OrderedDict, deque
@@ -10,14 +10,14 @@
 from ferrydock.routing import ReplicaLoads, RouteRequest, make_routing_policy
 
 STEP_S = 0.02
-PREFILL_BLOCKS = 8
+PREFILL_BLOCKS_PER_STEP = 8
 SLOTS = 16
 CACHE_BLOCKS = 1500
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request: when, at which daemon, its prompt's blocks and the length of its answer."""
+    """A request: its arrival time and daemon, the blocks of its prompt, its answer in tokens."""
 
     at_s: float
     daemon: int
@@ -28,25 +28,25 @@
 @dataclass(eq=False, slots=True)
 class _Job:
     arrival: Arrival
-    prefill: int
-    left: int
-    flight: object
+    prefill_blocks: int
+    remaining_tokens: int
+    in_flight_request: object
     daemon: int
     started: bool = False
 
 
 @dataclass(slots=True)
 class _Engine:
-    """One replica: slots, a queue, a prefix cache, and how fast it is."""
+    """One replica with slots, a queue and a prefix cache; a larger `slowdown_factor` is slower."""
 
-    slowness: float = 1.0
+    slowdown_factor: float = 1.0
     dead: bool = False
     running: list = field(default_factory=list)
     waiting: deque = field(default_factory=deque)
     cache: OrderedDict = field(default_factory=OrderedDict)
     events: list = field(default_factory=list)
     sequence: int = 0
-    credit: float = 0.0
+    step_credit: float = 0.0
 
     def publish(self, now_s: float, stored: bool, blocks: tuple[int, ...]) -> None:
         if blocks:
@@ -59,47 +59,47 @@
             if block not in self.cache:
                 break
             cached += 1
-        job.prefill = len(job.arrival.blocks) - cached
-        fresh = tuple(b for b in job.arrival.blocks if b not in self.cache)
+        job.prefill_blocks = len(job.arrival.blocks) - cached
+        uncached = tuple(b for b in job.arrival.blocks if b not in self.cache)
         for block in job.arrival.blocks:
             self.cache[block] = None
             self.cache.move_to_end(block)
         dropped = []
         while len(self.cache) > CACHE_BLOCKS:
             dropped.append(self.cache.popitem(last=False)[0])
-        self.publish(now_s, True, fresh)
+        self.publish(now_s, True, uncached)
         self.publish(now_s, False, tuple(dropped))
         self.waiting.append(job)
         return cached
 
     def step(self) -> tuple[list, list]:
-        """Do one batch step; return the jobs that got their first token, and those that ended."""
-        self.credit += 1.0 / self.slowness
-        if self.credit < 1.0 or self.dead:
+        """Run one batch step; return the jobs that got their first token, and those that ended."""
+        self.step_credit += 1.0 / self.slowdown_factor
+        if self.step_credit < 1.0 or self.dead:
             return [], []
-        self.credit -= 1.0
+        self.step_credit -= 1.0
         while self.waiting and len(self.running) < SLOTS:
             self.running.append(self.waiting.popleft())
-        budget, first, ended = PREFILL_BLOCKS, [], []
+        budget, first, ended = PREFILL_BLOCKS_PER_STEP, [], []
         for job in self.running:
-            if job.prefill > 0:
-                done = min(budget, job.prefill)
-                job.prefill -= done
+            if job.prefill_blocks > 0:
+                done = min(budget, job.prefill_blocks)
+                job.prefill_blocks -= done
                 budget -= done
                 continue
             if not job.started:
                 job.started = True
                 first.append(job)
-            job.left -= 1
-            if job.left <= 0:
+            job.remaining_tokens -= 1
+            if job.remaining_tokens <= 0:
                 ended.append(job)
-        self.running = [job for job in self.running if job.left > 0]
+        self.running = [job for job in self.running if job.remaining_tokens > 0]
         return first, ended
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What a replay measured."""
+    """Measurements of a replay: seconds to the first token, and prompt blocks in all and reused."""
 
     first_token_s: list = field(default_factory=list)
     reused: int = 0
@@ -112,20 +112,20 @@
 
 
 class RoutingReplay:
-    """Daemons with late knowledge route arrivals to engines.
+    """Daemons route arrivals to engines by delayed and incomplete information.
 
     Parameters
     ----------
     policy : str
         Name of a registered routing policy.
     replicas, daemons : int
-        How many there are.
+        Numbers of replicas and daemons.
     lag_s, loss : float
-        Age of load reports and cache events, and the part of the events that is lost.
+        Delay of load reports and cache events, and the fraction of the events that is lost.
     seed : int
-        Of all random choices.
+        Seed of all random choices.
     **parameters
-        Of the policy.
+        Parameters of the policy.
     """
 
     def __init__(self, policy, replicas, daemons, lag_s, loss, seed, **parameters):
@@ -133,18 +133,18 @@
         self.lag_s, self.loss = lag_s, loss
         self.engines = [_Engine() for _ in range(replicas)]
         self.replicas = [_replica(number) for number in range(replicas)]
-        self.loads_of = []
+        self.loads_by_daemon = []
         for _ in range(daemons):
-            self.loads_of.append(ReplicaLoads(Attestations(1e9)))
+            self.loads_by_daemon.append(ReplicaLoads(Attestations(1e9)))
         make = make_routing_policy
         self.policies = [make(policy, self.source, **parameters) for _ in range(daemons)]
         self.loads: deque = deque()
 
     def run(self, arrivals: list[Arrival], slow=(), dying=()) -> Outcome:
-        """Replay `arrivals`; engines in `slow` run at a third, those in `dying` die half way."""
+        """Replay `arrivals`; engines in `slow` run at a third, those in `dying` die halfway."""
         outcome = Outcome()
         for number in slow:
-            self.engines[number].slowness = 3.0
+            self.engines[number].slowdown_factor = 3.0
         pending = deque(arrivals)
         now_s, end_s = 0.0, arrivals[-1].at_s
         step = 0
@@ -157,16 +157,16 @@
                 self._kill(dying, now_s, outcome)
                 dying = ()
             if step % 10 == 0:
-                self._tell(now_s)
+                self._deliver_updates(now_s)
             while pending and pending[0].at_s <= now_s:
                 self._route(pending.popleft(), now_s, outcome)
             for engine in self.engines:
                 first, ended = engine.step()
                 for job in first:
                     outcome.first_token_s.append(now_s - job.arrival.at_s)
-                    self.loads_of[job.daemon].note_first_token(job.flight, now_s)
+                    self.loads_by_daemon[job.daemon].note_first_token(job.in_flight_request, now_s)
                 for job in ended:
-                    self.loads_of[job.daemon].note_ended(job.flight)
+                    self.loads_by_daemon[job.daemon].note_ended(job.in_flight_request)
         return outcome
 
     def _kill(self, dying, now_s: float, outcome: Outcome) -> None:
@@ -176,36 +176,36 @@
             jobs = [*engine.running, *engine.waiting]
             engine.running, engine.waiting = [], deque()
             for job in jobs:
-                self.loads_of[job.daemon].note_ended(job.flight)
+                self.loads_by_daemon[job.daemon].note_ended(job.in_flight_request)
                 if not job.started:
                     self._route(job.arrival, now_s, outcome)
 
-    def _tell(self, now_s: float) -> None:
-        """Let loads and cache events that are old enough reach the daemons."""
+    def _deliver_updates(self, now_s: float) -> None:
+        """Deliver load reports and cache events to the daemons, `lag_s` after they arose."""
         self.loads.append((now_s, [(len(e.running), len(e.waiting)) for e in self.engines]))
         while len(self.loads) > 1 and self.loads[1][0] <= now_s - self.lag_s:
             self.loads.popleft()
-        _, shown = self.loads[0]
-        for loads in self.loads_of:
-            for replica, (running, waiting) in zip(self.replicas, shown, strict=True):
+        _, reported_loads = self.loads[0]
+        for loads in self.loads_by_daemon:
+            for replica, (running, waiting) in zip(self.replicas, reported_loads, strict=True):
                 loads.attestations.accept(
                     Attestation(replica.replica_id, replica.generation, now_s, running, waiting)
                 )
         for engine, replica in zip(self.engines, self.replicas, strict=True):
-            due = [e for at_s, e in engine.events if at_s <= now_s - self.lag_s]
+            due_events = [e for at_s, e in engine.events if at_s <= now_s - self.lag_s]
             engine.events = [x for x in engine.events if x[0] > now_s - self.lag_s]
-            kept = tuple(e for e in due if self.source.random() >= self.loss)
-            for loads in self.loads_of:
-                loads.apply_events(replica.replica_id, CacheEvents("one", kept))
+            delivered_events = tuple(e for e in due_events if self.source.random() >= self.loss)
+            for loads in self.loads_by_daemon:
+                loads.apply_events(replica.replica_id, CacheEvents("one", delivered_events))
 
     def _route(self, arrival: Arrival, now_s: float, outcome: Outcome) -> None:
-        loads = self.loads_of[arrival.daemon]
+        loads = self.loads_by_daemon[arrival.daemon]
         alive = [r for r, e in zip(self.replicas, self.engines, strict=True) if not e.dead]
-        candidates = loads.candidates(alive, arrival.blocks, now_s, len(self.loads_of))
+        candidates = loads.candidates(alive, arrival.blocks, now_s, len(self.loads_by_daemon))
         request = RouteRequest("draft", arrival.blocks)
         chosen = self.policies[arrival.daemon].choose(candidates, request)
-        flight = loads.note_sent(chosen.replica, arrival.blocks, now_s)
-        job = _Job(arrival, 0, arrival.tokens, flight, arrival.daemon)
+        in_flight_request = loads.note_sent(chosen.replica, arrival.blocks, now_s)
+        job = _Job(arrival, 0, arrival.tokens, in_flight_request, arrival.daemon)
         engine = self.engines[self.replicas.index(chosen.replica)]
         outcome.reused += engine.accept(job, now_s)
         outcome.blocks += len(arrival.blocks)
@@ -226,26 +226,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """Kinds of requests: weight, shared prefixes, their blocks, own blocks, answer tokens."""
+    """A mix of request kinds.
+
+    Each kind has a weight, the number of shared prefixes, the blocks of a shared prefix, the blocks
+    of the request alone, and the mean tokens of an answer.
+    """
 
     name: str
     kinds: tuple[tuple[float, int, int, int, int], ...]
 
 
-NIGHT = Mix("deadline_night", ((0.7, 30, 24, 8, 400), (0.3, 10, 40, 20, 150)))
-SCHOOL = Mix("after_school", ((0.3, 20, 20, 10, 350), (0.5, 40, 16, 3, 80), (0.2, 15, 12, 4, 15)))
+DEADLINE_NIGHT_MIX = Mix("deadline_night", ((0.7, 30, 24, 8, 400), (0.3, 10, 40, 20, 150)))
+AFTER_SCHOOL_MIX = Mix(
+    "after_school", ((0.3, 20, 20, 10, 350), (0.5, 40, 16, 3, 80), (0.2, 15, 12, 4, 15))
+)
 
 
-def steps_of(mix: Mix) -> float:
-    """Return the mean slot-steps of a request."""
+def mean_slot_steps(mix: Mix) -> float:
+    """Return how many steps a request of the mix occupies a slot on average."""
     total = sum(kind[0] for kind in mix.kinds)
     return sum(kind[0] * (kind[4] + 3) for kind in mix.kinds) / total
 
 
 def make_arrivals(mix: Mix, load: float, replicas: int, daemons: int, seconds: float, seed: int):
-    """Return seeded arrivals at a part `load` of the replicas' capacity."""
+    """Return seeded arrivals at a rate of `load` times the capacity of the replicas."""
     source = random.Random(seed)
-    rate_per_s = load * replicas * SLOTS / (steps_of(mix) * STEP_S)
+    rate_per_s = load * replicas * SLOTS / (mean_slot_steps(mix) * STEP_S)
     found, at_s, serial = [], 0.0, 10**9
     weights = [kind[0] for kind in mix.kinds]
     while at_s < seconds:
--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -1,4 +1,4 @@
-"""Many daemons as real processes on loopback, with stand-ins, for measurements of control."""
+"""Fleets of daemon processes on loopback with stand-ins, for benchmarks of the control plane."""
 
 import json
 import re
@@ -13,13 +13,13 @@
 
 KEY = "bench-key"
 HALL = "hall-0"
-STARTED_AT_ONCE = 8
-DOMAIN_BOXES = 16
+CONCURRENT_STARTS = 8
+BOXES_PER_DOMAIN = 16
 IN_FORCE = re.compile(r"time=(\S+) .*event=table_in_force revision=(\d+)")
 
 
 def call(url: str, body=None) -> dict:
-    """Read JSON, or post it."""
+    """Return the JSON reply to a GET, or to a POST of `body` if it is given."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data, {"Authorization": f"Bearer {KEY}"})
     with urllib.request.urlopen(request, timeout=30) as response:
@@ -27,7 +27,7 @@
 
 
 class Fleet:
-    """Halls of daemons.
+    """Daemons of several halls, with their stand-ins and a filled table.
 
     Parameters
     ----------
@@ -36,17 +36,17 @@
     replicas : int
         Replicas of each hall, of four boxes.
     module : str, default="ferrydock.daemon"
-        What to run as daemon.
+        Module that is run as the daemon.
     """
 
     def __init__(self, sizes: dict[str, int], replicas: int, module: str = "ferrydock.daemon"):
-        domains = -(-replicas * 4 // DOMAIN_BOXES) + 1
+        domains = -(-replicas * 4 // BOXES_PER_DOMAIN) + 1
         self.standins = Program(
             "ferrydock.standins",
             "--listen=127.0.0.1:0",
             "--halls=" + ",".join(sizes),
             f"--domains_per_hall={domains}",
-            f"--boxes_per_domain={DOMAIN_BOXES}",
+            f"--boxes_per_domain={BOXES_PER_DOMAIN}",
             "--weight_rate_bytes_per_s=1e12",
         )
         self.daemons: dict[str, list[Program]] = {hall: [] for hall in sizes}
@@ -57,9 +57,9 @@
             first.wait_ready()
             seeds.append(first.ready["peer_listen"])
         for hall, size in sizes.items():
-            self._start_rest(hall, size - 1, seeds)
-        self.everyone = [d for daemons in self.daemons.values() for d in daemons]
-        self._fill(list(sizes), replicas)
+            self._start_remaining(hall, size - 1, seeds)
+        self.all_daemons = [d for daemons in self.daemons.values() for d in daemons]
+        self._fill_table(list(sizes), replicas)
 
     def _start(self, hall: str, seeds: list[str]) -> Program:
         daemon = Program(
@@ -76,14 +76,14 @@
         self.daemons[hall].append(daemon)
         return daemon
 
-    def _start_rest(self, hall: str, count: int, seeds: list[str]) -> None:
+    def _start_remaining(self, hall: str, count: int, seeds: list[str]) -> None:
         while count > 0:
-            batch = [self._start(hall, seeds) for _ in range(min(STARTED_AT_ONCE, count))]
+            batch = [self._start(hall, seeds) for _ in range(min(CONCURRENT_STARTS, count))]
             for daemon in batch:
                 daemon.wait_ready()
             count -= len(batch)
 
-    def _fill(self, halls: list[str], replicas: int) -> None:
+    def _fill_table(self, halls: list[str], replicas: int) -> None:
         changes = []
         rows = {
             ("site", "site"): {"operator_key_digests": digest_key(KEY)},
@@ -99,18 +99,18 @@
 
     def edit(self, changes: list) -> tuple[int, float]:
         """Edit the table; return the revision and the wall-clock time of its acceptance."""
-        url = self.everyone[0].url
+        url = self.all_daemons[0].url
         base = call(url + "/operator/table")["revision"]
         fields = {"edit_id": f"bench{time.time_ns()}", "base_revision": base, "changes": changes}
         accepted = call(url + "/operator/edits", fields)
         return accepted["revision"], time.time()
 
     def status(self, daemon: Program) -> dict:
-        """Return what one daemon knows."""
+        """Return the status that one daemon reports to operators."""
         return call(daemon.url + "/operator/status")
 
     def wait_serving(self, replicas: int) -> None:
-        """Wait until every hall has its replicas, and everyone knows."""
+        """Wait until the first and last daemon of each hall see `replicas` complete replicas."""
         for daemons in self.daemons.values():
             for daemon in (daemons[0], daemons[-1]):
                 wait_until(
@@ -121,26 +121,29 @@
                     120,
                 )
 
-    def in_force_s(self, revision: int, since_s: float, daemons: list[Program]) -> list[float]:
-        """Wait until `revision` is in force on `daemons`; return the seconds that each took."""
-        return [self._one_in_force(d, revision) - since_s for d in daemons]
+    def in_force_s(self, revision: int, accepted_s: float, daemons: list[Program]) -> list[float]:
+        """Wait until `revision` is in force on `daemons`.
+
+        Return for each the seconds since its acceptance at the wall-clock time `accepted_s`.
+        """
+        return [self._one_in_force(d, revision) - accepted_s for d in daemons]
 
     def _one_in_force(self, daemon: Program, revision: int) -> float:
-        def found():
+        def time_in_force():
             for stamp, number in IN_FORCE.findall(Path(daemon.log.name).read_text()):
                 if int(number) >= revision:
                     return datetime.fromisoformat(stamp).timestamp()
             return None
 
-        return wait_until(found, f"revision {revision} in force", 60)
+        return wait_until(time_in_force, f"revision {revision} in force", 60)
 
     def store_calls(self) -> dict[str, int]:
-        """Return how often the stand-in store was called so far."""
+        """Return the number of calls to the stand-in store so far, by kind."""
         with urllib.request.urlopen(self.standins.url + "/counts") as response:
             return json.loads(response.read())["store_calls"]
 
     def end(self) -> None:
-        """Kill everything."""
+        """Kill all daemons and the stand-ins."""
         for daemons in self.daemons.values():
             for daemon in daemons:
                 daemon.end()
@@ -148,7 +151,7 @@
 
 
 def memory_share() -> float:
-    """Return the part of the machine's memory that is in use."""
+    """Return the fraction of the machine's memory that is in use."""
     fields = {}
     for line in Path("/proc/meminfo").read_text().splitlines():
         name, value = line.split(":")
--- a/benchmarks/_passthrough.py
+++ b/benchmarks/_passthrough.py
@@ -1,4 +1,4 @@
-"""A bare aiohttp pass-through, the baseline of `benchmarks.gateway`."""
+"""A minimal aiohttp reverse proxy, the baseline of `benchmarks.gateway`."""
 
 import asyncio
 import logging
--- a/benchmarks/_processes.py
+++ b/benchmarks/_processes.py
@@ -1,4 +1,4 @@
-"""Programs that a benchmark runs beside itself, and what they use of the machine."""
+"""Programs that a benchmark runs as processes, and their processor time and memory."""
 
 import os
 import re
@@ -16,19 +16,19 @@
 
 
 def wait_until(condition, what: str, limit_s: float = 60.0):
-    """Wait until `condition` returns something true, and return it."""
+    """Poll `condition` until it returns a true value, and return that value."""
     end_s = time.monotonic() + limit_s
     while True:
         found = condition()
         if found:
             return found
         if time.monotonic() > end_s:
-            raise SystemExit(f"benchmark: still not so after {limit_s} s: {what}")
+            raise SystemExit(f"benchmark: condition not met within {limit_s} s: {what}")
         time.sleep(0.05)
 
 
 class Program:
-    """A Python module run as a process; it says ``event=ready`` when it listens."""
+    """A Python module run as a process, which logs ``event=ready`` once it listens."""
 
     def __init__(self, module: str, *arguments: str, wait: bool = True):
         self.log = tempfile.NamedTemporaryFile(prefix="ferrydock-")  # noqa: SIM115
@@ -52,11 +52,11 @@
 
     @property
     def url(self) -> str:
-        """Base address."""
+        """The base URL at which the program listens."""
         return "http://" + self.ready["listen"]
 
     def cpu_s(self) -> float:
-        """Return the processor time used so far."""
+        """Return the processor seconds that the process has used."""
         fields = Path(f"/proc/{self.popen.pid}/stat").read_text().rsplit(") ", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
@@ -66,7 +66,7 @@
         return int(fields[1]) * PAGE_BYTES
 
     def private_bytes(self) -> int:
-        """Return the memory that no other process shares."""
+        """Return the memory that is not shared with another process."""
         total = 0
         for line in Path(f"/proc/{self.popen.pid}/smaps_rollup").read_text().splitlines():
             if line.startswith(("Private_Clean:", "Private_Dirty:")):
--- a/benchmarks/_replay.py
+++ b/benchmarks/_replay.py
@@ -1,7 +1,7 @@
 """Replays a trace of box failures through a placement policy, in virtual time.
 
-It replays decisions, not a cluster: boxes carry out every order, loads share one rate first come
-first served, and the controller sees a silence after `DETECTION_S`.
+Only decisions are simulated: boxes execute every order, weights load one after another at one
+rate, and the controller detects a silent box after `DETECTION_S`.
 """
 
 import heapq
@@ -24,25 +24,25 @@
 from ferrydock.table import RowKey, Table
 
 DETECTION_S = 2.0
-SWITCH_S = 1.0
+MODEL_SWITCH_S = 1.0
 DRAIN_S = 20.0
-LOOK_AGAIN_S = 60.0
-MOST_ROUNDS = 20
+REPLAN_INTERVAL_S = 60.0
+MAX_PLANNING_ROUNDS = 20
 DAY_S = 86400.0
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One hall and its failure rates, each a day and for the whole hall.
+    """One hall and its failure rates, per day for the hall as a whole.
 
     Attributes
     ----------
     domains, boxes_per_domain : int
         The hall's boxes.
     boxes_per_replica, replicas : int
-        What the table asks for.
+        Boxes of a replica, and replicas of the hall, as set in the table.
     deaths, restarts, replacements, pauses, racks : float
-        Events a day.
+        Events per day.
     """
 
     domains: int
@@ -62,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A box goes at `at_s` for `lasts_s`; `keeps` says whether its engine comes back as it was."""
+    """A box fails at `at_s` for `lasts_s`; with `keeps_state` its engine survives."""
 
     at_s: float
     box: int
     lasts_s: float
-    keeps: bool
+    keeps_state: bool
     notice_s: float = 0.0
 
 
@@ -76,7 +76,7 @@
     boxes = setting.domains * setting.boxes_per_domain
     found: list[Outage] = []
 
-    def times(per_day: float):
+    def event_times(per_day: float):
         at_s = 0.0
         while per_day > 0:
             at_s += source.expovariate(per_day / DAY_S)
@@ -84,17 +84,17 @@
                 return
             yield at_s
 
-    for at_s in times(setting.deaths):
+    for at_s in event_times(setting.deaths):
         found.append(Outage(at_s, source.randrange(boxes), source.uniform(7200, 28800), False))
-    for at_s in times(setting.restarts):
+    for at_s in event_times(setting.restarts):
         found.append(Outage(at_s, source.randrange(boxes), source.uniform(60, 240), False))
-    for at_s in times(setting.replacements):
+    for at_s in event_times(setting.replacements):
         lasts_s = source.uniform(300, 1800)
         found.append(Outage(at_s, source.randrange(boxes), lasts_s, False, notice_s=180.0))
-    for at_s in times(setting.pauses):
+    for at_s in event_times(setting.pauses):
         lasts_s = min(600.0, source.lognormvariate(1.8, 1.0))
         found.append(Outage(at_s, source.randrange(boxes), lasts_s, True))
-    for at_s in times(setting.racks):
+    for at_s in event_times(setting.racks):
         domain = source.randrange(setting.domains)
         lasts_s = source.uniform(1800, 14400)
         first = domain * setting.boxes_per_domain
@@ -108,10 +108,10 @@
     state: BoxState
     up: bool = True
     down_until_s: float = 0.0
-    silent_s: float | None = None
+    silent_from_s: float | None = None
     leaving: bool = False
     ready_s: float | None = None
-    boots: int = 0
+    boot_count: int = 0
 
 
 @dataclass(slots=True)
@@ -121,17 +121,17 @@
     Attributes
     ----------
     short_s : float
-        Replica-seconds short of what the table asks.
+        Replica-seconds missing from the number of replicas set in the table.
     stranded_s : float
         Box-seconds of healthy boxes that serve nothing, spares included.
     spare_s : float
-        The part of them in boxes that belong to no replica.
+        Box-seconds of healthy boxes that belong to no replica; part of `stranded_s`.
     bound_short_s, bound_stranded_s : float
-        The same for whoever knows the future and needs no time.
+        `short_s` and `stranded_s` of an ideal policy whose changes take no time.
     loads : int
-        Parts of weights that were read.
+        Weight loads, one for each box that loads a model.
     plans : int
-        Decisions made.
+        Calls of the policy.
     """
 
     short_s: float = 0.0
@@ -144,18 +144,18 @@
 
 
 class Replay:
-    """One hall under one policy.
+    """Simulates one hall under one placement policy.
 
     Parameters
     ----------
     setting : Setting
-        The hall.
+        The hall and its failure rates.
     policy : str
         Name of a registered placement policy.
     keeps_weights : bool
         Whether a box that leaves a replica keeps its weights.
     **parameters
-        Of the policy.
+        Parameters of the policy.
     """
 
     def __init__(self, setting: Setting, policy: str, keeps_weights: bool, **parameters):
@@ -170,10 +170,10 @@
         self.boxes: dict[str, _Box] = {}
         self.figures = Figures()
         self.now_s = 0.0
-        self.free_at_s = 0.0
+        self.weight_store_free_s = 0.0
         self.events: list = []
-        self.ticket = itertools.count()
-        self.drain_since: dict[str, float] = {}
+        self.event_numbers = itertools.count()
+        self.drain_started_s: dict[str, float] = {}
         for number in range(setting.domains * setting.boxes_per_domain):
             name = f"b{number:04d}"
             box = Box(name, "hall", f"d{number // setting.boxes_per_domain}", name)
@@ -199,7 +199,7 @@
         return self.figures
 
     def _at(self, at_s: float, kind: str, name: str, outage) -> None:
-        heapq.heappush(self.events, (at_s, next(self.ticket), kind, name, outage))
+        heapq.heappush(self.events, (at_s, next(self.event_numbers), kind, name, outage))
 
     def _advance_to_next(self) -> bool:
         at_s, _, kind, name, outage = heapq.heappop(self.events)
@@ -210,15 +210,15 @@
         if kind == "notice":
             self.boxes[name].leaving = True
         elif kind == "down":
-            self._take_down(name, outage)
+            self._fail_box(name, outage)
         elif kind == "up":
-            self._bring_back(name, outage)
+            self._return_box(name, outage)
         elif kind == "ready":
-            self._make_ready(name)
+            self._complete_load(name)
         self._decide()
         return True
 
-    def _take_down(self, name: str, outage: Outage) -> None:
+    def _fail_box(self, name: str, outage: Outage) -> None:
         box = self.boxes[name]
         box.leaving = False
         if not box.up:
@@ -230,19 +230,19 @@
         wait_s = self.view.site.member_wait_s
         self._at(self.now_s + DETECTION_S + wait_s + 0.01, "look", name, None)
 
-    def _bring_back(self, name: str, outage: Outage) -> None:
+    def _return_box(self, name: str, outage: Outage) -> None:
         box = self.boxes[name]
         box.up = True
-        if box.silent_s is not None:
-            self.absences.record(AbsenceCause.SILENT, self.now_s - box.silent_s)
-            box.silent_s = None
-        if not outage.keeps:
-            box.boots += 1
+        if box.silent_from_s is not None:
+            self.absences.record(AbsenceCause.SILENT, self.now_s - box.silent_from_s)
+            box.silent_from_s = None
+        if not outage.keeps_state:
+            box.boot_count += 1
             box.ready_s = None
-            incarnation = f"{name}#{box.boots}"
+            incarnation = f"{name}#{box.boot_count}"
             box.state = BoxState(name, incarnation, Fence(0, 0, 0), BoxPhase.IDLE)
 
-    def _make_ready(self, name: str) -> None:
+    def _complete_load(self, name: str) -> None:
         box = self.boxes[name]
         if box.ready_s is None or box.ready_s > self.now_s + 1e-9 or not box.up:
             return
@@ -261,32 +261,32 @@
         for name, box in self.boxes.items():
             missing_s = 0.0
             if not box.up:
-                down_s = self.now_s - (box.silent_s or self.now_s)
-                if box.silent_s is None:
-                    box.silent_s = self.now_s
+                down_s = self.now_s - (box.silent_from_s or self.now_s)
+                if box.silent_from_s is None:
+                    box.silent_from_s = self.now_s
                 missing_s = max(down_s + DETECTION_S, 1e-3)
             found[name] = ObservedBox(box.box, box.state, missing_s, leaving=box.leaving)
         return found
 
     def _decide(self) -> None:
-        """Let the policy decide until it has nothing more to change."""
-        for _ in range(MOST_ROUNDS):
+        """Apply plans of the policy until the placement and the orders no longer change."""
+        for _ in range(MAX_PLANNING_ROUNDS):
             boxes = self._observed()
             drained = self._drained()
-            given = PlacementInput(
+            planning_input = PlacementInput(
                 self.placement, self.view, boxes, drained, self.setting.rate_bytes_per_s
             )
             self.figures.plans += 1
-            plan = self.policy.plan(given)
+            plan = self.policy.plan(planning_input)
             before, self.placement = self.placement, plan.placement
             orders = pending_orders(self.placement, self.view, boxes)
             for addressed in orders:
-                self._obey(addressed.box, addressed.order)
+                self._execute_order(addressed.box, addressed.order)
             if self.placement is before and not orders:
                 break
-        broken = any(not b.up for b in self.boxes.values()) or self.drain_since
+        broken = any(not b.up for b in self.boxes.values()) or self.drain_started_s
         if broken and not any(e[2] == "again" for e in self.events[:8]):
-            self._at(self.now_s + LOOK_AGAIN_S, "again", "", None)
+            self._at(self.now_s + REPLAN_INTERVAL_S, "again", "", None)
 
     def _drained(self) -> frozenset[str]:
         draining = {
@@ -294,33 +294,35 @@
             for r in self.placement.replicas.values()
             if r.phase is ReplicaPhase.DRAINING
         }
-        for replica_id in self.drain_since.keys() - draining:
-            del self.drain_since[replica_id]
-        for replica_id in draining - self.drain_since.keys():
-            self.drain_since[replica_id] = self.now_s
+        for replica_id in self.drain_started_s.keys() - draining:
+            del self.drain_started_s[replica_id]
+        for replica_id in draining - self.drain_started_s.keys():
+            self.drain_started_s[replica_id] = self.now_s
             self._at(self.now_s + DRAIN_S + 0.01, "look", "", None)
         return frozenset(
-            r for r, since_s in self.drain_since.items() if self.now_s - since_s >= DRAIN_S
+            r for r, since_s in self.drain_started_s.items() if self.now_s - since_s >= DRAIN_S
         )
 
-    def _obey(self, name: str, order) -> None:
+    def _execute_order(self, name: str, order) -> None:
         box = self.boxes[name]
         if order.fence <= box.state.fence:
             return
         held = box.state.held
         box.ready_s = None
         if order.action is OrderAction.RELEASE:
-            kept = held if self.keeps_weights else ()
-            box.state = BoxState(name, box.state.incarnation, order.fence, BoxPhase.IDLE, held=kept)
+            held_after_release = held if self.keeps_weights else ()
+            box.state = BoxState(
+                name, box.state.incarnation, order.fence, BoxPhase.IDLE, held=held_after_release
+            )
             return
         wanted = (order.model, order.version)
         loading = wanted not in held
         if loading:
             self.figures.loads += 1
-            start_s = max(self.now_s, self.free_at_s)
-            self.free_at_s = start_s + order.weight_bytes / self.setting.rate_bytes_per_s
-        took_until_s = self.free_at_s if loading else self.now_s
-        box.ready_s = took_until_s + SWITCH_S
+            start_s = max(self.now_s, self.weight_store_free_s)
+            self.weight_store_free_s = start_s + order.weight_bytes / self.setting.rate_bytes_per_s
+        loaded_s = self.weight_store_free_s if loading else self.now_s
+        box.ready_s = loaded_s + MODEL_SWITCH_S
         joins = order.action is OrderAction.LOAD
         box.state = BoxState(
             name,
@@ -354,13 +356,13 @@
         for box in healthy:
             domain = box.box.fabric_domain
             per_domain[domain] = per_domain.get(domain, 0) + 1
-        best = min(wanted, sum(count // size for count in per_domain.values()))
+        max_replicas = min(wanted, sum(count // size for count in per_domain.values()))
         figures = self.figures
         figures.short_s += span_s * max(0, wanted - serving)
         figures.stranded_s += span_s * (len(healthy) - serving * size)
         figures.spare_s += span_s * spare
-        figures.bound_short_s += span_s * (wanted - best)
-        figures.bound_stranded_s += span_s * (len(healthy) - best * size)
+        figures.bound_short_s += span_s * (wanted - max_replicas)
+        figures.bound_stranded_s += span_s * (len(healthy) - max_replicas * size)
 
     def _serves(self, name: str, replica) -> bool:
         box = self.boxes[name]
--- a/benchmarks/_report.py
+++ b/benchmarks/_report.py
@@ -1,4 +1,4 @@
-"""How benchmarks print what they measured."""
+"""Output lines of benchmarks: measured figures and checks."""
 
 from ferrydock.logs import format_event
 
@@ -13,7 +13,7 @@
 
 
 def print_check(benchmark: str, figure: str, value: float, wanted: str) -> bool:
-    """Print one line that compares a measured figure with what is wanted, such as ``<=0.35``."""
+    """Print whether a measured figure meets a bound such as ``<=0.35``; return the result."""
     sign, bound = wanted[:2], float(wanted[2:])
     met = _COMPARISONS[sign](value, bound)
     word = "yes" if met else "no"
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,4 +1,4 @@
-"""At most once: seeded histories of crashes, lost answers, duplicates and outages."""
+"""At-most-once execution under seeded crashes, lost answers, duplicates and store outages."""
 
 import argparse
 import asyncio
@@ -21,13 +21,13 @@
 from ._report import print_check, print_row
 
 NAME = "claims"
-TRIES = 10
-KEYS = 3
-PLAYED_AT_ONCE = 250
+ATTEMPTS_PER_HISTORY = 10
+KEY_COUNT = 3
+CONCURRENT_HISTORIES = 250
 
 
 class History:
-    """One history, and the naive reference that counts what really ran."""
+    """One seeded history of requests, with its own count of actual executions by key."""
 
     def __init__(self, seed: int):
         self.source = random.Random(seed)
@@ -39,12 +39,12 @@
         self.answered = 0
 
     async def play(self) -> None:
-        """Let callers send and send again through daemons that fail in all ways."""
-        for _ in range(TRIES):
-            await self._one_try(f"k{self.source.randrange(KEYS)}")
+        """Send requests for a few keys repeatedly, while daemons and their store calls fail."""
+        for _ in range(ATTEMPTS_PER_HISTORY):
+            await self._attempt(f"k{self.source.randrange(KEY_COUNT)}")
         self.doubled = sum(count > 1 for count in self.runs.values())
 
-    async def _one_try(self, key: str) -> None:
+    async def _attempt(self, key: str) -> None:
         source = self.source
         store = FaultyStore(self.memory)
         store.down = source.random() < 0.1
@@ -53,11 +53,11 @@
         daemon = ClaimStore(store, ClaimWriter(store), ManualClock(), 3600.0, "d")
         runs_before = self.runs.get(key, 0)
         found = await daemon.open("team", key, 0.0)
-        fate = source.random()
+        outcome_draw = source.random()
         if isinstance(found, Claim):
-            if fate > 0.15:
+            if outcome_draw > 0.15:
                 self.runs[key] = runs_before + 1
-            if fate > 0.3:
+            if outcome_draw > 0.3:
                 store.lose_writes = 0
                 await daemon.end(found, 200, "text/plain", key.encode())
         elif isinstance(found, ClaimEnd):
@@ -70,10 +70,12 @@
 
 
 async def play_all(count: int) -> dict[str, int]:
-    """Play seeded histories and add up what went wrong."""
+    """Run `count` seeded histories; return the totals of their counters."""
     total = {"doubled": 0, "false_not_run": 0, "wrong_answers": 0, "answered": 0, "runs": 0}
-    for start in range(0, count, PLAYED_AT_ONCE):
-        histories = [History(seed) for seed in range(start, min(count, start + PLAYED_AT_ONCE))]
+    for start in range(0, count, CONCURRENT_HISTORIES):
+        histories = [
+            History(seed) for seed in range(start, min(count, start + CONCURRENT_HISTORIES))
+        ]
         await asyncio.gather(*(history.play() for history in histories))
         for history in histories:
             total["runs"] += sum(history.runs.values())
@@ -83,19 +85,19 @@
 
 
 async def writes_per_thousand(rate_per_s: float, seconds: float, wait_s: float) -> float:
-    """Return store transactions per thousand claims that come at a steady rate to one writer."""
+    """Return store transactions per thousand claims that reach one writer at a steady rate."""
     memory = MemoryStore()
     store = FaultyStore(memory)
     writer = ClaimWriter(store, wait_s)
-    book = ClaimStore(store, writer, memory.clock, 3600.0, "d")
+    claims = ClaimStore(store, writer, memory.clock, 3600.0, "d")
     count = max(20, int(rate_per_s * seconds))
 
-    async def one(number: int) -> None:
+    async def run_claim(number: int) -> None:
         await asyncio.sleep(number / rate_per_s)
-        claim = await book.open("team", f"k{number}", memory.clock.now_s() + 5)
-        await book.end(claim, 200, "text/plain", b"x")
+        claim = await claims.open("team", f"k{number}", memory.clock.now_s() + 5)
+        await claims.end(claim, 200, "text/plain", b"x")
 
-    await asyncio.gather(*(one(number) for number in range(count)))
+    await asyncio.gather(*(run_claim(number) for number in range(count)))
     return writer.transaction_count / count * 1000
 
 
@@ -109,12 +111,12 @@
     total = asyncio.run(play_all(count))
     print_row(NAME, histories=count, **total)
     for rate_per_s in rates_per_s:
-        alone = asyncio.run(writes_per_thousand(rate_per_s, 3.0, GROUP_WAIT_S))
+        direct = asyncio.run(writes_per_thousand(rate_per_s, 3.0, GROUP_WAIT_S))
         relayed = asyncio.run(writes_per_thousand(rate_per_s, 3.0, RELAYED_WAIT_S))
         print_row(
             NAME,
             claims_per_s=rate_per_s,
-            writes_per_thousand=alone,
+            writes_per_thousand=direct,
             writes_per_thousand_relayed=relayed,
         )
     for figure in ("doubled", "false_not_run", "wrong_answers"):
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -1,4 +1,4 @@
-"""What control costs a daemon without callers, in halls of 9, 38 and 76, with five halls."""
+"""Control-plane cost of an idle daemon in a hall of 9, 38 or 76 daemons, one of five halls."""
 
 import argparse
 import statistics
@@ -9,18 +9,18 @@
 from ._report import print_check, print_row
 
 NAME = "control_cost"
-OTHER_HALLS = 4
-SIZES = {9: 4, 38: 18, 76: 36}
-LARGE_HALL = 76
-LARGE_HALL_TTL_S = "3"  # as docs/CAPACITY.md advises: a statement takes some rounds to reach all
+OTHER_HALLS_COUNT = 4
+REPLICAS_BY_HALL_SIZE = {9: 4, 38: 18, 76: 36}
+LARGE_HALL_DAEMONS = 76
+LARGE_HALL_ATTESTATION_TTL_S = "3"  # docs/CAPACITY.md: attestations take rounds to spread
 
 
 def measure(size: int, replicas: int, seconds: float) -> dict[str, float]:
-    """Return the cost of one daemon in a hall of `size`."""
-    sizes = {HALL: size} | {f"hall-{i}": 1 for i in range(1, OTHER_HALLS + 1)}
+    """Measure a hall of `size` daemons for `seconds`; print and return the costs of a daemon."""
+    sizes = {HALL: size} | {f"hall-{i}": 1 for i in range(1, OTHER_HALLS_COUNT + 1)}
     fleet = Fleet(sizes, replicas)
-    if size >= LARGE_HALL:
-        fleet.edit([["site", "site", "attestation_ttl_s", LARGE_HALL_TTL_S]])
+    if size >= LARGE_HALL_DAEMONS:
+        fleet.edit([["site", "site", "attestation_ttl_s", LARGE_HALL_ATTESTATION_TTL_S]])
     try:
         fleet.wait_serving(replicas)
         time.sleep(6)
@@ -56,7 +56,7 @@
 
 
 def whole_share(fleet: Fleet) -> float:
-    """Return the part of the replicas that a daemon of the hall sees as whole, on average."""
+    """Return the fraction of replicas seen as complete, averaged over daemons of the hall."""
     shares = []
     for daemon in fleet.daemons[HALL]:
         replicas = fleet.status(daemon)["replicas"]
@@ -77,7 +77,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="only the hall of 9, shorter")
     arguments = parser.parse_args()
-    wanted = {9: SIZES[9]} if arguments.quick else SIZES
+    wanted = {9: REPLICAS_BY_HALL_SIZE[9]} if arguments.quick else REPLICAS_BY_HALL_SIZE
     seconds = 4.0 if arguments.quick else 15.0
     rows = [measure(size, replicas, seconds) for size, replicas in wanted.items()]
     last = rows[-1]
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -1,12 +1,12 @@
-"""What it costs a daemon to know requests that crash their targets.
+"""Cost to a daemon of the history of requests that crash their targets.
 
-Of each request, by the size of its body: naming it and asking whether it is refused, with nothing
-known, with a full history, and with one that is full of refused requests; before there was a
-history, 0. Of a record: memory. Of a death of targets: bytes and time to tell a peer.
+Per request, by size of its body: processor time to compute its identity and to check whether it is
+refused, with an empty history, a full one, and one full of refused requests. Without a history the
+cost is 0. Per record: memory. Per crash of targets: bytes and seconds to update a peer.
 
-On one machine of 8 shared cores:
+On one machine with 8 shared cores:
 
-    body of 0.1, 1, 10, 256 kB      3, 4 to 6, 18 to 20, 390 to 410 us each; beside other runs
+    body of 0.1, 1, 10, 256 kB      3, 4 to 6, 18 to 20, 390 to 410 us each; on a busy machine
                                     5, 7, 24 to 28, 590 to 610 us
     record, one crash and eight     0.56, 2.4 kB
     200 targets with 9 requests     4 messages, 0.39 MB in all, 47 ms
@@ -30,16 +30,16 @@
 NAME = "crashes"
 BODY_BYTES = (100, 1000, 10_000, 262_144)
 
-# What one request may cost more than before, in microseconds: 0.02 of the 0.58 ms of a core that a
-# short request takes (docs/CAPACITY.md), for a body of 1 kB.
+# Maximum cost added to a request with a body of 1 kB: 0.02 of the 0.58 ms of processor time that a
+# short request takes (docs/CAPACITY.md).
 MAX_ADDED_US = 10.0
 
-# A daemon may use 128 MB in all; a full history gets this much, in MB. Chosen, not measured.
+# Maximum memory of a full history, of the 128 MB that a daemon may use in total.
 MAX_HISTORY_MB = 8.0
 
 
-class Silent:
-    """Takes verdicts and logs nothing."""
+class IgnoringListener:
+    """A listener of the history that ignores all notifications."""
 
     def refusal_started(self, identity, crashes, for_s):
         """Do nothing."""
@@ -49,9 +49,9 @@
 
 
 def history_of(requests: int, crashes: int) -> CrashHistory:
-    """Return a history of requests with some crashes in a row each."""
+    """Return a history in which each request has `crashes` consecutive crashes."""
     clock = SystemClock()
-    history = CrashHistory(clock, Silent())
+    history = CrashHistory(clock, IgnoringListener())
     now_s = clock.now_s()
     for number in range(requests):
         identity = request_identity("POST", "h", "/a/x", "team", b"%d" % number)
@@ -62,7 +62,7 @@
 
 
 def microseconds_each(history: CrashHistory, body: bytes, rounds: int) -> float:
-    """Return what naming a request and asking for it takes of a core."""
+    """Return the processor microseconds to identify one request and check it."""
     began_s = time.process_time()
     for _ in range(rounds):
         history.admit(request_identity("POST", "site.example", "/write/x", "acme", body))
@@ -70,7 +70,7 @@
 
 
 def bytes_of_record(crashes: int, requests: int) -> float:
-    """Return the memory of a record with so many crashes."""
+    """Return the bytes of memory of a record with `crashes` crashes."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     history = history_of(requests, crashes)
@@ -79,23 +79,23 @@
     return used / history.record_count
 
 
-def tell_a_peer(history: CrashHistory) -> tuple[int, int, float]:
-    """Return messages, bytes and seconds until a peer knows what a history knows."""
-    peer = CrashExchange(CrashHistory(SystemClock(), Silent()))
+def update_peer(history: CrashHistory) -> tuple[int, int, float]:
+    """Return the messages, bytes and seconds to copy all records of a history to a peer."""
+    peer = CrashExchange(CrashHistory(SystemClock(), IgnoringListener()))
     own = CrashExchange(history)
     messages, size = 0, 0
     began_s = time.perf_counter()
     while peer.history.record_count < history.record_count:
-        asked = own.request_update("peer")
-        size += len(orjson.dumps(asdict(asked)))
+        request = own.request_update("peer")
+        size += len(orjson.dumps(asdict(request)))
         messages += 1
-        peer.merge_request(asked)
-        own.merge_reply("peer", asked, peer.reply_update(asked))
+        peer.merge_request(request)
+        own.merge_reply("peer", request, peer.reply_update(request))
     return messages, size, time.perf_counter() - began_s
 
 
 def main() -> int:
-    """Print the costs; return 1 if one is above what it may be."""
+    """Print the costs; return 1 if one exceeds its maximum."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer rounds and records")
     quick = parser.parse_args().quick
@@ -105,25 +105,25 @@
         "suspected": history_of(requests, 1),
         "refused": history_of(100, 3),
     }
-    good = True
+    all_met = True
     for known, history in histories.items():
         for size in BODY_BYTES:
             each_us = microseconds_each(history, b"x" * size, max(20, rounds * 100 // size))
             print_row(NAME, known=known, body_bytes=size, before_us=0, added_us=each_us)
             if known == "nothing" and size == BODY_BYTES[1]:
-                good &= print_check(NAME, "added_us", each_us, f"<={MAX_ADDED_US}")
+                all_met &= print_check(NAME, "added_us", each_us, f"<={MAX_ADDED_US}")
     for crashes in (1, MAX_CRASHES_PER_REQUEST):
         each_bytes = bytes_of_record(crashes, 100)
         print_row(NAME, crashes=crashes, record_bytes=each_bytes)
     full_mb = each_bytes * MAX_REQUESTS / 1e6
-    good &= print_check(NAME, "full_history_mb", full_mb, f"<={MAX_HISTORY_MB}")
-    messages, size, took_s = tell_a_peer(history_of(min(requests, 1800), 1))
+    all_met &= print_check(NAME, "full_history_mb", full_mb, f"<={MAX_HISTORY_MB}")
+    messages, size, took_s = update_peer(history_of(min(requests, 1800), 1))
     print_row(
         NAME, deaths="200 targets of 9 requests", messages=messages, bytes=size, took_s=took_s
     )
-    messages, size, took_s = tell_a_peer(history_of(1, 3))
+    messages, size, took_s = update_peer(history_of(1, 3))
     print_row(NAME, deaths="one request, 3 crashes", messages=messages, bytes=size, took_s=took_s)
-    return 0 if good else 1
+    return 0 if all_met else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -1,7 +1,7 @@
-"""Placing a hall's requests: one scheduler, against daemons that know only their own requests.
+"""Request placement by the hall scheduler, against daemons that know only their own requests.
 
-Figures: the part of the requests that meet a replica whose slots are all taken, at 65 % load, with
-answers that reach the scheduler's daemons a few milliseconds late; and what a placement costs.
+Measures the fraction of requests sent to a replica without a free slot, at 65 % load, when the ends
+of requests are reported to the scheduler 22 ms late; and the processor time of a placement.
 """
 
 import argparse
@@ -20,23 +20,23 @@
 from ._report import print_check, print_row
 
 NAME = "dispatch"
-SLOTS = 10
-HOLD_S = 0.8
-LOAD = 0.65
-TELL_S = 0.022
-ENGINE = EngineSpec(SLOTS, 5.0, (ModelSpec("m", 2, 1, 12, 1),))
+SLOTS_PER_REPLICA = 10
+MEAN_HOLD_S = 0.8
+LOAD_RATIO = 0.65
+REPORT_DELAY_S = 0.022
+ENGINE = EngineSpec(SLOTS_PER_REPLICA, 5.0, (ModelSpec("m", 2, 1, 12, 1),))
 SERVICE = ServiceSpec("engines", 500, ENGINE)
 
 
-def heads(count: int) -> list[Target]:
-    """Return the heads of `count` open replicas."""
+def open_replica_heads(count: int) -> list[Target]:
+    """Return the first target (rank 0) of each of `count` open replicas."""
     return [
         Target(
             f"t{number}",
             "engines",
             "127.0.0.1:1",
             "hall",
-            SLOTS,
+            SLOTS_PER_REPLICA,
             models=("m",),
             membership=Membership(f"g{number}", 1, 0, ReplicaState.OPEN),
         )
@@ -45,23 +45,23 @@
 
 
 class Hall:
-    """A hall in which requests come and end, placed by one of two ways.
+    """A simulated hall whose requests are placed by the scheduler or by each daemon alone.
 
     Parameters
     ----------
     daemons, replicas : int
-        How many of each.
+        Numbers of daemons and replicas.
     seed : int
-        Draws arrivals and lengths.
+        Seed of the arrivals and durations of requests.
     """
 
     def __init__(self, daemons: int, replicas: int, seed: int):
         self.rng = random.Random(seed)
         self.clock = ManualClock(10.0)
-        self.targets = heads(replicas)
+        self.targets = open_replica_heads(replicas)
         self.daemons = [f"d{number}" for number in range(daemons)]
         self.running = {name: {} for name in self.daemons}
-        self.totals = dict.fromkeys((t.target_id for t in self.targets), 0)
+        self.in_flight_by_target = dict.fromkeys((t.target_id for t in self.targets), 0)
         directory = TargetDirectory()
         directory.replace(self.targets)
         catalog = EndpointCatalog(directory)
@@ -69,45 +69,49 @@
             catalog, InFlightCounts(), "hall", lambda name: SERVICE, self.clock, self.rng
         )
         self.seen = {name: [] for name in self.daemons}
-        self.rate_per_s = LOAD * SLOTS * replicas / HOLD_S
+        self.rate_per_s = LOAD_RATIO * SLOTS_PER_REPLICA * replicas / MEAN_HOLD_S
         self._events: list = []
-        self._numbers = itertools.count()
+        self._event_numbers = itertools.count()
 
-    async def play(self, requests: int, is_central: bool) -> float:
-        """Return the part of the requests that met a full replica."""
+    async def play(self, requests: int, use_scheduler: bool) -> float:
+        """Return the fraction of requests placed on a replica whose slots are all in use."""
         met_full, arrival_s = 0, self.clock.now_s()
         for _ in range(requests):
             arrival_s += self.rng.expovariate(self.rate_per_s)
             self._end_until(arrival_s)
             daemon = self.rng.choice(self.daemons)
-            target_id = await (self._central(daemon) if is_central else self._alone(daemon))
-            met_full += self.totals[target_id] >= SLOTS
+            target_id = await (
+                self._choose_by_scheduler(daemon)
+                if use_scheduler
+                else self._choose_by_own_counts(daemon)
+            )
+            met_full += self.in_flight_by_target[target_id] >= SLOTS_PER_REPLICA
             self._begin(daemon, target_id)
         return met_full / requests
 
     def _begin(self, daemon: str, target_id: str) -> None:
-        self.totals[target_id] += 1
+        self.in_flight_by_target[target_id] += 1
         running = self.running[daemon]
         running[target_id] = running.get(target_id, 0) + 1
-        length_s = self.rng.expovariate(1 / HOLD_S)
+        length_s = self.rng.expovariate(1 / MEAN_HOLD_S)
         end_s = self.clock.now_s() + length_s
-        heapq.heappush(self._events, (end_s, next(self._numbers), "end", daemon, target_id))
+        heapq.heappush(self._events, (end_s, next(self._event_numbers), "end", daemon, target_id))
 
     def _end_until(self, until_s: float) -> None:
         while self._events and self._events[0][0] <= until_s:
             at_s, _, kind, daemon, target_id = heapq.heappop(self._events)
             self.clock.advance(at_s - self.clock.now_s())
             if kind == "tell":
-                told = SlotRequest(daemon, dict(self.running[daemon]), tuple(self.seen[daemon]))
-                self.scheduler.receive_counts(told)
+                report = SlotRequest(daemon, dict(self.running[daemon]), tuple(self.seen[daemon]))
+                self.scheduler.receive_counts(report)
                 continue
-            self.totals[target_id] -= 1
+            self.in_flight_by_target[target_id] -= 1
             self.running[daemon][target_id] -= 1
-            told_s = at_s + TELL_S
-            heapq.heappush(self._events, (told_s, next(self._numbers), "tell", daemon, ""))
+            report_s = at_s + REPORT_DELAY_S
+            heapq.heappush(self._events, (report_s, next(self._event_numbers), "tell", daemon, ""))
         self.clock.advance(until_s - self.clock.now_s())
 
-    async def _central(self, daemon: str) -> str:
+    async def _choose_by_scheduler(self, daemon: str) -> str:
         seen = self.seen[daemon] = self.seen[daemon][-20:]
         request = SlotRequest(
             daemon, dict(self.running[daemon]), tuple(seen), "engines", "m", (), (0, 0), 5.0
@@ -116,15 +120,15 @@
         if placed.target_id:
             seen.append(placed.grant)
             return placed.target_id
-        return min(self.totals, key=self.totals.get)
+        return min(self.in_flight_by_target, key=self.in_flight_by_target.get)
 
-    async def _alone(self, daemon: str) -> str:
+    async def _choose_by_own_counts(self, daemon: str) -> str:
         own = self.running[daemon]
-        return min(self.totals, key=lambda t: (own.get(t, 0), self.rng.random()))
+        return min(self.in_flight_by_target, key=lambda t: (own.get(t, 0), self.rng.random()))
 
 
 def placements_per_s(daemons: int, replicas: int, requests: int) -> float:
-    """Return how many placements one core makes in a second."""
+    """Return the placements per second of processor time."""
     hall = Hall(daemons, replicas, 1)
     began_s = time.process_time()
     asyncio.run(hall.play(requests, True))
@@ -137,16 +141,24 @@
     parser.add_argument("--quick", action="store_true")
     quick = parser.parse_args(arguments).quick
     requests = 4000 if quick else 40000
-    parts = {}
+    met_full_ratios = {}
     for daemons, replicas in ((3, 4), (20, 13), (76, 34)):
         for name in ("alone", "scheduler"):
-            part = asyncio.run(Hall(daemons, replicas, 7).play(requests, name == "scheduler"))
-            parts[daemons, name] = part
-            print_row(NAME, daemons=daemons, replicas=replicas, way=name, met_full=round(part, 4))
+            met_full_ratio = asyncio.run(
+                Hall(daemons, replicas, 7).play(requests, name == "scheduler")
+            )
+            met_full_ratios[daemons, name] = met_full_ratio
+            print_row(
+                NAME,
+                daemons=daemons,
+                replicas=replicas,
+                way=name,
+                met_full=round(met_full_ratio, 4),
+            )
         rate = placements_per_s(daemons, replicas, requests // 4)
         print_row(NAME, daemons=daemons, replicas=replicas, placements_per_core_s=round(rate))
     for daemons in (3, 20, 76):
-        print_check(NAME, f"met_full_{daemons}", parts[daemons, "scheduler"], "<=0.02")
+        print_check(NAME, f"met_full_{daemons}", met_full_ratios[daemons, "scheduler"], "<=0.02")
     return 0
 
 
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -1,6 +1,6 @@
-"""What planning a hall's replicas by demand costs its leader, and the message that tells a demand.
+"""Cost to a hall leader of planning replicas by demand, and size of the demand message.
 
-Planned without orders, on a hall whose replicas all serve: the rounds of a quiet leader.
+All replicas of the hall serve and no orders are sent, as in the planning rounds of an idle leader.
 """
 
 import argparse
@@ -20,12 +20,12 @@
 
 NAME = "planning"
 DOMAIN_SIZE = 8
-HALLS = 5
-# A leader looks at its hall ten times a second; planning may take a fortieth of a core.
+HALL_COUNT = 5
+# A leader checks its hall ten times per second; planning may use a fortieth of a core.
 ROUNDS_PER_S = 10
 MAX_CORE_SHARE = 0.025
-# Targets of a hall at the fleet's size: 720 in five halls.
-FLEET_HALL = 144
+# Targets per hall in a fleet of 720 targets in five halls.
+FLEET_HALL_TARGETS = 144
 
 
 def engine(models: int) -> EngineSpec:
@@ -36,13 +36,13 @@
 
 
 def serving_hall(size: int, spec: EngineSpec) -> list[Target]:
-    """Return the targets of a hall, in open replicas as far as they go."""
+    """Return the targets of a hall, grouped into open replicas."""
     targets = []
     for domain in range(size // DOMAIN_SIZE):
         model = spec.models[domain % len(spec.models)]
         for number in range(DOMAIN_SIZE):
             group, rank = divmod(number, model.size)
-            place = Membership(f"r{domain}-{group}", 1, rank, ReplicaState.OPEN)
+            membership = Membership(f"r{domain}-{group}", 1, rank, ReplicaState.OPEN)
             targets.append(
                 Target(
                     f"t{domain}-{number}",
@@ -53,14 +53,14 @@
                     domain=f"d{domain:03}",
                     staged=(model.name,),
                     models=(model.name,),
-                    membership=place,
+                    membership=membership,
                 )
             )
     return targets
 
 
 def measure(size: int, models: int, rounds: int) -> tuple[float, float]:
-    """Return the milliseconds that one round of planning takes, and the demand's part of it."""
+    """Return the milliseconds of one planning round, and those of its demand planning."""
     spec = engine(models)
     directory = TargetDirectory()
     targets = serving_hall(size, spec)
@@ -68,7 +68,7 @@
         directory.put(target)
     clock = ManualClock(100.0)
     demand = {model.name: size / models for model in spec.models}
-    settings = ControllerSettings("hall-a", HALLS, 5.0, 1.1)
+    settings = ControllerSettings("hall-a", HALL_COUNT, 5.0, 1.1)
     planner = HallPlanner(HallState(clock), directory, clock, settings, lambda service: demand)
     replicas = observed_replicas(targets)
     demand_s = 0.0
@@ -76,10 +76,10 @@
     for number in range(rounds):
         clock.advance(1 / ROUNDS_PER_S)
         if number % int(DEMAND_CHECK_INTERVAL_S * ROUNDS_PER_S) == 0:
-            asked_s = time.process_time()
+            demand_started_s = time.process_time()
             planner.next_reassignment("engines", targets, replicas, spec)
             planner.plan("engines", targets, spec)
-            demand_s += time.process_time() - asked_s
+            demand_s += time.process_time() - demand_started_s
         planner.formations("engines", targets, replicas, spec)
         planner.stagings("engines", targets, replicas, spec)
     took_s = time.process_time() - began_s
@@ -87,13 +87,13 @@
 
 
 def demand_bytes(models: int) -> int:
-    """Return the size of a hall's answer to another hall's question."""
-    meter = DemandMeter(HALLS)
+    """Return the bytes of the message that reports a hall's demand to another hall."""
+    meter = DemandMeter(HALL_COUNT)
     meter.sample({}, 0.0)
-    for tenth in range(1, 40):
+    for tenths_s in range(1, 40):
         for number in range(models):
             meter.count_request("engines", f"model-{number:08}")
-        meter.sample({}, tenth / 10)
+        meter.sample({}, tenths_s / 10)
     return len(orjson.dumps(meter.hall_slots_wanted(4.0)))
 
 
@@ -102,7 +102,13 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer rounds")
     rounds = 20 if parser.parse_args().quick else 200
-    for size, models in ((16, 2), (48, 2), (FLEET_HALL, 2), (FLEET_HALL, 6), (720, 2)):
+    for size, models in (
+        (16, 2),
+        (48, 2),
+        (FLEET_HALL_TARGETS, 2),
+        (FLEET_HALL_TARGETS, 6),
+        (720, 2),
+    ):
         round_ms, demand_ms = measure(size, models, rounds)
         core_share = round_ms / 1000 * ROUNDS_PER_S
         print_row(
@@ -113,7 +119,7 @@
             demand_ms=demand_ms,
             core_share=core_share,
         )
-        if (size, models) == (FLEET_HALL, 2):
+        if (size, models) == (FLEET_HALL_TARGETS, 2):
             print_check(NAME, "core_share", core_share, f"<={MAX_CORE_SHARE}")
     for models in (2, 6, 20):
         print_row(NAME, models=models, demand_bytes=demand_bytes(models))
--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -1,7 +1,7 @@
-"""From the acceptance of an edit to its being in force on every daemon, over real processes.
+"""Seconds from the acceptance of a table edit until it is in force on all daemon processes.
 
-With a tenth of the exchanges lost and, in the second half of the edits, the daemon that watches
-the store for its hall killed.
+A tenth of the calls between daemons are lost. Before the second half of the edits, a daemon of the
+first hall is killed.
 """
 
 import argparse
@@ -14,17 +14,17 @@
 from ._report import print_check, print_row
 
 NAME = "propagation"
-LOSS = 0.1
+LOSS_RATIO = 0.1
 
 
 def measure(label: str, sizes: dict[str, int], replicas: int, edits: int) -> dict[str, float]:
-    """Return the figures of one fleet."""
-    os.environ["FERRYDOCK_BENCH_LOSS"] = str(LOSS)
+    """Edit the table of one fleet `edits` times; print and return its figures."""
+    os.environ["FERRYDOCK_BENCH_LOSS"] = str(LOSS_RATIO)
     fleet = Fleet(sizes, replicas, "benchmarks._lossy_daemon")
     try:
         fleet.wait_serving(replicas)
-        worst, every = [], []
-        alive = list(fleet.everyone)
+        worst_seconds, all_seconds = [], []
+        alive = list(fleet.all_daemons)
         calls, started_s = sum(fleet.store_calls().values()), time.monotonic()
         for number in range(edits):
             if number == edits // 2:
@@ -34,20 +34,20 @@
             priority = str(1 + number % 8)
             revision, at_s = fleet.edit([["shares", "bench-draft", "priority", priority]])
             took = fleet.in_force_s(revision, at_s, alive)
-            worst.append(max(took))
-            every += took
+            worst_seconds.append(max(took))
+            all_seconds += took
             time.sleep(0.5)
         took_s = time.monotonic() - started_s
         calls = sum(fleet.store_calls().values()) - calls
-        every.sort()
+        all_seconds.sort()
         row = {
             "fleet": label,
-            "daemons": len(fleet.everyone),
+            "daemons": len(fleet.all_daemons),
             "edits": edits,
-            "worst_s": max(worst),
-            "median_worst_s": statistics.median(worst),
-            "p50_s": every[len(every) // 2],
-            "p99_s": every[int(len(every) * 0.99)],
+            "worst_s": max(worst_seconds),
+            "median_worst_s": statistics.median(worst_seconds),
+            "p50_s": all_seconds[len(all_seconds) // 2],
+            "p99_s": all_seconds[int(len(all_seconds) * 0.99)],
             "store_calls_per_s": calls / took_s,
         }
         print_row(NAME, **row)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,7 +1,8 @@
-"""Seconds from a failure to no new work, and to whole again, over real processes.
+"""Recovery times of daemon processes after failures.
 
-A member dies; the controller's process is killed; the store is away for a while. The store calls
-that each event causes, beyond those of the same time without it, are counted.
+After the death of a replica's member: seconds until the replica gets no new work and until the hall
+is complete again. After an outage of the store: seconds until the hall has a controller. After the
+kill of the controller: seconds until it is replaced. The store calls of that time are counted.
 """
 
 import argparse
@@ -20,14 +21,14 @@
 REPLICAS = 3
 
 
-def fault(fleet: Fleet, **fields) -> None:
-    """Switch a fault of the stand-ins."""
+def inject_fault(fleet: Fleet, **fields) -> None:
+    """Switch a fault of the stand-ins on or off."""
     body = json.dumps(fields).encode()
     urllib.request.urlopen(urllib.request.Request(fleet.standins.url + "/faults", body)).close()
 
 
-def whole(fleet: Fleet, daemon) -> dict[str, str]:
-    """Return the generations that may get work, by replica, as one daemon sees it."""
+def complete_generations(fleet: Fleet, daemon) -> dict[str, str]:
+    """Return the generations by replica that may get work according to one daemon."""
     replicas = fleet.status(daemon)["replicas"]
     return {
         r["replica"]: r["generation"] for r in replicas if r["whole"] and r["phase"] == "serving"
@@ -35,32 +36,32 @@
 
 
 def kill_member(fleet: Fleet, daemon) -> tuple[float, float, int]:
-    """Return seconds to no new work and to whole again, and the store calls between."""
+    """Kill a replica's box; return seconds to no new work and to recovery, and store calls."""
     victim = next(r for r in fleet.status(daemon)["replicas"] if r["whole"])
     name, generation, box = victim["replica"], victim["generation"], victim["boxes"][1]
     calls = sum(fleet.store_calls().values())
     started_s = time.monotonic()
-    fault(fleet, fault="kill", box=box)
-    wait_until(lambda: whole(fleet, daemon).get(name) != generation, "no new work")
+    inject_fault(fleet, fault="kill", box=box)
+    wait_until(lambda: complete_generations(fleet, daemon).get(name) != generation, "no new work")
     no_work_s = time.monotonic() - started_s
-    wait_until(lambda: len(whole(fleet, daemon)) == REPLICAS, "whole again")
+    wait_until(lambda: len(complete_generations(fleet, daemon)) == REPLICAS, "whole again")
     whole_s = time.monotonic() - started_s
     calls = sum(fleet.store_calls().values()) - calls
-    fault(fleet, fault="restart", box=box)
+    inject_fault(fleet, fault="restart", box=box)
     time.sleep(3)
     return no_work_s, whole_s, calls
 
 
 def kill_controller(fleet: Fleet) -> tuple[float, int]:
-    """Return the seconds until another daemon controls the hall, and the store calls."""
-    left = [d for d in fleet.daemons[HALL] if d.popen.poll() is None]
-    name = fleet.status(left[0])["controller"]
-    victim = next(d for d in left if d.ready["name"] == name)
-    other = next(d for d in left if d is not victim)
+    """Kill the controller; return the seconds until another daemon controls, and store calls."""
+    running_daemons = [d for d in fleet.daemons[HALL] if d.popen.poll() is None]
+    name = fleet.status(running_daemons[0])["controller"]
+    victim = next(d for d in running_daemons if d.ready["name"] == name)
+    successor = next(d for d in running_daemons if d is not victim)
     calls = sum(fleet.store_calls().values())
     started_s = time.monotonic()
     victim.end()
-    wait_until(lambda: fleet.status(other)["controller"] != name, "another controller")
+    wait_until(lambda: fleet.status(successor)["controller"] != name, "another controller")
     took_s = time.monotonic() - started_s
     return took_s, sum(fleet.store_calls().values()) - calls
 
@@ -75,8 +76,8 @@
     try:
         fleet.wait_serving(REPLICAS)
         time.sleep(3)
-        watcher = fleet.daemons[HALL][-1]
-        rows = [kill_member(fleet, watcher) for _ in range(deaths)]
+        observer = fleet.daemons[HALL][-1]
+        rows = [kill_member(fleet, observer) for _ in range(deaths)]
         no_work, whole_again, calls = (list(column) for column in zip(*rows, strict=True))
         print_row(
             NAME,
@@ -87,9 +88,9 @@
             whole_again_worst_s=max(whole_again),
             store_calls_median=statistics.median(calls),
         )
-        fault(fleet, fault="store", down=True)
+        inject_fault(fleet, fault="store", down=True)
         time.sleep(15)
-        fault(fleet, fault="store", down=False)
+        inject_fault(fleet, fault="store", down=False)
         started_s = time.monotonic()
         wait_until(
             lambda: any(
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,47 +1,47 @@
-"""Time to the first token under late and lossy knowledge: the policy in use against baselines."""
+"""Time to the first token with delayed and lost load reports: prefix affinity against others."""
 
 import argparse
 import sys
 
-from ._engines import NIGHT, SCHOOL, RoutingReplay, make_arrivals
+from ._engines import AFTER_SCHOOL_MIX, DEADLINE_NIGHT_MIX, RoutingReplay, make_arrivals
 from ._report import print_check, print_row
 
 NAME = "routing"
 REPLICAS = 12
 DAEMONS = 9
 LAG_S = 1.0
-LOSS = 0.1
+LOSS_RATIO = 0.1
 SEED = 20261202
 BASELINES = ("round_robin", "least_outstanding")
-OURS = "prefix_affinity"
-PARTS = ("use_load", "use_cache", "use_latency")
+MEASURED_POLICY = "prefix_affinity"
+POLICY_PARTS = ("use_load", "use_cache", "use_latency")
 
 
-def replay(policy: str, arrivals, lag_s=LAG_S, loss=LOSS, slow=(), dying=(), **parameters):
-    """Return what one policy makes of the arrivals."""
+def replay(policy: str, arrivals, lag_s=LAG_S, loss=LOSS_RATIO, slow=(), dying=(), **parameters):
+    """Return the outcome of the arrivals under one policy."""
     replayed = RoutingReplay(policy, REPLICAS, DAEMONS, lag_s, loss, SEED, **parameters)
     return replayed.run(arrivals, slow, dying)
 
 
 def measure(mix, load: float, seconds: float, label: str = "", **trouble) -> dict[str, float]:
-    """Print and return the 95th percentile of each policy."""
+    """Print and return the 95th percentiles by policy, and the reuse of cached prefixes."""
     arrivals = make_arrivals(mix, load, REPLICAS, DAEMONS, seconds, SEED)
-    outcomes = {name: replay(name, arrivals, **trouble) for name in (*BASELINES, OURS)}
+    outcomes = {name: replay(name, arrivals, **trouble) for name in (*BASELINES, MEASURED_POLICY)}
     p95 = {name: outcome.p95() for name, outcome in outcomes.items()}
-    ours = outcomes[OURS]
-    sees_all = replay(OURS, arrivals, lag_s=0.0, loss=0.0, **trouble)
+    measured = outcomes[MEASURED_POLICY]
+    with_full_information = replay(MEASURED_POLICY, arrivals, lag_s=0.0, loss=0.0, **trouble)
     row = {
         "mix": mix.name,
         "load": load,
         "trouble": label or None,
         "requests": len(arrivals),
-        "p95_s": p95[OURS],
+        "p95_s": p95[MEASURED_POLICY],
         "p95_round_robin_s": p95["round_robin"],
         "p95_least_outstanding_s": p95["least_outstanding"],
-        "to_round_robin": p95[OURS] / p95["round_robin"],
-        "to_least_outstanding": p95[OURS] / p95["least_outstanding"],
-        "reused": ours.reused / ours.blocks,
-        "reused_of_one_that_sees_all": ours.reused / max(1, sees_all.reused),
+        "to_round_robin": p95[MEASURED_POLICY] / p95["round_robin"],
+        "to_least_outstanding": p95[MEASURED_POLICY] / p95["least_outstanding"],
+        "reused": measured.reused / measured.blocks,
+        "reused_of_one_that_sees_all": measured.reused / max(1, with_full_information.reused),
     }
     print_row(NAME, **row)
     return row
@@ -55,14 +55,14 @@
     seconds = 60.0 if arguments.quick else 240.0
     loads = (0.8,) if arguments.quick else (0.5, 0.8, 0.95)
     rows = {}
-    for mix in (NIGHT, SCHOOL):
+    for mix in (DEADLINE_NIGHT_MIX, AFTER_SCHOOL_MIX):
         for load in loads:
             rows[(mix.name, load)] = measure(mix, load, seconds)
         measure(mix, 0.8, seconds, "one_slow", slow=(3,))
         measure(mix, 0.8, seconds, "one_dies", dying=(5,))
         arrivals = make_arrivals(mix, 0.8, REPLICAS, DAEMONS, seconds, SEED)
-        for part in PARTS:
-            without = replay(OURS, arrivals, **{part: False})
+        for part in POLICY_PARTS:
+            without = replay(MEASURED_POLICY, arrivals, **{part: False})
             print_row(
                 NAME,
                 mix=mix.name,
@@ -71,7 +71,7 @@
                 p95_s=without.p95(),
                 reused=without.reused / without.blocks,
             )
-    for mix in (NIGHT, SCHOOL):
+    for mix in (DEADLINE_NIGHT_MIX, AFTER_SCHOOL_MIX):
         row = rows[(mix.name, 0.8)]
         print_check(NAME, f"{mix.name}_to_round_robin", row["to_round_robin"], "<=0.5")
         print_check(NAME, f"{mix.name}_to_least_outstanding", row["to_least_outstanding"], "<=0.8")
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,6 +1,7 @@
-"""Slopes for docs/CAPACITY.md: decisions by boxes, digests by members and replicas, table by rows.
+"""Scaling figures for docs/CAPACITY.md.
 
-Processor time of this process, the best of several runs, so that the machine's noise falls out.
+Placement decisions by boxes, digests by members and replicas, table copies by rows. Each figure is
+the least processor time of several runs, which reduces the influence of other load.
 """
 
 import argparse
@@ -41,7 +42,7 @@
 
 
 def placement_of(replicas: int) -> HallPlacement:
-    """Return a record with serving replicas of four boxes."""
+    """Return a hall placement with `replicas` serving replicas of four boxes each."""
     found = {}
     for number in range(replicas):
         names = [f"b{number * 4 + i:04d}" for i in range(4)]
@@ -53,7 +54,7 @@
 
 
 def observed(placement: HallPlacement, boxes: int) -> dict[str, ObservedBox]:
-    """Return the hall's boxes as they answer when all is well."""
+    """Return the observed state of the hall's boxes when none has failed."""
     found = {}
     for number in range(boxes):
         name = f"b{number:04d}"
@@ -77,39 +78,42 @@
 
 
 def measure_decisions() -> None:
-    """Print the time of one decision by boxes of the hall."""
+    """Print the time of one placement decision for several hall sizes."""
     for boxes in (72, 144, 288):
         measure_decision(boxes, boxes * 34 // 144)
 
 
 def measure_decision(boxes: int, replicas: int) -> None:
-    """Print the time of one decision, when all is well and when a member is missing."""
+    """Print the time of one placement decision, without a failure and with one box missing."""
     rows = {
         RowKey("halls", "hall-a"): {},
         RowKey("models", "draft"): {"replicas_per_hall": str(replicas)},
     }
     view = Table(rows, 1).view()
     placement = placement_of(replicas)
-    seen = observed(placement, boxes)
+    present_boxes = observed(placement, boxes)
     policy = make_placement_policy("cost_based")
-    gone = seen["b0001"]
-    lost = {**seen, "b0001": ObservedBox(gone.box, gone.state, missing_s=30.0)}
+    missing_box = present_boxes["b0001"]
+    boxes_with_one_missing = {
+        **present_boxes,
+        "b0001": ObservedBox(missing_box.box, missing_box.state, missing_s=30.0),
+    }
 
-    def decide(boxes_seen):
-        return policy.plan(PlacementInput(placement, view, boxes_seen, frozenset(), 1e9))
+    def decide(observed_boxes):
+        return policy.plan(PlacementInput(placement, view, observed_boxes, frozenset(), 1e9))
 
     print_row(
         NAME,
         figure="decision",
         boxes=boxes,
-        quiet_ms=best_ms(lambda: decide(seen)),
-        member_missing_ms=best_ms(lambda: decide(lost)),
+        quiet_ms=best_ms(lambda: decide(present_boxes)),
+        member_missing_ms=best_ms(lambda: decide(boxes_with_one_missing)),
         record_bytes=len(placement.to_json()),
     )
 
 
 def shared_state(name: str, members: int, replicas: int) -> SharedState:
-    """Return what a daemon of a hall knows."""
+    """Return the shared state of one daemon in a hall of `members` daemons."""
     own = DaemonInfo(name, "hall-a", "10.0.0.1:7170", "http://10.0.0.1:7070")
     state = SharedState(own, TableKeeper(), Attestations(2.0), random.Random(1))
     for number in range(members - 1):
@@ -123,7 +127,7 @@
 
 
 def measure_digest(members: int, replicas: int) -> None:
-    """Print size and time of one digest inside a hall."""
+    """Print the size of one digest within a hall, and the time to build and apply it."""
     one = shared_state("hall-a-one", members, replicas)
     two = shared_state("hall-a-two", members, replicas)
     digest = build_digest(one, 100.0, "hall-a", False)
@@ -148,7 +152,7 @@
 
 
 def measure_table(count: int) -> None:
-    """Print size and time of a whole table with twice `count` rows."""
+    """Print the size of a table copy with twice `count` rows, and the time to check the table."""
     rows = {RowKey("models", f"m{i:04d}"): {"weight_bytes": "1"} for i in range(count)}
     rows |= {RowKey("teams", f"t{i:04d}"): {"key_digests": "0" * 64} for i in range(count)}
     copy = TableCopy(Table(rows, 1), "f" * 16, ())
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,29 +1,30 @@
-"""Soak: emulations with troubles drawn from a seed, in series and overlapping, one line a seed.
+"""Soak test: emulations with faults drawn from a seed; prints one line per seed.
 
-``python -m benchmarks.soak --seeds=50`` plays all kinds of trouble; a seed that fails is written to
-``--failures`` with its logs beside it, and belongs into ``tests/soak_seeds.txt``.
+``python -m benchmarks.soak --seeds=50`` plays all kinds of faults, in series and overlapping. The
+logs and the failures of each seed are written to ``--failures``. With every kind, a seed that fails
+is added to the seed file named, here ``tests/soak_seeds.txt``, which CI plays.
 
 ``python -m benchmarks.soak --plays=stops --seeds=50`` plays planned stops of all daemons, with
-callers that stay until the process is gone; its seeds belong into ``tests/soak_stop_seeds.txt``.
+callers that keep sending until the process has exited; ``tests/soak_stop_seeds.txt``.
 
-``python -m benchmarks.soak --plays=leaving --seeds=50`` plays targets that leave in series, beside
-a store that falls silent; its seeds belong into ``tests/soak_leaving_seeds.txt``.
+``python -m benchmarks.soak --plays=leaving --seeds=50`` plays targets that leave one after another
+while the store stops answering; ``tests/soak_leaving_seeds.txt``.
 
-``python -m benchmarks.soak --plays=eras --seeds=50`` plays a store that comes back older, while
-targets, daemons and configurations change; its seeds belong into ``tests/soak_era_seeds.txt``.
+``python -m benchmarks.soak --plays=eras --seeds=50`` plays a store restored from an older copy
+while targets, daemons and configurations change; ``tests/soak_era_seeds.txt``.
 
 ``python -m benchmarks.soak --plays=crashes --seeds=50`` plays requests that crash their targets,
-beside all of that; its seeds belong into ``tests/soak_crash_seeds.txt``.
+with all other kinds of faults; ``tests/soak_crash_seeds.txt``.
 
-``python -m benchmarks.soak --plays=limits --seeds=50`` plays targets that name a limit in their
-answers, beside troubles of daemons, targets and the store; its seeds belong into
-``tests/soak_limit_seeds.txt``.
+``python -m benchmarks.soak --plays=limits --seeds=50`` plays targets that state a rate limit in
+their answers, with faults of daemons, targets and the store; ``tests/soak_limit_seeds.txt``.
 
-``python -m benchmarks.soak --plays=leaving_said --seeds=50`` plays targets that say so in their
-answers long before the list does; its seeds belong into ``tests/soak_leaving_said_seeds.txt``.
+``python -m benchmarks.soak --plays=leaving_said --seeds=50`` plays targets that announce in their
+answers that they leave, long before the target list shows it;
+``tests/soak_leaving_said_seeds.txt``.
 
 ``python -m benchmarks.soak --plays=rests --seeds=50`` plays targets that refuse requests and ask
-for rest, beside the same troubles; its seeds belong into ``tests/soak_rest_seeds.txt``.
+for a back-off, with the same faults as for limits; ``tests/soak_rest_seeds.txt``.
 """
 
 import asyncio
@@ -54,17 +55,17 @@
 _MIX = {"write-large": 1.0, "write-small": 2.0, "look": 1.0, "file": 2.0}
 LOAD = Load(20.0, _MIX)
 
-# Planned stops: what other callers send, a second, and the time within which the stops begin. A
-# daemon must be able to be without a request as its listening ends.
+# Planned stops: the load of other callers, and the time within which the stops begin. The load is
+# low so that a daemon can have no request in flight when it closes its listener.
 STOPS_LOAD = Load(6.0, _MIX)
-STOPS_WITHIN_S = 8.0
+STOPS_BEGIN_WITHIN_S = 8.0
 
-# Targets that leave: enough requests for several at each daemon and target in each bound of 2 s.
+# Targets that leave: several requests per daemon and target within each bound of 2 s.
 LEAVING_LOAD = Load(40.0, _MIX)
 
 
 def soak_experiment(seed: int, length_s: float = 14.0, troubles: int = 9) -> Experiment:
-    """Return the experiment that a seed stands for."""
+    """Return the experiment of a seed, with faults of all kinds."""
     return Experiment(
         name=f"soak {seed}",
         seed=seed,
@@ -79,13 +80,13 @@
 
 
 def stops_experiment(seed: int) -> Experiment:
-    """Return the planned stops that a seed stands for.
+    """Return the experiment of a seed with planned stops.
 
     Every fourth seed has eight daemons in one hall, the others two in each of two halls. An answer
-    takes about 1 s, longer than a daemon that has nothing left takes to close.
+    takes about 1 s, which is longer than an idle daemon takes to close.
     """
-    is_crowded = seed % 4 == 0
-    halls, count = (HALLS[:1], 8) if is_crowded else (HALLS, 2)
+    is_single_hall = seed % 4 == 0
+    halls, count = (HALLS[:1], 8) if is_single_hall else (HALLS, 2)
     daemons = [f"{hall}-daemon-{number}" for hall in halls for number in range(count)]
     return Experiment(
         name=f"stops {seed}",
@@ -93,16 +94,16 @@
         length_s=12.0,
         halls=halls,
         daemons_per_hall=count,
-        domain_size=16 if is_crowded else 8,
+        domain_size=16 if is_single_hall else 8,
         load=STOPS_LOAD,
-        troubles=tuple(draw_stops(seed, daemons, STOPS_WITHIN_S)),
+        troubles=tuple(draw_stops(seed, daemons, STOPS_BEGIN_WITHIN_S)),
         settle_s=10.0,
         event_s=0.1,
     )
 
 
-def _sizes(seed: int) -> tuple[tuple[str, ...], int, int]:
-    """Return halls, daemons in each, and workers of a domain: 24 daemons, eight, or four."""
+def _fleet_sizes(seed: int) -> tuple[tuple[str, ...], int, int]:
+    """Return halls, daemons per hall, and workers per domain, for 24, 8 or 4 daemons in all."""
     if seed % 10 == 0:
         return (*HALLS, "hall-c"), 8, 12
     if seed % 4 == 0:
@@ -111,18 +112,18 @@
 
 
 def crashes_experiment(seed: int) -> Experiment:
-    """Return the requests that crash their targets that a seed stands for.
+    """Return the experiment of a seed with requests that crash their targets.
 
-    Beside them come all other troubles, and on every third seed planned stops of all daemons. Every
+    All other faults occur too, and on every third seed planned stops of all daemons. Every
     tenth seed has 24 daemons in three halls, every fourth eight in one, the others two in each of
     two halls.
     """
-    halls, count, domain_size = _sizes(seed)
+    halls, count, domain_size = _fleet_sizes(seed)
     length_s = 16.0
     troubles = draw_troubles(seed, length_s - 4.0, halls, 5)
     if seed % 3 == 0:
         daemons = [f"{hall}-daemon-{number}" for hall in halls for number in range(count)]
-        troubles += draw_stops(seed, daemons, STOPS_WITHIN_S)
+        troubles += draw_stops(seed, daemons, STOPS_BEGIN_WITHIN_S)
     troubles += draw_crashing(seed, length_s, halls)
     return Experiment(
         name=f"crashes {seed}",
@@ -138,27 +139,27 @@
 
 
 def leaving_experiment(seed: int) -> Experiment:
-    """Return the leaving targets that a seed stands for, at one of the `_sizes`."""
+    """Return the experiment of a seed with targets that leave."""
     return _drawn_experiment(f"leaving {seed}", seed, 16.0, LEAVING_LOAD, draw_leaving)
 
 
 def eras_experiment(seed: int) -> Experiment:
-    """Return the store that comes back older that a seed stands for, at one of the `_sizes`."""
+    """Return the experiment of a seed with a store restored from an older copy."""
     return _drawn_experiment(f"eras {seed}", seed, 22.0, LOAD, draw_eras)
 
 
 def leaving_said_experiment(seed: int) -> Experiment:
-    """Return the targets that say that they leave that a seed stands for."""
+    """Return the experiment of a seed with targets whose answers announce that they leave."""
     return _drawn_experiment(f"leaving {seed}", seed, 16.0, LEAVING_LOAD, draw_leaving_said)
 
 
 def limits_experiment(seed: int) -> Experiment:
-    """Return the targets that name limits that a seed stands for, at one of the `_sizes`."""
+    """Return the experiment of a seed with targets that state rate limits."""
     return _drawn_experiment(f"limits {seed}", seed, 16.0, LEAVING_LOAD, draw_limits)
 
 
 def rests_experiment(seed: int) -> Experiment:
-    """Return the targets that ask for rest that a seed stands for, at one of the `_sizes`."""
+    """Return the experiment of a seed with targets that ask for a back-off."""
     return _drawn_experiment(f"rests {seed}", seed, 16.0, LEAVING_LOAD, draw_rests)
 
 
@@ -169,7 +170,7 @@
     load: Load,
     draw: Callable[[int, float, Sequence[str]], list[Trouble]],
 ) -> Experiment:
-    halls, count, domain_size = _sizes(seed)
+    halls, count, domain_size = _fleet_sizes(seed)
     return Experiment(
         name=name,
         seed=seed,
@@ -196,18 +197,18 @@
 
 
 async def play(seed: int, folder: Path, plays: str = "all") -> list[str]:
-    """Play one seed; return what was broken."""
+    """Run the emulation of one seed and print its line; return the broken guarantees."""
     logs = folder / f"seed-{seed}"
     logs.mkdir(parents=True, exist_ok=True)
     result = await Emulation(PLAYS[plays](seed), logs).run()
-    found = figures(result)
+    measured = figures(result)
     print(
         format_event(
             "soak",
             seed=seed,
-            requests=found["requests"],
-            served=float(found["served_part"]),
-            replicas=found["replicas_at_end"],
+            requests=measured["requests"],
+            served=float(measured["served_part"]),
+            replicas=measured["replicas_at_end"],
             stops=len(result.stops) or None,
             stop_calls=result.stop_calls or None,
             crashes=result.crashes or None,
@@ -226,33 +227,33 @@
     )
     if result.broken:
         excused = [f"excused: {why} {count}" for why, count in result.excused.items()]
-        still = [
+        stalls = [
             f"emulation stood still: {p.at_s:.2f} s for {p.for_s:.2f} s" for p in result.stood_still
         ]
         slow = [
             f"a worker was slow to answer: {p.at_s:.2f} s for {p.for_s:.2f} s"
             for p in result.slow_answers
         ]
-        text = "\n".join((*result.broken, *excused, *still, *slow, *result.troubles)) + "\n"
+        text = "\n".join((*result.broken, *excused, *stalls, *slow, *result.troubles)) + "\n"
         (logs / "broken.txt").write_text(text)
     return result.broken
 
 
 async def main() -> int:
-    """Play all seeds, some at a time; return the exit status."""
+    """Run all seeds with bounded concurrency; return the exit status."""
     values = flags.FLAGS
     if values.quick:
         values.seeds = 2
     folder = Path(values.failures)
-    room = asyncio.Semaphore(values.at_once)
+    semaphore = asyncio.Semaphore(values.at_once)
     failed = []
 
-    async def one(seed: int) -> None:
-        async with room:
+    async def play_seed(seed: int) -> None:
+        async with semaphore:
             if await play(seed, folder, values.plays):
                 failed.append(seed)
 
-    await asyncio.gather(*(one(values.first + n) for n in range(values.seeds)))
+    await asyncio.gather(*(play_seed(values.first + n) for n in range(values.seeds)))
     print(format_event("soak_ended", seeds=values.seeds, failed=",".join(map(str, sorted(failed)))))
     return 1 if failed else 0
 
