--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,7 +1,7 @@
-"""Ask a running daemon through the `openai` client.
+"""Send a streamed chat request to a running daemon with the `openai` client.
 
-Start one with ``ferrydockd --embedded`` and run ``.venv/bin/python examples/ask.py``, with the
-daemon's URL as an argument if it is another one.
+Start a daemon with ``ferrydockd --embedded`` and run ``.venv/bin/python examples/ask.py``. A daemon
+at another address than http://127.0.0.1:7070 is given by its URL as the argument.
 """
 
 import sys
--- a/examples/three_halls.sh
+++ b/examples/three_halls.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Three daemons of three halls as separate processes against one stand-in platform.
-# Run from a checkout after `make install`; it ends everything it started. All of it listens on one
-# loopback address: 127.0.0.1, or the first argument.
+# Runs one daemon in each of three halls, as separate processes, with one stand-in platform.
+# Run it from a checkout after `make install`; it ends the processes that it starts. They listen on
+# one loopback address: 127.0.0.1, or the first argument.
 set -eu
 bin=.venv/bin
 [ -x $bin/ferrydock ] || bin=$(dirname "$(command -v ferrydock)")
@@ -27,7 +27,7 @@
 export FERRYDOCK_OPERATOR_KEY=$key
 ferrydock="$bin/ferrydock --daemon=http://$address:7070"
 
-# Run a command until it succeeds, for at most a minute.
+# Repeats a command until it succeeds, for about a minute.
 until_done() {
   for _ in $(seq 240); do
     "$@" && return
--- a/ferrydock/demo.py
+++ b/ferrydock/demo.py
@@ -1,7 +1,7 @@
-"""``ferrydock demo``: three halls in one process over loopback, and the main job on real text.
+"""``ferrydock demo``: three halls in one process, connected over loopback, that serve requests.
 
-Each step makes one claim, prints one line of key=value pairs with the measured seconds, and the
-run fails if a claim does.
+Each step checks one claim and prints one line of key=value pairs with the seconds it took. The run
+fails if a claim does not hold.
 """
 
 import asyncio
@@ -24,8 +24,8 @@
 
 HALLS = ("hall-a", "hall-b", "hall-c")
 CONDITION_LIMIT_S = 30.0
-LOOK_S = 0.05
-CUT_OFF_S = 6.0
+POLL_INTERVAL_S = 0.05
+CUT_OFF_DURATION_S = 6.0
 EXPECTED_REPLICAS = 2
 PETITION = (
     "陳情書：本里中山路排水溝自三年前颱風後淤積至今，每逢大雨即淹水，住戶財物屢遭損失。"
@@ -38,12 +38,12 @@
 
 
 class DemoSite:
-    """Stand-ins, links and one daemon a hall, all in this process.
+    """Stand-ins, network links and one daemon per hall, all in this process.
 
     Parameters
     ----------
     halls : tuple of str
-        Halls; the last one has links of its own to everything else, which can be cut.
+        Names of the halls. The last hall can be cut off from the other halls and the platform.
     """
 
     def __init__(self, halls: tuple[str, ...] = HALLS):
@@ -54,7 +54,7 @@
         self.peer_links: dict[str, Link] = {}
 
     async def start(self) -> None:
-        """Start the stand-ins and write the table, then start the daemons."""
+        """Start the stand-ins and the daemons, then write the table."""
         await self.site.start()
         host, port = self.site.url.removeprefix("http://").split(":")
         self.platform_link = Link(host, int(port))
@@ -66,9 +66,9 @@
         await write_demo_table(repository, self.halls, service_url, self.clock)
 
     async def _start_node(self, hall: str) -> None:
-        """Start a daemon whose address for other halls is a link."""
-        last = hall == self.halls[-1]
-        platform_url = f"http://{self.platform_link.address}" if last else self.site.url
+        """Start the daemon of a for other halls is the link."""
+        is_last_hall = hall == self.halls[-1]
+        platform_url = f"http://{self.platform_link.a}" if is_last_hall else self.site.url
         platform = PlatformClients(
             EtcdStore((platform_url,), timeout_s=1.0),
             HttpBoxList(platform_url, timeout_s=1.0),
@@ -87,17 +87,17 @@
         self.nodes[hall] = node
 
     def cut_off_last(self) -> None:
-        """Cut the links between halls, and the last hall's link to the platform."""
+        """Cut the links between halls, and the link of the last hall to the platform."""
         for link in (*self.peer_links.values(), self.platform_link):
             link.cut()
 
     def mend(self) -> None:
-        """Mend all links."""
+        """Restore all links."""
         for link in (*self.peer_links.values(), self.platform_link):
             link.mend()
 
     async def close(self) -> None:
-        """End everything."""
+        """Close the daemons, the links and the stand-ins."""
         for node in self.nodes.values():
             await node.close()
         for link in (*self.peer_links.values(), self.platform_link):
@@ -105,13 +105,13 @@
         await self.site.close()
 
 
-def _settings(hall: str, peer_listen: str, outside: str, seeds: tuple[str, ...]) -> Settings:
+def _settings(hall: str, peer_listen: str, peer_advertise: str, seeds: tuple[str, ...]) -> Settings:
     values: dict[str, Any] = dict.fromkeys(Settings.__slots__, "")
     values.update(
         hall=hall,
         listen="127.0.0.1:0",
         peer_listen=peer_listen,
-        outside_peer_advertise=outside,
+        outside_peer_advertise=peer_advertise,
         peers=seeds,
         store="embedded",
         operator_key_digests=(digest_key(DEMO_OPERATOR_KEY),),
@@ -127,24 +127,24 @@
 
 
 async def until(condition: Callable[[], bool], limit_s: float = CONDITION_LIMIT_S) -> bool:
-    """Wait until `condition` holds; return whether it came to hold within `limit_s`."""
-    end_s = time.monotonic() + limit_s
+    """Poll `condition` until it is true; return whether that happened within `limit_s`."""
+    deadline_s = time.monotonic() + limit_s
     while not condition():
-        if time.monotonic() > end_s:
+        if time.monotonic() > deadline_s:
             return False
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return True
 
 
 def whole_replicas(node: Node) -> list:
-    """Return the replicas of the node's hall that may get work."""
+    """Return the complete, serving replicas of the node's hall, which may get requests."""
     now_s = node.clock.now_s()
     serving = [r for r in node.state.placement.replicas.values() if r.phase == "serving"]
     return [r for r in serving if node.attestations.is_complete(r, now_s)]
 
 
-class _Demo:
-    """The steps."""
+class _DemoSteps:
+    """The steps of the demonstration; `failed` counts the claims that did not hold."""
 
     def __init__(self, site: DemoSite, http: aiohttp.ClientSession):
         self.site = site
@@ -152,7 +152,7 @@
         self.failed = 0
 
     async def step(self, name: str, run: Callable[[], Awaitable[dict]]) -> None:
-        """Run one step and print what it measured; a step says ``claim`` True or False."""
+        """Run one step and print its fields; its ``claim`` says whether the claim holds."""
         started_s = time.monotonic()
         fields = await run()
         held = fields.pop("claim")
@@ -164,7 +164,9 @@
     def url(self, hall: str) -> str:
         return self.site.nodes[hall].state.members.own.url
 
-    async def ask(self, hall: str, model: str, text: str, stream: bool = False) -> tuple[int, str]:
+    async def send_chat(
+        self, hall: str, model: str, text: str, stream: bool = False
+    ) -> tuple[int, str]:
         """Send one chat request; return the status and the text of the answer."""
         body = {
             "model": model,
@@ -183,21 +185,21 @@
 
     # Steps --------------------------------------------------------------------------------
 
-    async def form(self) -> dict:
+    async def form_replicas(self) -> dict:
         nodes = self.site.nodes.values()
         claim = await until(lambda: all(len(whole_replicas(n)) == EXPECTED_REPLICAS for n in nodes))
         boxes = sum(len(r.boxes) for n in nodes for r in whole_replicas(n))
         return {"claim": claim, "halls": len(nodes), "boxes": boxes}
 
-    async def answer(self) -> dict:
-        whole = await self.ask("hall-a", "draft-large", PETITION)
-        streamed = await self.ask("hall-b", "draft-large", PETITION, stream=True)
-        hint = await self.ask("hall-c", "tutor-large", QUESTION, stream=True)
-        print(f"  {streamed[1]}\n  {hint[1]}")
-        claim = whole == streamed and PETITION in whole[1] and QUESTION in hint[1]
-        return {"claim": claim, "characters": len(whole[1]) + len(hint[1])}
+    async def answer_requests(self) -> dict:
+        complete = await self.send_chat("hall-a", "draft-large", PETITION)
+        streamed = await self.send_chat("hall-b", "draft-large", PETITION, stream=True)
+        tutor_answer = await self.send_chat("hall-c", "tutor-large", QUESTION, stream=True)
+        print(f"  {streamed[1]}\n  {tutor_answer[1]}")
+        claim = complete == streamed and PETITION in complete[1] and QUESTION in tutor_answer[1]
+        return {"claim": claim, "characters": len(complete[1]) + len(tutor_answer[1])}
 
-    async def edit(self) -> dict:
+    async def edit_cell(self) -> dict:
         started_s = time.monotonic()
         revision = await self.set_cell("shares", "demo-draft", "priority", "7")
         nodes = self.site.nodes.values()
@@ -224,37 +226,39 @@
 
     async def kill_box(self) -> dict:
         node = self.site.nodes["hall-a"]
-        broken = next(r for r in whole_replicas(node) if r.model == "draft-large")
-        self.site.site.fleet.boxes[broken.boxes[1]].kill()
+        failing_replica = next(r for r in whole_replicas(node) if r.model == "draft-large")
+        self.site.site.fleet.boxes[failing_replica.boxes[1]].kill()
         started_s = time.monotonic()
-        stopped = await until(lambda: broken.generation not in _generations(node))
-        no_work_s = round(time.monotonic() - started_s, 3)
-        code, text = await self.ask("hall-a", "draft-large", PETITION)
-        whole = await until(lambda: len(whole_replicas(node)) == EXPECTED_REPLICAS)
-        whole_s = round(time.monotonic() - started_s, 3)
-        again = next((r for r in whole_replicas(node) if r.model == "draft-large"), None)
-        mended = again is not None and broken.boxes[1] not in again.boxes
-        claim = stopped and whole and mended and code == 200 and PETITION in text
-        return {"claim": claim, "no_new_work_s": no_work_s, "whole_again_s": whole_s}
-
-    async def cut_off(self) -> dict:
+        stopped = await until(lambda: failing_replica.generation not in _generations(node))
+        stopped_s = round(time.monotonic() - started_s, 3)
+        code, text = await self.send_chat("hall-a", "draft-large", PETITION)
+        is_restored = await until(lambda: len(whole_replicas(node)) == EXPECTED_REPLICAS)
+        restored_s = round(time.monotonic() - started_s, 3)
+        replacement = next((r for r in whole_replicas(node) if r.model == "draft-large"), None)
+        has_replacement = (
+            replacement is not None and failing_replica.boxes[1] not in replacement.boxes
+        )
+        claim = stopped and is_restored and has_replacement and code == 200 and PETITION in text
+        return {"claim": claim, "no_new_work_s": stopped_s, "whole_again_s": restored_s}
+
+    async def cut_off_hall(self) -> dict:
         node = self.site.nodes["hall-c"]
         self.site.cut_off_last()
         revision = await self.set_cell("shares", "demo-draft", "priority", "8")
         served = 0
         asked = 0
-        until_s = time.monotonic() + CUT_OFF_S
-        while time.monotonic() < until_s:
-            code, text = await self.ask("hall-c", "tutor-large", QUESTION)
+        cut_off_end_s = time.monotonic() + CUT_OFF_DURATION_S
+        while time.monotonic() < cut_off_end_s:
+            code, text = await self.send_chat("hall-c", "tutor-large", QUESTION)
             asked += 1
             served += code == 200 and QUESTION in text
             await asyncio.sleep(0.2)
-        behind = node.keeper.revision < revision
+        is_behind = node.keeper.revision < revision
         self.site.mend()
         started_s = time.monotonic()
         rejoined = await until(lambda: node.keeper.revision >= revision)
         rejoined_s = round(time.monotonic() - started_s, 3)
-        claim = bool(revision) and behind and rejoined and served == asked
+        claim = bool(revision) and is_behind and rejoined and served == asked
         return {"claim": claim, "asked": asked, "served": served, "rejoined_s": rejoined_s}
 
     async def file_twice(self) -> dict:
@@ -274,13 +278,15 @@
     async def stop_daemon(self) -> dict:
         node = self.site.nodes["hall-b"]
         long_text = PETITION * 3
-        asking = asyncio.create_task(self.ask("hall-b", "draft-large", long_text, stream=True))
-        began = await until(lambda: _in_flight(node) > 0)
+        stream_task = asyncio.create_task(
+            self.send_chat("hall-b", "draft-large", long_text, stream=True)
+        )
+        has_started = await until(lambda: _in_flight(node) > 0)
         await node.stop()
         del self.site.nodes["hall-b"]
-        code, text = await asking
-        whole = began and code == 200 and long_text in text
-        return {"claim": whole, "characters": len(text)}
+        code, text = await stream_task
+        is_complete = has_started and code == 200 and long_text in text
+        return {"claim": is_complete, "characters": len(text)}
 
 
 def _in_flight(node: Node) -> int:
@@ -293,12 +299,12 @@
 
 
 def whole_text(raw: bytes) -> str:
-    """Return the text of a whole chat answer."""
+    """Return the text of a chat answer that was not streamed."""
     return orjson.loads(raw)["choices"][0]["message"]["content"]
 
 
 def stream_text(raw: bytes) -> str:
-    """Return the text of a streamed chat answer, or an empty text if it is not whole."""
+    """Return the text of a streamed chat answer, or an empty string if the stream is incomplete."""
     events = [event for event in raw.split(b"\n\n") if event]
     if not events or events[-1] != b"data: [DONE]":
         return ""
@@ -310,19 +316,19 @@
 
 
 async def run_demo() -> int:
-    """Run all steps; return how many claims failed."""
+    """Run all steps; return the number of failed claims."""
     configure("critical")
     site = DemoSite()
     await site.start()
     timeout = aiohttp.ClientTimeout(total=60)
     async with aiohttp.ClientSession(timeout=timeout) as http:
-        demo = _Demo(site, http)
+        demo = _DemoSteps(site, http)
         try:
-            await demo.step("replicas_formed", demo.form)
-            await demo.step("answered", demo.answer)
-            await demo.step("cell_edited", demo.edit)
+            await demo.step("replicas_formed", demo.form_replicas)
+            await demo.step("answered", demo.answer_requests)
+            await demo.step("cell_edited", demo.edit_cell)
             await demo.step("box_killed", demo.kill_box)
-            await demo.step("hall_cut_off", demo.cut_off)
+            await demo.step("hall_cut_off", demo.cut_off_hall)
             await demo.step("filing_doubled", demo.file_twice)
             await demo.step("daemon_stopped", demo.stop_daemon)
         finally:
--- a/ferrydock/demo_keys.py
+++ b/ferrydock/demo_keys.py
@@ -1,4 +1,4 @@
-"""Keys of the embedded mode. Everybody knows them, so a real site must not hold them."""
+"""Keys of the embedded mode. They are public, so a production site must not accept them."""
 
 from .table import digest_key
 
--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -39,6 +39,8 @@
     "configuration",
     "crashes",
     "daemon.py",
+    "demo.py",
+    "demo_keys.py",
     "engines",
     "environment.py",
     "forwarding",
