--- a/ferrydock/demo.py
+++ b/ferrydock/demo.py
@@ -136,7 +136,7 @@
     return True
 
 
-def whole_replicas(node: Node) -> list:
+def serving_replicas(node: Node) -> list:
     """Return the complete, serving replicas of the node's hall, which may get requests."""
     now_s = node.clock.now_s()
     serving = [r for r in node.state.placement.replicas.values() if r.phase == "serving"]
@@ -187,8 +187,10 @@
 
     async def form_replicas(self) -> dict:
         nodes = self.site.nodes.values()
-        claim = await until(lambda: all(len(whole_replicas(n)) == EXPECTED_REPLICAS for n in nodes))
-        boxes = sum(len(r.boxes) for n in nodes for r in whole_replicas(n))
+        claim = await until(
+            lambda: all(len(serving_replicas(n)) == EXPECTED_REPLICAS for n in nodes)
+        )
+        boxes = sum(len(r.boxes) for n in nodes for r in serving_replicas(n))
         return {"claim": claim, "halls": len(nodes), "boxes": boxes}
 
     async def answer_requests(self) -> dict:
@@ -226,15 +228,15 @@
 
     async def kill_box(self) -> dict:
         node = self.site.nodes["hall-a"]
-        failing_replica = next(r for r in whole_replicas(node) if r.model == "draft-large")
+        failing_replica = next(r for r in serving_replicas(node) if r.model == "draft-large")
         self.site.site.fleet.boxes[failing_replica.boxes[1]].kill()
         started_s = time.monotonic()
         stopped = await until(lambda: failing_replica.generation not in _generations(node))
         stopped_s = round(time.monotonic() - started_s, 3)
         code, text = await self.send_chat("hall-a", "draft-large", PETITION)
-        is_restored = await until(lambda: len(whole_replicas(node)) == EXPECTED_REPLICAS)
+        is_restored = await until(lambda: len(serving_replicas(node)) == EXPECTED_REPLICAS)
         restored_s = round(time.monotonic() - started_s, 3)
-        replacement = next((r for r in whole_replicas(node) if r.model == "draft-large"), None)
+        replacement = next((r for r in serving_replicas(node) if r.model == "draft-large"), None)
         has_replacement = (
             replacement is not None and failing_replica.boxes[1] not in replacement.boxes
         )
@@ -295,7 +297,7 @@
 
 
 def _generations(node: Node) -> set:
-    return {replica.generation for replica in whole_replicas(node)}
+    return {replica.generation for replica in serving_replicas(node)}
 
 
 def whole_text(raw: bytes) -> str:
--- a/ferrydock/gateway/tests/test_gateway.py
+++ b/ferrydock/gateway/tests/test_gateway.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from ...clock import SystemClock
-from ...demo import DemoSite, stream_text, until, whole_replicas, whole_text
+from ...demo import DemoSite, serving_replicas, stream_text, until, whole_text
 from ...demo_keys import DEMO_OPERATOR_KEY, DEMO_TEAM_KEY
 
 TEAM = {"Authorization": f"Bearer {DEMO_TEAM_KEY}"}
@@ -26,7 +26,7 @@
     site = DemoSite(halls)
     await site.start()
     nodes = list(site.nodes.values())
-    assert await until(lambda: all(len(whole_replicas(n)) == 2 for n in nodes))
+    assert await until(lambda: all(len(serving_replicas(n)) == 2 for n in nodes))
     async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=60)) as http:
         try:
             yield site, nodes[0], http
@@ -55,7 +55,7 @@
 
 
 def replica_of(node, model="draft-large"):
-    return next(r for r in whole_replicas(node) if r.model == model)
+    return next(r for r in serving_replicas(node) if r.model == model)
 
 
 async def replica_in_use(node, model="draft-large"):
