--- a/ferrydock/demo.py
+++ b/ferrydock/demo.py
@@ -181,7 +181,7 @@
             raw = await response.read()
             if response.status != 200:
                 return response.status, raw.decode()
-            return 200, stream_text(raw) if stream else whole_text(raw)
+            return 200, stream_text(raw) if stream else complete_answer_text(raw)
 
     # Steps --------------------------------------------------------------------------------
 
@@ -300,7 +300,7 @@
     return {replica.generation for replica in serving_replicas(node)}
 
 
-def whole_text(raw: bytes) -> str:
+def complete_answer_text(raw: bytes) -> str:
     """Return the text of a chat answer that was not streamed."""
     return orjson.loads(raw)["choices"][0]["message"]["content"]
 
--- a/ferrydock/gateway/tests/test_gateway.py
+++ b/ferrydock/gateway/tests/test_gateway.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from ...clock import SystemClock
-from ...demo import DemoSite, serving_replicas, stream_text, until, whole_text
+from ...demo import DemoSite, complete_answer_text, serving_replicas, stream_text, until
 from ...demo_keys import DEMO_OPERATOR_KEY, DEMO_TEAM_KEY
 
 TEAM = {"Authorization": f"Bearer {DEMO_TEAM_KEY}"}
@@ -162,7 +162,7 @@
                 node, http, chat_body(), **{"X-Not-Repeatable": "true"}
             )
             if status == 200:
-                assert TEXT in whole_text(raw)
+                assert TEXT in complete_answer_text(raw)
             else:
                 assert orjson.loads(raw)["error"]["run"] == "not_run"
             assert sum(site.site.fleet.runs.values()) == (status == 200)
@@ -183,7 +183,7 @@
             assert runs == {"unknown"}
             status, raw, headers = await post_chat(node, http, chat_body(), **key)
             assert (status, headers["X-Already-Ran"]) == (200, "true")
-            assert TEXT in whole_text(raw)
+            assert TEXT in complete_answer_text(raw)
             assert sum(site.site.fleet.runs.values()) == 1
 
     run(check)
@@ -213,7 +213,7 @@
             answers = await asyncio.gather(*(post_chat(node, http, body) for body in bodies))
             for text, body, (status, raw, _) in zip(texts, bodies, answers, strict=True):
                 assert status == 200
-                assert text in (stream_text(raw) if body["stream"] else whole_text(raw))
+                assert text in (stream_text(raw) if body["stream"] else complete_answer_text(raw))
 
     run(check)
 
