--- a/ferrydock/demo.py
+++ b/ferrydock/demo.py
@@ -181,7 +181,7 @@
             raw = await response.read()
             if response.status != 200:
                 return response.status, raw.decode()
-            return 200, stream_text(raw) if stream else complete_answer_text(raw)
+            return 200, streamed_answer_text(raw) if stream else complete_answer_text(raw)
 
     # Steps --------------------------------------------------------------------------------
 
@@ -305,7 +305,7 @@
     return orjson.loads(raw)["choices"][0]["message"]["content"]
 
 
-def stream_text(raw: bytes) -> str:
+def streamed_answer_text(raw: bytes) -> str:
     """Return the text of a streamed chat answer, or an empty string if the stream is incomplete."""
     events = [event for event in raw.split(b"\n\n") if event]
     if not events or events[-1] != b"data: [DONE]":
--- a/ferrydock/gateway/tests/test_gateway.py
+++ b/ferrydock/gateway/tests/test_gateway.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from ...clock import SystemClock
-from ...demo import DemoSite, complete_answer_text, serving_replicas, stream_text, until
+from ...demo import DemoSite, complete_answer_text, serving_replicas, streamed_answer_text, until
 from ...demo_keys import DEMO_OPERATOR_KEY, DEMO_TEAM_KEY
 
 TEAM = {"Authorization": f"Bearer {DEMO_TEAM_KEY}"}
@@ -112,7 +112,7 @@
                     connection.transport.abort()
             status, raw, _ = await request_task
             assert status == 200
-            assert TEXT in stream_text(raw)
+            assert TEXT in streamed_answer_text(raw)
             assert set(site.site.fleet.runs.values()) == {1}
 
     run(check)
@@ -128,7 +128,7 @@
             site.site.fleet.boxes[replica.boxes[2]].kill()
             status, raw, _ = await request_task
             assert status == 200
-            assert TEXT in stream_text(raw)
+            assert TEXT in streamed_answer_text(raw)
 
     run(check)
 
@@ -213,7 +213,9 @@
             answers = await asyncio.gather(*(post_chat(node, http, body) for body in bodies))
             for text, body, (status, raw, _) in zip(texts, bodies, answers, strict=True):
                 assert status == 200
-                assert text in (stream_text(raw) if body["stream"] else complete_answer_text(raw))
+                assert text in (
+                    streamed_answer_text(raw) if body["stream"] else complete_answer_text(raw)
+                )
 
     run(check)
 
