--- a/ferrydock/demo.py
+++ b/ferrydock/demo.py
@@ -66,9 +66,9 @@
         await write_demo_table(repository, self.halls, service_url, self.clock)
 
     async def _start_node(self, hall: str) -> None:
-        """Start the daemon of a for other halls is the link."""
+        """Start the daemon of a hall; other halls reach it only through a link that can be cut."""
         is_last_hall = hall == self.halls[-1]
-        platform_url = f"http://{self.platform_link.a}" if is_last_hall else self.site.url
+        platform_url = f"http://{self.platform_link.address}" if is_last_hall else self.site.url
         platform = PlatformClients(
             EtcdStore((platform_url,), timeout_s=1.0),
             HttpBoxList(platform_url, timeout_s=1.0),
