--- a/ferrydock/emulator/__init__.py
+++ b/ferrydock/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""An emulated platform with daemons as processes, callers and troubles, and its report."""
+"""Emulation of a platform: daemons as processes, callers, injected faults, and a report."""
 
 from ._crashing import CONTACT_S, arrivals_beyond, draw_crashing
 from ._eras import draw_eras
@@ -20,14 +20,14 @@
 from ._result import PROMISES, Result
 from ._run import Emulation
 from ._stops import (
+    Execution,
     Pause,
     PlannedStop,
-    Run,
     draw_stops,
     excuse_of_call,
     excuse_of_stop,
+    find_end_fault,
     is_as_promised,
-    judge_end,
 )
 
 __all__ = [
@@ -44,7 +44,7 @@
     "Pause",
     "PlannedStop",
     "Result",
-    "Run",
+    "Execution",
     "Trouble",
     "demo_experiment",
     "draw_eras",
@@ -64,7 +64,7 @@
     "figures",
     "free_ports",
     "is_as_promised",
-    "judge_end",
+    "find_end_fault",
     "late_arrivals",
     "loopback_address",
     "page",
--- a/ferrydock/emulator/_crashing.py
+++ b/ferrydock/emulator/_crashing.py
@@ -1,10 +1,10 @@
-"""Requests that crash their targets: drawn from a seed, sent, and judged.
+"""Requests that crash their targets: drawn from a seed, sent, and checked.
 
-What is promised: a request under which `CRASHES` targets have ended, and which goes on coming,
-reaches targets in `MAX_MORE` tries more at the most, once daemons that are well have had
-`CONTACT_S` to learn of it. And no other request is refused for it.
+The promise: after a request has crashed `CRASHES` targets and undisturbed daemons have had
+`CONTACT_S` to learn of it, repeats of it reach targets in at most `MAX_LATE_ARRIVALS` further
+attempts. No other request is refused as crashing.
 
-Owns nothing: calls go to the emulation's list, what targets saw lies in their record.
+Owns nothing: calls are added to the emulation's list; the targets' record holds what they received.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 __all__ = [
     "CONTACT_S",
-    "MAX_MORE",
+    "MAX_LATE_ARRIVALS",
     "CrashingCallers",
     "arrivals_beyond",
     "describe_refused",
@@ -26,16 +26,16 @@
     "is_of_crashing_request",
 ]
 
-# The promise of the platform: its ``contact-ms`` on the known sites, and the numbers of its rule.
+# The bounds that the platform promises; `CONTACT_S` is ``contact-ms`` of the known sites.
 CONTACT_S = 3.0
 CRASHES = 3
-MAX_MORE = 3
+MAX_LATE_ARRIVALS = 3
 
-# Pauses between two tries of one caller. Chosen, not measured: from callers that repeat at once to
-# some that wait about as long as the platform's do.
-PAUSES_S = (0.02, 0.2, 0.5)
+# Pauses between two attempts of one caller: from callers that repeat at once to callers that wait
+# about as long as the platform's callers do.
+RETRY_PAUSES_S = (0.02, 0.2, 0.5)
 
-_KINDS = ("write-large", "write-small", "look", "file")
+_REQUEST_CLASSES = ("write-large", "write-small", "look", "file")
 
 
 class CrashingCallers:
@@ -44,9 +44,9 @@
     Parameters
     ----------
     callers : Callers
-        Send to every daemon whose process is there, also to one that stops.
+        Send to every daemon with a running process, including daemons that are stopping.
     now_s : callable
-        Returns the time of the emulation.
+        Returns seconds since the load began.
     """
 
     def __init__(self, seed: int, callers: Callers, now_s: Callable[[], float]):
@@ -55,12 +55,12 @@
         self.now_s = now_s
 
     async def run(self, trouble: Trouble) -> str:
-        """Send one request for a while, from as many callers at a time as the trouble counts."""
+        """Send one request repeatedly for `for_s`, from `count` concurrent callers."""
         name = f"{self.seed} {trouble.at_s:.3f}"
         rng = random.Random(name)
-        kind = rng.choice(_KINDS)
+        kind = rng.choice(_REQUEST_CLASSES)
         body = CRASHING_BODY + b" " + name.encode()
-        pauses_s = [rng.choice(PAUSES_S) for _ in range(trouble.count)]
+        pauses_s = [rng.choice(RETRY_PAUSES_S) for _ in range(trouble.count)]
         until_s = trouble.at_s + trouble.for_s
         await asyncio.gather(*(self._repeat(kind, body, until_s, pause) for pause in pauses_s))
         return f"{kind} from {trouble.count} callers for {trouble.for_s:.1f} s"
@@ -72,24 +72,26 @@
 
 
 def arrivals_beyond(
-    seen: CrashingRequest, is_well: Callable[[str, float], bool] = lambda request_id, at_s: True
+    seen: CrashingRequest,
+    is_undisturbed: Callable[[str, float], bool] = lambda request_id, at_s: True,
 ) -> list[float]:
-    """Return when a request reached targets although daemons had the time to know it.
+    """Return when a request reached targets although daemons had time to learn that it crashes.
 
     Parameters
     ----------
-    is_well : callable
-        Whether the daemon that a try, by its id, was sent to had been well for `CONTACT_S`.
+    is_undisturbed : callable
+        Takes a request id and a loop time; returns whether the daemon that the request was sent to
+        had been undisturbed for `CONTACT_S` by then.
     """
     if len(seen.crashed_s) < CRASHES:
         return []
     known_s = sorted(seen.crashed_s)[CRASHES - 1] + CONTACT_S
     late = [(at_s, request_id) for at_s, request_id in seen.arrived if at_s > known_s]
-    return [at_s for at_s, request_id in late if is_well(request_id, at_s)]
+    return [at_s for at_s, request_id in late if is_undisturbed(request_id, at_s)]
 
 
 def describe_refused(calls: Sequence[Call]) -> list[str]:
-    """Return a line for each request that was refused as crashing, and is none."""
+    """Return a line for each request that was refused as crashing although it crashes nothing."""
     return [
         f"honest: {call.request_id} {call.kind} was refused at {call.daemon} at {call.at_s:.2f} s"
         for call in calls
@@ -98,12 +100,12 @@
 
 
 def is_of_crashing_request(call: Call) -> bool:
-    """Return whether a call is a try of a request that crashes its targets."""
+    """Return whether a call is an attempt of a request that crashes its targets."""
     return call.body.startswith(CRASHING_BODY)
 
 
 def draw_crashing(seed: int, length_s: float, halls: Sequence[str]) -> list[Trouble]:
-    """Return requests that crash their targets, and targets that die in numbers beside them."""
+    """Return crashing requests and, for half of the seeds, concurrent crashes of other targets."""
     rng = random.Random(f"crashing {seed}")
     drawn = []
     for _ in range(rng.choice((1, 1, 2, 3))):
--- a/ferrydock/emulator/_eras.py
+++ b/ferrydock/emulator/_eras.py
@@ -1,4 +1,4 @@
-"""A store that comes back older, drawn from a seed, beside what else goes wrong then. Pure."""
+"""Restores of the store from an older copy, with concurrent faults, drawn from a seed. Pure."""
 
 import random
 from collections.abc import Sequence
@@ -7,14 +7,14 @@
 
 __all__ = ["draw_eras"]
 
-# How old the copy is, and the pause before the store comes back older once more.
+# Range of the age of the copy, and of the pause between two restores.
 COPY_AGE_S = (2.5, 6.0)
-AGAIN_AFTER_S = (0.3, 3.0)
+RESTORE_PAUSE_S = (0.3, 3.0)
 
-_HOWS = ("silent", "silent", "reset", "busy")
+_STORE_FAILURES = ("silent", "silent", "reset", "busy")
 
-# What comes within the lost seconds, in the outage, or while all is written again.
-_BESIDE = (
+# Faults during the seconds whose changes are lost, the outage, or the rewriting of records.
+_CONCURRENT_KINDS = (
     "configuration",
     "configuration",
     "worker_dead",
@@ -32,19 +32,19 @@
 
 
 def draw_eras(seed: int, length_s: float, halls: Sequence[str]) -> list[Trouble]:
-    """Return a store that comes back older once or twice, and troubles around each return.
+    """Return one or two restores of the store from an older copy, and troubles around each.
 
-    The last return is early enough for the end to show what is left of it.
+    The last restore is early enough for the end of the run to show its lasting effects.
     """
     rng = random.Random(f"eras {seed}")
     drawn = []
     at_s = rng.uniform(0.5, 2.0)
     for _ in range(rng.choice((1, 1, 2))):
         for_s = rng.uniform(*COPY_AGE_S)
-        drawn.append(Trouble(at_s, "store_older", for_s=for_s, how=rng.choice(_HOWS)))
+        drawn.append(Trouble(at_s, "store_older", for_s=for_s, how=rng.choice(_STORE_FAILURES)))
         for _ in range(rng.choice((2, 4, 6))):
-            beside_s = rng.uniform(at_s, min(at_s + for_s + 2.0, length_s - 2.0))
-            kind, hall = rng.choice(_BESIDE), rng.choice(("", *halls))
-            drawn.append(Trouble(beside_s, kind, rng.choice((1, 2)), rng.uniform(0.4, 2.0), hall))
-        at_s += for_s + rng.uniform(*AGAIN_AFTER_S)
+            begin_s = rng.uniform(at_s, min(at_s + for_s + 2.0, length_s - 2.0))
+            kind, hall = rng.choice(_CONCURRENT_KINDS), rng.choice(("", *halls))
+            drawn.append(Trouble(begin_s, kind, rng.choice((1, 2)), rng.uniform(0.4, 2.0), hall))
+        at_s += for_s + rng.uniform(*RESTORE_PAUSE_S)
     return sorted(drawn, key=lambda trouble: trouble.at_s)
--- a/ferrydock/emulator/_leaving.py
+++ b/ferrydock/emulator/_leaving.py
@@ -1,10 +1,11 @@
-"""Targets that leave: drawn from a seed, and judged.
-
-What is promised: no request that a daemon sends on reaches a target later than `DRAIN_S` after the
-store had its word that it leaves, if for `CONTACT_S` nothing was done to the daemon or to its
-connections to the store. Trouble of its leader's connections is no exception. Nor does a request
-that came to a daemon later than `DRAIN_S` after an answer with that word reach the target from it,
-whatever is done to the store. Pure.
+"""Targets that leave: drawn from a seed, and checked.
+
+The promises: no request that a daemon forwards reaches a target later than `DRAIN_S` after the
+store has recorded that the target leaves, if the daemon and its connections to the store have been
+undisturbed from `CONTACT_S` before that record on. A disturbance of the connections of the daemon's
+leader is no exception. After an answer in which a target announces to a daemon that it leaves, no
+request that the daemon receives more than `DRAIN_S` later reaches that target, whatever happens to
+the store. Pure.
 """
 
 import random
@@ -17,7 +18,7 @@
 
 __all__ = [
     "DRAIN_S",
-    "StoreHurt",
+    "StoreDisturbance",
     "after_its_word",
     "describe_late",
     "draw_leaving",
@@ -28,12 +29,12 @@
 # The platform's ``drain-ms`` on the known sites.
 DRAIN_S = 2.0
 
-# Pause between two targets that leave, and how long the store is in trouble, so that several leave
-# in each bound, and that waits begin before, in and after the trouble.
-LEAVE_EVERY_S = (0.3, 0.9)
+# Pause between two leaving targets, and duration of a store fault: several targets leave within
+# each bound, and waiting calls to the store begin before, during and after the fault.
+LEAVE_INTERVAL_S = (0.3, 0.9)
 STORE_TROUBLE_S = (0.5, 4.0)
 
-# What is drawn of the store, the silent kinds most often: only they leave a wait without an end.
+# Store faults to draw from; mostly silent ones, since only they leave a call waiting forever.
 _STORE_TROUBLES = (
     ("store_down", "silent"),
     ("store_down", "silent"),
@@ -52,52 +53,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreHurt:
-    """A time in which something was done to the store, as some daemons reach it.
+class StoreDisturbance:
+    """A period in which the store was disturbed for some daemons.
 
     Attributes
     ----------
     from_s, to_s : float
         Loop times.
     daemons : frozenset of str
-        Their names.
+        Names of the daemons affected.
     """
 
     from_s: float
     to_s: float
     daemons: frozenset[str]
 
-    def touches(self, daemon: str, from_s: float, to_s: float) -> bool:
-        """Return whether it concerned a daemon at some moment of a time."""
+    def affects(self, daemon: str, from_s: float, to_s: float) -> bool:
+        """Return whether it affected a daemon at some time between two loop times."""
         return daemon in self.daemons and self.from_s <= to_s and self.to_s >= from_s
 
 
 def late_arrivals(
-    arrivals: Sequence[LeavingArrival], is_well: Callable[[str, float, float], bool]
+    arrivals: Sequence[LeavingArrival], is_undisturbed: Callable[[str, float, float], bool]
 ) -> list[LeavingArrival]:
-    """Return the arrivals at leaving targets that came too late.
+    """Return the arrivals from undisturbed daemons at targets that left over `DRAIN_S` earlier.
 
     Parameters
     ----------
-    is_well : callable
-        Takes a request's id and two loop times; returns whether all was well between them with the
-        daemon that sent it on.
+    is_undisturbed : callable
+        Takes a request id and two loop times; returns whether the daemon that forwarded the request
+        was undisturbed between them.
     """
     late = [arrival for arrival in arrivals if arrival.after_s > DRAIN_S]
     return [
         arrival
         for arrival in late
-        if is_well(arrival.request_id, arrival.at_s - arrival.after_s - CONTACT_S, arrival.at_s)
+        if is_undisturbed(
+            arrival.request_id, arrival.at_s - arrival.after_s - CONTACT_S, arrival.at_s
+        )
     ]
 
 
 def after_its_word(
-    said: LeavingSaid,
+    announcement: LeavingSaid,
     sent_s: Callable[[str], float],
     daemon_of: Callable[[str], str],
-    was_well: Callable[[str, float, float], bool] = lambda daemon, from_s, to_s: True,
+    was_undisturbed: Callable[[str, float, float], bool] = lambda daemon, from_s, to_s: True,
 ) -> list[LeavingArrival]:
-    """Return the arrivals from daemons that had passed the target's word on long before.
+    """Return the arrivals from daemons that had received the target's leaving notice long before.
+
+    Only requests that their callers sent more than `DRAIN_S` after such a notice count.
 
     Parameters
     ----------
@@ -105,25 +110,25 @@
         Returns the loop time at which a caller sent a request, by its id.
     daemon_of : callable
         Returns the daemon that a request was sent to.
-    was_well : callable
-        Takes a daemon and two loop times; returns whether nothing was done to it between them.
+    was_undisturbed : callable
+        Takes a daemon and two loop times; returns whether it was undisturbed between them.
     """
     found = []
-    for at_s, request_id in said.arrived:
+    for at_s, request_id in announcement.arrived:
         daemon = daemon_of(request_id)
-        told_s = [
-            t
-            for t, other_id in said.told
-            if daemon_of(other_id) == daemon and t < sent_s(request_id) - DRAIN_S
+        notices_s = [
+            notice_s
+            for notice_s, other_id in announcement.told
+            if daemon_of(other_id) == daemon and notice_s < sent_s(request_id) - DRAIN_S
         ]
-        if told_s and was_well(daemon, max(told_s), at_s):
-            after_s = at_s - max(told_s)
-            found.append(LeavingArrival(request_id, said.worker_id, at_s, after_s))
+        if notices_s and was_undisturbed(daemon, max(notices_s), at_s):
+            after_s = at_s - max(notices_s)
+            found.append(LeavingArrival(request_id, announcement.worker_id, at_s, after_s))
     return found
 
 
 def describe_late(arrival: LeavingArrival, daemon: str, at_s: float) -> str:
-    """Return a line on an arrival that came too late; `at_s` is its time in the run."""
+    """Return a report line for a late arrival; `at_s` is its time in the run."""
     return (
         f"leaving: {arrival.request_id} from {daemon} reached {arrival.worker_id} at {at_s:.2f} s, "
         f"{arrival.after_s:.2f} s after its word that it leaves"
@@ -131,16 +136,16 @@
 
 
 def draw_leaving(seed: int, length_s: float, halls: Sequence[str]) -> list[Trouble]:
-    """Return targets that leave one after the other, and troubles that overlap with it.
+    """Return targets that leave one after the other, and troubles that overlap with them.
 
-    The troubles begin in the first half, so that the second shows what is left of them.
+    Store and daemon faults begin in the first half; the second half shows their lasting effects.
     """
     rng = random.Random(f"leaving {seed}")
     drawn = []
     at_s = 0.5
     while at_s < length_s - 0.5:
         drawn.append(Trouble(at_s, "target_replaced", hall=rng.choice(("", *halls))))
-        at_s += rng.uniform(*LEAVE_EVERY_S)
+        at_s += rng.uniform(*LEAVE_INTERVAL_S)
     for _ in range(rng.choice((1, 2, 2, 3))):
         kind, how = rng.choice(_STORE_TROUBLES)
         at_s, for_s = rng.uniform(0.8, length_s / 2), rng.uniform(*STORE_TROUBLE_S)
@@ -155,7 +160,7 @@
 
 
 def draw_leaving_said(seed: int, length_s: float, halls: Sequence[str]) -> list[Trouble]:
-    """Return targets that say in their answers that they leave, long before the list says so."""
+    """Return targets that announce leaving in answers, long before the target list shows it."""
     rng = random.Random(f"leaving said {seed}")
     drawn = []
     for _ in range(rng.choice((1, 2, 3))):
--- a/ferrydock/emulator/_load.py
+++ b/ferrydock/emulator/_load.py
@@ -1,4 +1,4 @@
-"""Callers of an emulation: they keep connections open, and note what they received."""
+"""Callers of an emulation: they reuse connections and record the answers they receive."""
 
 import asyncio
 import random
@@ -8,14 +8,13 @@
 
 from ..standins.fleet import request_bytes
 
-__all__ = ["ANSWER_TIMEOUT_S", "Call", "Callers", "receive", "request_of"]
+__all__ = ["ANSWER_TIMEOUT_S", "Call", "Callers", "receive_answer", "encode_request"]
 
 ANSWER_TIMEOUT_S = 8.0
 DEADLINE_MS = 5000
 KEY = "key-acme"
 EVENTS = 10
-# What a caller reads at a time. Chosen, not measured.
-PIECE_BYTES = 16384
+READ_BYTES = 16384
 _PATHS = {
     "write-large": ("/write/x", "large"),
     "write-small": ("/write/x", "small"),
@@ -31,15 +30,17 @@
     Attributes
     ----------
     status : int
-        0 if no answer's head came.
+        HTTP status; 0 if no complete answer header was received.
     body : bytes
-        What is sent.
-    whole : bool
-        Whether the answer ended as an answer does.
+        Body of the request.
+    complete : bool
+        Whether the answer was received completely.
     fault : str
-        What was wrong with a success; empty if nothing.
+        What was wrong with the content of a 200 answer; empty if nothing.
     code : str
-        What a daemon's own refusal says; empty for other answers.
+        Error code of a refusal by the daemon itself; empty for other answers.
+    event_ids : list of int
+        Ids of the events received so far.
     """
 
     request_id: str
@@ -48,35 +49,35 @@
     daemon: str
     body: bytes = b"hi"
     status: int = 0
-    whole: bool = False
+    complete: bool = False
     took_s: float = 0.0
-    first_s: float | None = None
+    first_byte_s: float | None = None
     fault: str = ""
     code: str = ""
-    numbers: list[int] = field(default_factory=list)
+    event_ids: list[int] = field(default_factory=list)
 
     @property
     def ended_s(self) -> float:
-        """When its caller had its end."""
+        """When the call ended for its caller, in seconds of the run."""
         return self.at_s + self.took_s
 
     @property
     def outcome(self) -> str:
-        """In a word."""
+        """How the call ended: ``served``, ``cut``, ``no_answer``, or the status of the refusal."""
         if self.status == 0:
             return "no_answer"
-        if not self.whole:
+        if not self.complete:
             return "cut"
         return "served" if self.status == 200 else str(self.status)
 
 
 class Callers:
-    """Sends requests to daemons over connections that stay open until they are gone.
+    """Sends requests to daemons over connections that are reused until either side closes them.
 
     Parameters
     ----------
     addresses : callable
-        Returns the addresses of daemons that take callers, by name.
+        Returns the addresses of daemons that accept callers, by name.
     """
 
     def __init__(self, addresses, rng: random.Random, now_s):
@@ -87,7 +88,7 @@
         self._idle: dict[str, list] = {}
 
     async def call(self, kind: str, body: bytes = b"hi") -> None:
-        """Send one request to one of the daemons and note its end."""
+        """Send one request to a random daemon and record how it ended."""
         ready = self.addresses()
         if not ready:
             return
@@ -103,12 +104,12 @@
 
     async def _exchange(self, call: Call, daemon: str, address: str) -> None:
         reader, writer = await self._connection(daemon, address)
-        keep = False
+        keep_open = False
         try:
-            writer.write(request_of(call))
-            keep = await receive(call, reader, self.now_s)
+            writer.write(encode_request(call))
+            keep_open = await receive_answer(call, reader, self.now_s)
         finally:
-            if keep:
+            if keep_open:
                 self._idle.setdefault(daemon, []).append((reader, writer))
             else:
                 writer.close()
@@ -123,25 +124,25 @@
         return await asyncio.open_connection(host, int(port))
 
     async def close(self) -> None:
-        """Close the connections that rest."""
+        """Close the idle connections."""
         for pairs in self._idle.values():
             for _, writer in pairs:
                 writer.close()
 
 
-def request_of(call: Call) -> bytes:
-    """Return the bytes of a call's request."""
+def encode_request(call: Call) -> bytes:
+    """Return the HTTP request of a call as bytes."""
     path, model = _PATHS[call.kind]
     return request_bytes(path, call.request_id, DEADLINE_MS, model, KEY, call.body)
 
 
-async def receive(call: Call, reader, now_s, piece_pause_s: float = 0.0) -> bool:
-    """Read the answer to a call and note it.
+async def receive_answer(call: Call, reader, now_s, piece_pause_s: float = 0.0) -> bool:
+    """Read the answer to a call and record it in the call.
 
     Parameters
     ----------
     piece_pause_s : float
-        Pause between two pieces of a long body, for a caller that reads slowly.
+        Pause between two reads of the body, for a caller that reads slowly.
 
     Returns
     -------
@@ -150,26 +151,26 @@
     """
     head = await reader.readuntil(b"\r\n\r\n")
     call.status = int(head.split()[1])
-    call.first_s = now_s() - call.at_s
+    call.first_byte_s = now_s() - call.at_s
     body = await _read_body(reader, head, call, piece_pause_s)
-    call.whole = True
+    call.complete = True
     _check(call, body)
     return b"connection: close" not in head.lower()
 
 
 def _check(call: Call, body: bytes) -> None:
     if call.status != 200:
-        call.code = _code_of(body)
+        call.code = _error_code_of(body)
         return
     if call.kind.startswith("write"):
-        if call.numbers != list(range(1, EVENTS + 1)):
-            call.fault = f"events {call.numbers}"
+        if call.event_ids != list(range(1, EVENTS + 1)):
+            call.fault = f"events {call.event_ids}"
     elif body != b"whole:" + call.body:
         call.fault = f"body {body[:40]!r}, {len(body)} bytes"
 
 
-def _code_of(body: bytes) -> str:
-    """Return what a refusal of a daemon's own says; empty for a worker's answer."""
+def _error_code_of(body: bytes) -> str:
+    """Return the error code of a refusal by a daemon; empty for a worker's answer."""
     try:
         return str(orjson.loads(body)["error"]["code"])
     except (ValueError, KeyError, TypeError):
@@ -189,7 +190,7 @@
 async def _read_pieces(reader, size: int, piece_pause_s: float) -> bytes:
     body = b""
     while len(body) < size:
-        body += await reader.readexactly(min(PIECE_BYTES, size - len(body)))
+        body += await reader.readexactly(min(READ_BYTES, size - len(body)))
         await asyncio.sleep(piece_pause_s)
     return body
 
@@ -203,4 +204,4 @@
             return body
         body += data[:-2]
         lines = body.split(b"\n")
-        call.numbers = [int(line[4:]) for line in lines if line.startswith(b"id: ")]
+        call.event_ids = [int(line[4:]) for line in lines if line.startswith(b"id: ")]
--- a/ferrydock/emulator/_own_pace.py
+++ b/ferrydock/emulator/_own_pace.py
@@ -1,7 +1,7 @@
-"""Whether the emulation itself is short of processor time, and with it all workers it plays.
+"""Detects that the emulation itself lacks processor time, and with it its emulated workers.
 
-Workers, store and callers are played by one process. Where that is slow, daemons rightly take
-workers for dead. Owns the times at which it stood still, and at which a worker was slow to answer.
+One process emulates workers, store and callers. If it is slow, daemons rightly consider workers
+dead. Owns the records of the process's stalls and of slow answers of an emulated worker.
 """
 
 import asyncio
@@ -11,83 +11,85 @@
 from ..standins.fleet import RunRecord, Worker, WorkerFace
 from ._stops import Pause
 
-__all__ = ["OwnPace"]
+__all__ = ["StallMonitor"]
 
-# Pause between two looks, and from which length on it is noted that this process stood still: half
-# of the silence after which a daemon suspects a worker. Chosen, not measured.
-LOOK_S = 0.02
-STILL_S = 0.1
+STALL_CHECK_INTERVAL_S = 0.02
 
-# Pause between two questions to a worker, and how long its answer may take before a daemon that
-# asks takes it for dead: `forwarding._stalls.REPORT_TIMEOUT_S`. The former is chosen, not measured.
-ASK_EVERY_S = 0.1
-ANSWER_WITHIN_S = 0.12
+# Shortest stall of this process that is recorded: half of the silence after which a daemon suspects
+# a worker.
+MIN_STALL_S = 0.1
 
-# Longest wait for an answer, after which the question counts as slow and another is asked. Chosen,
-# not measured.
-LONGEST_S = 2.0
+REPORT_INTERVAL_S = 0.1
 
-_QUESTION = b"GET /v1/report HTTP/1.1\r\nHost: worker\r\n\r\n"
+# How long a worker may take to answer before a daemon considers it dead:
+# `forwarding._stalls.REPORT_TIMEOUT_S`.
+SLOW_ANSWER_S = 0.12
 
+# Wait for an answer after which the request is abandoned and recorded as slow.
+MAX_ANSWER_WAIT_S = 2.0
 
-class OwnPace:
-    """Watches the emulation's own process.
+_REPORT_REQUEST = b"GET /v1/report HTTP/1.1\r\nHost: worker\r\n\r\n"
+
+
+class StallMonitor:
+    """Records stalls of the emulation's own process and slow answers of an emulated worker.
 
     Parameters
     ----------
     now_s : callable
-        Returns the time of the emulation.
+        Returns seconds since the load began.
 
     Attributes
     ----------
     stood_still : list of Pause
-        When nothing at all was done.
+        Times in which the process's event loop did not run.
     slow_answers : list of Pause
-        When a worker, asked as daemons ask, took so long to answer that it is taken for dead.
+        Times in which an emulated worker took longer to answer a report request than daemons wait
+        before they consider it dead.
     """
 
     def __init__(self, engine: EngineSpec, now_s: Callable[[], float]):
         self.now_s = now_s
         self.stood_still: list[Pause] = []
         self.slow_answers: list[Pause] = []
-        asked = Worker("asked", "", "", "", "", engine)
-        self._face = WorkerFace(asked, None, RunRecord())
+        probed_worker = Worker("asked", "", "", "", "", engine)
+        self._face = WorkerFace(probed_worker, None, RunRecord())
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Record stalls and slow answers until cancelled."""
         await self._face.start()
         try:
-            await asyncio.gather(self._look(), self._ask())
+            await asyncio.gather(self._record_stalls(), self._record_slow_answers())
         finally:
             await self._face.close()
 
-    async def _look(self) -> None:
-        looked_s = self.now_s()
+    async def _record_stalls(self) -> None:
+        checked_s = self.now_s()
         while True:
-            await asyncio.sleep(LOOK_S)
-            still_s = self.now_s() - looked_s - LOOK_S
-            if still_s > STILL_S:
-                self.stood_still.append(Pause(looked_s, still_s))
-            looked_s = self.now_s()
+            await asyncio.sleep(STALL_CHECK_INTERVAL_S)
+            stall_s = self.now_s() - checked_s - STALL_CHECK_INTERVAL_S
+            if stall_s > MIN_STALL_S:
+                self.stood_still.append(Pause(checked_s, stall_s))
+            checked_s = self.now_s()
 
-    async def _ask(self) -> None:
+    async def _record_slow_answers(self) -> None:
         while True:
-            asked_s = self.now_s()
+            requested_s = self.now_s()
             try:
-                async with asyncio.timeout(LONGEST_S):
-                    await self._ask_once()
+                async with asyncio.timeout(MAX_ANSWER_WAIT_S):
+                    await self._request_report()
             except (TimeoutError, OSError, asyncio.IncompleteReadError):
-                pass  # noted as slow by the time that it took
-            took_s = self.now_s() - asked_s
-            if took_s > ANSWER_WITHIN_S:
-                self.slow_answers.append(Pause(asked_s, took_s))
-            await asyncio.sleep(ASK_EVERY_S)
+                pass  # recorded as slow if it took longer than SLOW_ANSWER_S
+            took_s = self.now_s() - requested_s
+            if took_s > SLOW_ANSWER_S:
+                self.slow_answers.append(Pause(requested_s, took_s))
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
-    async def _ask_once(self) -> None:
+    async def _request_report(self) -> None:
         host, port = self._face.worker.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
-            writer.write(_QUESTION)
+            writer.write(_REPORT_REQUEST)
             await reader.readuntil(b"\r\n\r\n")
         finally:
             writer.close()
--- a/ferrydock/emulator/_page.py
+++ b/ferrydock/emulator/_page.py
@@ -17,7 +17,7 @@
 
 
 def figures(result: Result) -> dict:
-    """Return the figures of a run, as they are written to its result file."""
+    """Return the figures of a run, in the form of its result file."""
     outcomes = Counter(call.outcome for call in result.calls)
     served = [call for call in result.calls if call.outcome == "served"]
     return {
@@ -48,19 +48,19 @@
     """Return an SVG of stacked outcomes over time."""
     slices: list[Counter[str]] = [Counter() for _ in range(SLICES)]
     for call in calls:
-        place = min(SLICES - 1, int(call.at_s / length_s * SLICES))
-        slices[place][call.outcome] += 1
-    most = max((sum(one.values()) for one in slices), default=1) or 1
+        slice_index = min(SLICES - 1, int(call.at_s / length_s * SLICES))
+        slices[slice_index][call.outcome] += 1
+    max_calls = max((sum(counts.values()) for counts in slices), default=1) or 1
     bars = []
     for number, counts in enumerate(slices):
         top = float(HEIGHT)
         for outcome, count in sorted(counts.items(), key=lambda pair: pair[0] != "served"):
-            high = count / most * HEIGHT
-            top -= high
+            bar_height = count / max_calls * HEIGHT
+            top -= bar_height
             colour = _COLOURS.get(outcome, "#7a7a7a")
             bars.append(
                 f'<rect x="{number * WIDTH / SLICES:.1f}" y="{top:.1f}" '
-                f'width="{WIDTH / SLICES - 1:.1f}" height="{high:.1f}" fill="{colour}">'
+                f'width="{WIDTH / SLICES - 1:.1f}" height="{bar_height:.1f}" fill="{colour}">'
                 f"<title>{html.escape(outcome)}: {count}</title></rect>"
             )
     return f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" width="{WIDTH}">{"".join(bars)}</svg>'
@@ -80,7 +80,7 @@
 
 
 def page(result: Result, against: dict | None = None) -> str:
-    """Return the page of a run, beside an earlier one if `against` holds its figures."""
+    """Return the HTML page of a run, compared with the figures of another run if given."""
     ours = figures(result)
     length_s = max((call.at_s for call in result.calls), default=1.0) or 1.0
     broken = "".join(f"<li>{html.escape(line)}</li>" for line in result.broken)
--- a/ferrydock/emulator/_processes.py
+++ b/ferrydock/emulator/_processes.py
@@ -1,4 +1,4 @@
-"""Daemons of an emulation as processes of their own."""
+"""Daemons of an emulation, each in a process of its own, and the ports they listen on."""
 
 import asyncio
 import json
@@ -14,49 +14,56 @@
 
 __all__ = ["DaemonProcess", "free_ports", "loopback_address"]
 
-ENDED_WITHIN_S = 12.0
-PORTS = (20000, 31999)
-_SOURCE = random.Random()
-_GIVEN: set[tuple[str, int]] = set()
+END_TIMEOUT_S = 12.0
+PORT_RANGE = (20000, 31999)
+_RNG = random.Random()
+_RETURNED_PORTS: set[tuple[str, int]] = set()
 
 
 def loopback_address() -> str:
-    """Return an address of the loopback range that other emulations hardly use as well."""
-    return f"127.{_SOURCE.randint(1, 254)}.{_SOURCE.randint(1, 254)}.{_SOURCE.randint(1, 254)}"
+    """Return a random address of 127.0.0.0/8, so that concurrent emulations rarely share one."""
+    return f"127.{_RNG.randint(1, 254)}.{_RNG.randint(1, 254)}.{_RNG.randint(1, 254)}"
 
 
 def free_ports(count: int, address: str = "127.0.0.1") -> list[int]:
-    """Return ports of an address that nobody listens on just now, none of them twice.
+    """Return ports of an address on which nothing listens; each is returned only once per process.
 
-    They lie below the range from which the system takes ports for outgoing connections: a daemon
-    that starts again must find its own still free.
+    They lie below the range from which the system takes ports for outgoing connections, so that a
+    daemon that restarts finds its own ports still free.
     """
     ports: list[int] = []
     while len(ports) < count:
-        port = _SOURCE.randint(*PORTS)
-        if (address, port) in _GIVEN:
+        port = _RNG.randint(*PORT_RANGE)
+        if (address, port) in _RETURNED_PORTS:
             continue
         with socket.socket() as opened:
             try:
                 opened.bind((address, port))
             except OSError:
                 continue
-        _GIVEN.add((address, port))
+        _RETURNED_PORTS.add((address, port))
         ports.append(port)
     return ports
 
 
 class DaemonProcess:
-    """One daemon, started, hurt and stopped from outside.
+    """A daemon process that the emulation starts, disturbs and stops.
 
     Parameters
     ----------
     name, hall : str
-        Of the daemon.
+        Name of the daemon and of its hall.
     settings : dict
-        Written to its settings file.
+        Content of its settings file.
     folder : Path
-        Where the settings and the log lie.
+        Where the settings file and the log are written.
+
+    Attributes
+    ----------
+    unexpected_exit_statuses : list of int
+        Exit status of each end that the emulation did not cause.
+    disturbances_s : list of (float, float)
+        Loop times between which the daemon was disturbed.
     """
 
     def __init__(self, name: str, hall: str, settings: dict, folder: Path):
@@ -67,40 +74,43 @@
         self.settings_path = folder / f"{name}.json"
         self.settings_path.write_text(json.dumps(settings))
         self.process: asyncio.subprocess.Process | None = None
-        self.own_ends: list[int] = []
-        self.hurt_times_s: list[tuple[float, float]] = []
-        self._hurt_since_s: float | None = None
-        self._log_from = 0
+        self.unexpected_exit_statuses: list[int] = []
+        self.disturbances_s: list[tuple[float, float]] = []
+        self._disturbed_since_s: float | None = None
+        self._log_offset = 0
 
     @property
     def address(self) -> str:
-        """Where it takes callers."""
+        """Address on which the daemon accepts callers."""
         return self.settings["listen"]["frontend"]
 
     @property
-    def is_hurt(self) -> bool:
-        """Whether something is being done to it."""
-        return self._hurt_since_s is not None
+    def is_disturbed(self) -> bool:
+        """Whether the emulation is disturbing the daemon, for instance has frozen or stopped it."""
+        return self._disturbed_since_s is not None
 
-    @is_hurt.setter
-    def is_hurt(self, is_hurt: bool) -> None:
+    @is_disturbed.setter
+    def is_disturbed(self, is_disturbed: bool) -> None:
         now_s = asyncio.get_running_loop().time()
-        if is_hurt and self._hurt_since_s is None:
-            self._hurt_since_s = now_s
-        elif not is_hurt and self._hurt_since_s is not None:
-            self.hurt_times_s.append((self._hurt_since_s, now_s))
-            self._hurt_since_s = None
-
-    def was_well(self, at_s: float, for_s: float) -> bool:
-        """Return whether nothing was done to it for so long before a loop time."""
-        since_s = self._hurt_since_s
-        times_s = [*self.hurt_times_s, *([(since_s, at_s)] if since_s is not None else [])]
+        if is_disturbed and self._disturbed_since_s is None:
+            self._disturbed_since_s = now_s
+        elif not is_disturbed and self._disturbed_since_s is not None:
+            self.disturbances_s.append((self._disturbed_since_s, now_s))
+            self._disturbed_since_s = None
+
+    def was_undisturbed(self, at_s: float, for_s: float) -> bool:
+        """Return whether the daemon was undisturbed for `for_s` before the loop time `at_s`."""
+        disturbed_since_s = self._disturbed_since_s
+        times_s = [
+            *self.disturbances_s,
+            *([(disturbed_since_s, at_s)] if disturbed_since_s is not None else []),
+        ]
         return not any(from_s <= at_s and to_s >= at_s - for_s for from_s, to_s in times_s)
 
     async def start(self) -> None:
-        """Start the process."""
+        """Start the process; append its output to the log file."""
         with open(self.log_path, "ab") as log:
-            self._log_from = log.tell()
+            self._log_offset = log.tell()
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -112,45 +122,49 @@
             )
 
     @property
-    def runs(self) -> bool:
-        """Whether the process is there."""
+    def is_running(self) -> bool:
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     @property
     def has_started(self) -> bool:
-        """Whether the process has logged that it started."""
+        """Whether the current process has logged that it started."""
         with open(self.log_path, "rb") as log:
-            log.seek(self._log_from)
+            log.seek(self._log_offset)
             return b"event=started " in log.read()
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process is there.
+        """Send a signal if the process is running.
 
-        Not by the process object of asyncio: it would take the status of a process that has just
-        ended, and the loop would report 255 in its place.
+        Uses `os.kill`: asyncio's process object would collect the exit status of a process that has
+        just ended, and the event loop would then report 255 instead.
         """
-        if self.runs:
+        if self.is_running:
             with suppress(ProcessLookupError):
                 os.kill(require(self.process, "the process").pid, number)
 
     async def end(self) -> None:
-        """Wait until the process is gone; kill it if it takes too long."""
+        """Wait for the process to end; kill it after `ENDED_WITHIN_S`."""
         if self.process is None:
             return
         try:
-            async with asyncio.timeout(ENDED_WITHIN_S):
+            async with asyncio.timeout(END_TIMEOUT_S):
                 await self.process.wait()
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
 
-    def note_own_end(self) -> None:
-        """Note an end that nobody ordered."""
-        if self.process is not None and self.process.returncode is not None and not self.is_hurt:
-            self.own_ends.append(self.process.returncode)
+    def note_unexpected_end(self) -> None:
+        """Record the exit status if the process has ended without being disturbed."""
+        if (
+            self.process is not None
+            and self.process.returncode is not None
+            and not self.is_disturbed
+        ):
+            self.unexpected_exit_statuses.append(self.process.returncode)
 
     def resident_bytes(self) -> int:
-        """Return the memory of the process; 0 if it is gone."""
+        """Return the resident memory of the process; 0 if it is not running."""
         if self.process is None:
             return 0
         try:
--- a/ferrydock/emulator/_rests.py
+++ b/ferrydock/emulator/_rests.py
@@ -1,8 +1,8 @@
-"""Targets that refuse requests and ask for rest: drawn from a seed, and judged.
+"""Targets that refuse requests and ask for a back-off: drawn from a seed, and checked.
 
-What is promised: no more than `MAX_ARRIVALS` requests reach a target from a daemon between
-`KNOWN_AFTER_S` after it has refused one of that daemon and asked for rest, and the end of that
-rest. A daemon to which something was done since is left out. Pure.
+The promise: after a target has refused a request of a daemon and asked it for a back-off, at most
+`MAX_ARRIVALS` requests of that daemon reach the target between `KNOWN_AFTER_S` after the refusal
+and the end of the back-off. Requests of a daemon disturbed since the refusal do not count. Pure.
 """
 
 import random
@@ -10,49 +10,49 @@
 
 from ..standins.fleet import Shedding
 from ._experiment import Trouble
-from ._limits import KNOWN_AFTER_S, draw_said
+from ._limits import KNOWN_AFTER_S, draw_announcements
 
-__all__ = ["RESTS_S", "describe_disturbed", "disturbed", "draw_rests"]
+__all__ = ["BACKOFFS_S", "describe_violations", "disturbed", "draw_rests"]
 
-# The number of the platform's rule.
+# The bound that the platform promises.
 MAX_ARRIVALS = 2
 
-# Rests that are asked for, in seconds.
-RESTS_S = (1.0, 3.0, 6.0)
+# Back-offs that targets ask for.
+BACKOFFS_S = (1.0, 3.0, 6.0)
 
 
 def disturbed(
     shedding: Shedding,
     daemon_of: Callable[[str], str],
-    was_well: Callable[[str, float, float], bool] = lambda daemon, from_s, to_s: True,
+    was_undisturbed: Callable[[str, float, float], bool] = lambda daemon, from_s, to_s: True,
 ) -> list[tuple[float, str, int]]:
-    """Return the refusals after which too many requests came: when, from which daemon, how many.
+    """Return loop time, daemon and number of requests for refusals that too many requests followed.
 
     Parameters
     ----------
     daemon_of : callable
         Returns the daemon that a request, by its id, was sent to.
-    was_well : callable
-        Takes a daemon and two loop times; returns whether nothing was done to it between them.
+    was_undisturbed : callable
+        Takes a daemon and two loop times; returns whether it was undisturbed between them.
     """
     found = []
     for refused_s, request_id in shedding.refused:
         daemon = daemon_of(request_id)
         until_s = refused_s + shedding.rest_s
-        came_s = [
+        arrivals_s = [
             at_s
             for at_s, other_id in shedding.arrived
             if refused_s + KNOWN_AFTER_S <= at_s < until_s
             and daemon_of(other_id) == daemon
-            and was_well(daemon, refused_s, at_s)
+            and was_undisturbed(daemon, refused_s, at_s)
         ]
-        if len(came_s) > MAX_ARRIVALS:
-            found.append((refused_s, daemon, len(came_s)))
+        if len(arrivals_s) > MAX_ARRIVALS:
+            found.append((refused_s, daemon, len(arrivals_s)))
     return found
 
 
-def describe_disturbed(shedding: Shedding, daemon: str, at_s: float, count: int) -> str:
-    """Return a line on a rest that was not kept; `at_s` is when it was asked for, in the run."""
+def describe_violations(shedding: Shedding, daemon: str, at_s: float, count: int) -> str:
+    """Return a report line for a violated back-off; `at_s` is when it was asked for, in the run."""
     return (
         f"rest: {shedding.worker_id} asked {daemon} for {shedding.rest_s:g} s at {at_s:.2f} s and "
         f"got {count} requests from it"
@@ -60,6 +60,6 @@
 
 
 def draw_rests(seed: int, length_s: float, halls: Sequence[str]) -> list[Trouble]:
-    """Return targets that refuse all requests for a while, and troubles beside them."""
+    """Return targets that refuse all requests for at least 3 s, and concurrent troubles."""
     rng = random.Random(f"rests {seed}")
-    return draw_said(rng, "target_sheds", 5.0, 3.0, length_s, halls)
+    return draw_announcements(rng, "target_sheds", 5.0, 3.0, length_s, halls)
--- a/ferrydock/emulator/_result.py
+++ b/ferrydock/emulator/_result.py
@@ -1,4 +1,4 @@
-"""What an emulation brought: calls, promises that did not hold, troubles and counts; data only."""
+"""Result of an emulation: calls, broken promises, troubles and counts. Data only."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -27,36 +27,40 @@
 
 @dataclass(slots=True)
 class Result:
-    """What an emulation brought.
+    """Result of an emulation.
 
     Attributes
     ----------
     broken : list of str
-        Promises that did not hold, each with what was seen.
+        Broken promises, each with what was observed.
     troubles : list of str
-        What was done, and when.
+        Injected faults, with their times.
+    memory_bytes : int
+        Largest resident memory of a daemon.
     stood_still : list of Pause
-        When this process itself stood still, and with it all workers, the store and the callers.
+        Stalls of the emulating process, during which workers, store and callers were stalled too.
     slow_answers : list of Pause
-        When a worker took so long to answer a question that a daemon takes it for dead.
+        Times in which a worker took longer to answer than daemons wait before they consider it
+        dead.
     stops : list of PlannedStop
-        Stops whose callers stayed to the end.
+        Planned stops with callers connected until the process ended.
     stop_calls : int
-        Requests under way during these stops, each of which was judged.
+        Requests under way during these stops, all of which were checked.
     crashes : int
         Targets that ended under requests that crash them.
     beyond : int
-        Most tries in which such a request reached targets although daemons had time to know it.
+        Largest number of attempts in which one such request reached targets although daemons had
+        had the time to learn of it.
     at_leaving : int
-        Requests that reached targets which had said that they leave.
+        Requests that reached targets after these had announced that they leave.
     at_limited : int
-        Requests that reached targets which named a limit.
+        Requests that reached targets which announced a limit.
     leaving_said : int
-        Answers in which targets said that they leave.
+        Answers in which targets announced that they leave.
     shed : int
-        Requests that targets refused and asked for rest.
+        Requests that targets refused and asked for a back-off.
     excused : Counter
-        Those of them that fell under an exception of the promise, by its reason.
+        Number of the `stop_calls` covered by an exception of the promise, by reason.
     """
 
     name: str
--- a/ferrydock/emulator/_store_troubles.py
+++ b/ferrydock/emulator/_store_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of the store, of the connections to it, and of what it holds; stateless."""
+"""Faults of the store, of daemons' connections to it, and changes of its content. Stateless."""
 
 import asyncio
 import random
@@ -9,12 +9,12 @@
 from ..standins.fleet import WRITTEN_AGAIN_S
 from ._experiment import Trouble
 from ._processes import DaemonProcess
-from ._troubles import PlayedParts, trouble
+from ._troubles import EmulationParts, trouble
 
-__all__ = ["OF_THE_STORE", "daemons_concerned"]
+__all__ = ["STORE_KINDS", "affected_daemons"]
 
-# Kinds that concern the daemons' calls to the store.
-OF_THE_STORE = (
+# Kinds of trouble that affect daemons' calls to the store.
+STORE_KINDS = (
     "store_down",
     "store_down_for_some",
     "store_lost",
@@ -24,30 +24,34 @@
     "store_older",
 )
 
-# How long a store is away before it comes back older, and how many changes of keys that no daemon
-# follows it loses: so many that its revision stays below what daemons have seen.
-AWAY_S = 1.0
-OTHER_CHANGES = 200
-OTHER_KEY = "other/key"
+# How long the store is unreachable before it is restored from an older copy, and how many changes
+# of a key that no daemon watches the restore undoes: enough that the restored store's revision
+# stays below the revisions that daemons have seen.
+OUTAGE_S = 1.0
+UNWATCHED_CHANGES = 200
+UNWATCHED_KEY = "other/key"
 
-# Share of the writing calls whose answers are lost. Chosen, not measured.
+# Share of the writes whose answers are lost.
 LOST_SHARE = 0.4
 
 
-def daemons_concerned(parts: PlayedParts, met: Trouble) -> list[DaemonProcess]:
-    """Return the daemons whose calls to the store a trouble concerns; the same at each call."""
-    fitting = parts.daemons_of(met.hall)
-    if met.kind in ("history_lost", "store_older"):
+def affected_daemons(parts: EmulationParts, spec: Trouble) -> list[DaemonProcess]:
+    """Return the daemons whose store calls a trouble affects.
+
+    A random choice of daemons depends only on the trouble's time, so that repeated calls agree.
+    """
+    candidates = parts.daemons_of(spec.hall)
+    if spec.kind in ("history_lost", "store_older"):
         return list(parts.daemons)
-    if met.kind == "leader_waits_silent":
-        return [daemon for daemon in fitting if daemon.name in _leaders(parts)]
-    if met.kind == "store_down_for_some":
-        return random.Random(f"{met.at_s}").sample(fitting, min(met.count, len(fitting)))
-    return fitting
+    if spec.kind == "leader_waits_silent":
+        return [daemon for daemon in candidates if daemon.name in _leaders(parts)]
+    if spec.kind == "store_down_for_some":
+        return random.Random(f"{spec.at_s}").sample(candidates, min(spec.count, len(candidates)))
+    return candidates
 
 
-def _leaders(parts: PlayedParts) -> set[str]:
-    """Return the names of the daemons that hold the halls' leases now."""
+def _leaders(parts: EmulationParts) -> set[str]:
+    """Return the names of the daemons that currently hold the halls' leases."""
     keys, _ = parts.site.store.snapshot()
     held = (keys.get(controller_key(hall)) for hall in parts.site.halls)
     return {str(orjson.loads(item.value)["holder"]) for item in held if item is not None}
@@ -55,9 +59,9 @@
 
 @trouble("waits_silent")
 @trouble("leader_waits_silent")
-async def silence_waits(parts: PlayedParts, met: Trouble) -> str:
-    """Leave without an answer what daemons wait for now; what they ask later is answered."""
-    chosen = daemons_concerned(parts, met)
+async def silence_waits(parts: EmulationParts, spec: Trouble) -> str:
+    """Never answer the calls that daemons have under way; answer their later calls."""
+    chosen = affected_daemons(parts, spec)
     for daemon in chosen:
         parts.store_of(daemon).silence_waits()
     return ",".join(daemon.name for daemon in chosen)
@@ -65,62 +69,62 @@
 
 @trouble("store_down")
 @trouble("store_down_for_some")
-async def end_answers(parts: PlayedParts, met: Trouble) -> str:
-    """Give daemons no answers for a while. A silent store answers no wait from before either."""
-    chosen = daemons_concerned(parts, met)
+async def withhold_answers(parts: EmulationParts, spec: Trouble) -> str:
+    """Answer no calls for `for_s`; a silent store also never answers calls already under way."""
+    chosen = affected_daemons(parts, spec)
     faces = [parts.store_of(daemon) for daemon in chosen]
     for face in faces:
-        face.faults.down = met.how
-        if met.how == "silent":
+        face.faults.down = spec.how
+        if spec.how == "silent":
             face.silence_waits()
-    await asyncio.sleep(met.for_s)
+    await asyncio.sleep(spec.for_s)
     for face in faces:
         face.faults.down = ""
-    return f"{met.how} for {met.for_s:.1f} s {','.join(daemon.name for daemon in chosen)}"
+    return f"{spec.how} for {spec.for_s:.1f} s {','.join(daemon.name for daemon in chosen)}"
 
 
 @trouble("store_lost")
-async def lose_answers(parts: PlayedParts, met: Trouble) -> str:
-    """Lose a part of the answers to writes for a while."""
-    faces = [parts.store_of(daemon) for daemon in daemons_concerned(parts, met)]
+async def lose_answers(parts: EmulationParts, spec: Trouble) -> str:
+    """Lose a share of the answers to writes for `for_s`."""
+    faces = [parts.store_of(daemon) for daemon in affected_daemons(parts, spec)]
     for face in faces:
         face.faults.lost_share = LOST_SHARE
-    await asyncio.sleep(met.for_s)
+    await asyncio.sleep(spec.for_s)
     for face in faces:
         face.faults.lost_share = 0.0
-    return f"for {met.for_s:.1f} s"
+    return f"for {spec.for_s:.1f} s"
 
 
 @trouble("history_lost")
-async def forget_history(parts: PlayedParts, met: Trouble) -> str:
-    """Let the store forget its history."""
+async def compact_history(parts: EmulationParts, spec: Trouble) -> str:
+    """Compact the store's history, so that watches from earlier revisions fail."""
     for face in parts.site.stores:
         face.forget_history()
     return ""
 
 
 @trouble("store_older")
-async def come_back_older(parts: PlayedParts, met: Trouble) -> str:
-    """Let the store come back as it is now, after a while and an outage; all is written again."""
+async def restore_older_copy(parts: EmulationParts, spec: Trouble) -> str:
+    """Copy the store, restore it to the copy after `for_s` and an outage, and wait for rewrites."""
     copy = parts.site.store.copy()
-    for number in range(OTHER_CHANGES):
-        parts.site.store.put(OTHER_KEY, str(number).encode())
-    await asyncio.sleep(max(0.0, met.for_s - AWAY_S))
+    for number in range(UNWATCHED_CHANGES):
+        parts.site.store.put(UNWATCHED_KEY, str(number).encode())
+    await asyncio.sleep(max(0.0, spec.for_s - OUTAGE_S))
     faces = [parts.store_of(daemon) for daemon in parts.daemons]
     for face in faces:
-        face.faults.down = met.how
-        if met.how == "silent":
+        face.faults.down = spec.how
+        if spec.how == "silent":
             face.silence_waits()
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(OUTAGE_S)
     lost = parts.site.store.revision - copy.revision
     parts.site.come_back_older(copy)
     for face in faces:
         face.faults.down = ""
     await asyncio.sleep(max(WRITTEN_AGAIN_S))
-    return f"{met.how}, {lost} revisions of {met.for_s:.1f} s lost"
+    return f"{spec.how}, {lost} revisions of {spec.for_s:.1f} s lost"
 
 
 @trouble("configuration")
-async def write_configuration(parts: PlayedParts, met: Trouble) -> str:
-    """Write a configuration as the operator does."""
+async def write_configuration(parts: EmulationParts, spec: Trouble) -> str:
+    """Write a new version of the configuration as the operator does."""
     return f"version {parts.site.write_configuration()}"
--- a/ferrydock/emulator/_target_troubles.py
+++ b/ferrydock/emulator/_target_troubles.py
@@ -1,4 +1,7 @@
-"""Troubles of targets: they die, crash, leave, or carry out their orders late; stateless."""
+"""Faults and announcements of targets: they die, crash, leave, delay orders, limit or refuse load.
+
+Stateless.
+"""
 
 import asyncio
 
@@ -6,93 +9,96 @@
 from ..standins.fleet import Worker
 from ._experiment import Trouble
 from ._limits import LIMITS_PER_S
-from ._rests import RESTS_S
-from ._troubles import PlayedParts, trouble
+from ._rests import BACKOFFS_S
+from ._troubles import EmulationParts, trouble
 
 __all__: list[str] = []
 
-# Share of a domain that may be lost at a time, so that replicas can be formed again.
+# Largest share of a domain's workers that may be lost, so that replicas can be formed again.
 MAX_LOST_PER_DOMAIN = 0.4
 
-# Late orders: their share, and how late they are carried out, in seconds.
+# Share of the orders that are late, and the range of their delay.
 LATE_SHARE = 0.35
-LATE_S = (0.5, 3.0)
+LATE_DELAY_S = (0.5, 3.0)
 
 
-def _names(workers: list[Worker]) -> str:
+def _worker_ids(workers: list[Worker]) -> str:
     return ",".join(worker.worker_id for worker in workers)
 
 
-def _workers(parts: PlayedParts, met: Trouble) -> list[Worker]:
-    """Return workers that may be lost: members first, and never too many of a domain."""
+def _expendable_workers(parts: EmulationParts, spec: Trouble) -> list[Worker]:
+    """Return up to `count` workers that may be lost, members of replicas first.
+
+    Domains that have lost `MAX_LOST_PER_DOMAIN` of their workers are left out.
+    """
     all_workers = parts.site.fleet.workers.values()
     lost: dict[str, int] = {}
     for worker in all_workers:
         if not worker.alive or worker.draining:
             lost[worker.domain] = lost.get(worker.domain, 0) + 1
     max_lost = int(parts.experiment.domain_size * MAX_LOST_PER_DOMAIN)
-    fitting = [
+    candidates = [
         worker
         for worker in all_workers
         if worker.alive
         and not worker.draining
         and lost.get(worker.domain, 0) < max_lost
-        and met.hall in ("", worker.hall)
+        and spec.hall in ("", worker.hall)
     ]
-    parts.rng.shuffle(fitting)
-    return sorted(fitting, key=lambda worker: worker.membership is None)[: met.count]
+    parts.rng.shuffle(candidates)
+    return sorted(candidates, key=lambda worker: worker.membership is None)[: spec.count]
 
 
 @trouble("worker_dead")
-async def kill_workers(parts: PlayedParts, met: Trouble) -> str:
-    """Let model workers fall silent for good."""
-    chosen = _workers(parts, met)
+async def kill_workers(parts: EmulationParts, spec: Trouble) -> str:
+    """Kill model workers: they never answer again."""
+    chosen = _expendable_workers(parts, spec)
     for worker in chosen:
         parts.site.kill_worker(worker.worker_id)
-    return _names(chosen)
+    return _worker_ids(chosen)
 
 
 @trouble("worker_leaving")
-async def drain_workers(parts: PlayedParts, met: Trouble) -> str:
-    """Let model workers say that they will leave."""
-    chosen = _workers(parts, met)
+async def drain_workers(parts: EmulationParts, spec: Trouble) -> str:
+    """Let model workers announce that they will leave."""
+    chosen = _expendable_workers(parts, spec)
     for worker in chosen:
         parts.site.drain_worker(worker.worker_id)
-    return _names(chosen)
+    return _worker_ids(chosen)
 
 
 @trouble("crashing_request")
-async def send_crashing_request(parts: PlayedParts, met: Trouble) -> str:
-    """Send a request that crashes each worker that runs it."""
-    return await require(parts.crashing, "the callers").run(met)
+async def send_crashing_request(parts: EmulationParts, spec: Trouble) -> str:
+    """Send a request repeatedly that crashes each worker that runs it."""
+    return await require(parts.crashing_callers, "the callers").run(spec)
 
 
 @trouble("workers_crash")
-async def crash_workers(parts: PlayedParts, met: Trouble) -> str:
-    """Crash heads and plain workers at one moment, but not all of either."""
+async def crash_workers(parts: EmulationParts, spec: Trouble) -> str:
+    """Crash up to `count` heads of replicas and at most one plain worker at the same time."""
     site = parts.site
-    heads = [w for w in site.fleet.open_heads() if met.hall in ("", w.hall)]
-    plain = [w for w in site.plain.values() if w.alive and met.hall in ("", w.hall)]
-    chosen = parts.rng.sample(heads, min(met.count, len(heads)))
+    heads = [w for w in site.fleet.open_heads() if spec.hall in ("", w.hall)]
+    plain = [w for w in site.plain.values() if w.alive and spec.hall in ("", w.hall)]
+    chosen = parts.rng.sample(heads, min(spec.count, len(heads)))
     chosen += parts.rng.sample(plain, min(1, len(plain)))
     for worker in chosen:
         site.crash_worker(worker)
-    return _names(chosen)
+    return _worker_ids(chosen)
 
 
 @trouble("rack_dead")
-async def kill_rack(parts: PlayedParts, met: Trouble) -> str:
-    """Let all workers of one domain fall silent for good, unless too few are whole."""
+async def kill_rack(parts: EmulationParts, spec: Trouble) -> str:
+    """Kill all workers of one domain, unless fewer than two domains have all workers alive."""
     workers = list(parts.site.fleet.workers.values())
-    whole = sorted(
+    complete = sorted(
         domain
         for domain in {w.domain for w in workers if w.alive}
         if all(w.alive for w in workers if w.domain == domain)
-        and (not met.hall or domain.startswith(met.hall))
+        and (not spec.hall or domain.startswith(spec.hall))
     )
-    if len(whole) < 2:
+    if len(complete) < 2:
         return "left out: too few domains are whole"
-    chosen = parts.rng.choice(whole)
+    chosen = parts.rng.choice(complete)
     for worker in workers:
         if worker.domain == chosen:
             parts.site.kill_worker(worker.worker_id)
@@ -100,80 +106,80 @@
 
 
 @trouble("orders_late")
-async def delay_orders(parts: PlayedParts, met: Trouble) -> str:
-    """Leave a part of the orders unanswered for a while, and carry them out later."""
+async def delay_orders(parts: EmulationParts, spec: Trouble) -> str:
+    """For `for_s`, leave a share of the orders unanswered and have them carried out later."""
     faults = parts.site.fleet.faults
     faults.late_share = LATE_SHARE
-    faults.late_from_s, faults.late_to_s = LATE_S
-    await asyncio.sleep(met.for_s)
+    faults.late_from_s, faults.late_to_s = LATE_DELAY_S
+    await asyncio.sleep(spec.for_s)
     faults.late_share = 0.0
-    return f"for {met.for_s:.1f} s"
+    return f"for {spec.for_s:.1f} s"
 
 
 @trouble("target_limited")
-async def limit_targets(parts: PlayedParts, met: Trouble) -> str:
-    """Let targets that are used name a limit in their answers, and end it later."""
-    named = []
-    for _ in range(met.count):
-        target = _used_target(parts, met.hall)
+async def limit_targets(parts: EmulationParts, spec: Trouble) -> str:
+    """Let targets in use announce a rate limit in their answers for `for_s`."""
+    limited = []
+    for _ in range(spec.count):
+        target = _random_target(parts, spec.hall)
         if target is None or target.limit is not None:
             continue
         per_s = parts.rng.choice(LIMITS_PER_S)
         parts.site.limit_worker(target.worker_id, per_s)
-        named.append(target)
-    text = ",".join(f"{t.worker_id}={require(t.limit, 'the limit').per_s:g}" for t in named)
-    await asyncio.sleep(met.for_s)
-    for target in named:
+        limited.append(target)
+    text = ",".join(f"{t.worker_id}={require(t.limit, 'the limit').per_s:g}" for t in limited)
+    await asyncio.sleep(spec.for_s)
+    for target in limited:
         parts.site.end_limit(target.worker_id)
     return text
 
 
 @trouble("target_sheds")
-async def shed_at_targets(parts: PlayedParts, met: Trouble) -> str:
-    """Let targets that are used refuse all requests and ask for rest, and end it later."""
-    begun = []
-    for _ in range(met.count):
-        target = _used_target(parts, met.hall)
+async def shed_at_targets(parts: EmulationParts, spec: Trouble) -> str:
+    """Let targets in use refuse all requests and ask for a back-off, for `for_s`."""
+    sheddings = []
+    for _ in range(spec.count):
+        target = _random_target(parts, spec.hall)
         if target is None or target.shedding is not None:
             continue
-        begun.append(parts.site.shed_at_worker(target.worker_id, parts.rng.choice(RESTS_S)))
-    await asyncio.sleep(met.for_s)
-    for shedding in begun:
+        sheddings.append(parts.site.shed_at_worker(target.worker_id, parts.rng.choice(BACKOFFS_S)))
+    await asyncio.sleep(spec.for_s)
+    for shedding in sheddings:
         shedding.is_over = True
-    return ",".join(f"{shedding.worker_id}={shedding.rest_s:g}" for shedding in begun)
+    return ",".join(f"{shedding.worker_id}={shedding.rest_s:g}" for shedding in sheddings)
 
 
 @trouble("target_says_leaving")
-async def say_leaving(parts: PlayedParts, met: Trouble) -> str:
-    """Let a target say in its answers that it leaves, and its entry only after a while."""
+async def announce_leaving(parts: EmulationParts, spec: Trouble) -> str:
+    """Let a target announce in its answers that it leaves, and its entry only `for_s` later."""
     site = parts.site
-    leaving = _used_target(parts, met.hall)
+    leaving = _random_target(parts, spec.hall)
     if leaving is None or leaving.leaving_said is not None:
         return ""
-    await _add_in_place_of(parts, leaving)
+    await _add_replacement(parts, leaving)
     site.say_leaving(leaving.worker_id)
-    await asyncio.sleep(met.for_s)
+    await asyncio.sleep(spec.for_s)
     site.drain_worker(leaving.worker_id)
     return leaving.worker_id
 
 
 @trouble("target_replaced")
-async def replace_targets(parts: PlayedParts, met: Trouble) -> str:
-    """Let targets that are used say that they leave, and others join in their place."""
+async def replace_targets(parts: EmulationParts, spec: Trouble) -> str:
+    """Let targets in use announce that they leave, and add a new target for each."""
     site = parts.site
     replaced: list[Worker] = []
-    for _ in range(met.count):
-        leaving = _used_target(parts, met.hall)
+    for _ in range(spec.count):
+        leaving = _random_target(parts, spec.hall)
         if leaving is None:
             continue
-        await _add_in_place_of(parts, leaving)
+        await _add_replacement(parts, leaving)
         site.drain_worker(leaving.worker_id)
         replaced.append(leaving)
-    return _names(replaced)
+    return _worker_ids(replaced)
 
 
-async def _add_in_place_of(parts: PlayedParts, leaving: Worker) -> None:
-    """Let a new target join for one that leaves."""
+async def _add_replacement(parts: EmulationParts, leaving: Worker) -> None:
+    """Add a new target of the same kind, hall and domain as one that leaves."""
     site = parts.site
     name = f"{leaving.worker_id.split('+')[0]}+{parts.rng.getrandbits(32):08x}"
     if leaving.worker_id in site.plain:
@@ -182,12 +188,12 @@
         await site.add_worker(name, leaving.hall, leaving.domain)
 
 
-def _used_target(parts: PlayedParts, hall: str) -> Worker | None:
-    """Return a target that takes requests, plain or the head of a replica; None for none."""
+def _random_target(parts: EmulationParts, hall: str) -> Worker | None:
+    """Return a random plain worker or replica head that accepts requests; None if none does."""
     kinds = [list(parts.site.plain.values()), parts.site.fleet.open_heads()]
     parts.rng.shuffle(kinds)
     for kind in kinds:
-        fitting = [w for w in kind if w.alive and not w.draining and hall in ("", w.hall)]
-        if fitting:
-            return parts.rng.choice(fitting)
+        candidates = [w for w in kind if w.alive and not w.draining and hall in ("", w.hall)]
+        if candidates:
+            return parts.rng.choice(candidates)
     return None
--- a/ferrydock/emulator/_troubles.py
+++ b/ferrydock/emulator/_troubles.py
@@ -1,8 +1,8 @@
-"""What troubles are done to, and who plays each kind: a registry that a decorator fills.
+"""Registry of the functions that carry out each kind of trouble, filled by a decorator.
 
-The kinds stand in `_target_troubles`, `_store_troubles` and `_daemon_troubles`. Each function does
-one trouble to the parts of an emulation and returns what it did, for the report. Owns, in the
-parts, which daemons are being stopped.
+`_target_troubles`, `_store_troubles` and `_daemon_troubles` register the functions. Each carries
+out one trouble on the parts of an emulation and returns what it did, for the report.
+`EmulationParts` owns the record of which daemons are being stopped.
 """
 
 import random
@@ -16,24 +16,24 @@
 from ._result import Result
 from ._stops import PlannedStop
 
-__all__ = ["TROUBLES", "PlayedParts", "trouble"]
+__all__ = ["TROUBLES", "EmulationParts", "trouble"]
 
 
 @dataclass(slots=True)
-class PlayedParts:
-    """What a trouble may be done to.
+class EmulationParts:
+    """The parts of an emulation that troubles act on.
 
     Attributes
     ----------
     daemons : list of DaemonProcess
-        The store's address of each is the one with the same number in `site.stores`, plus one.
+        The daemon at index i reaches the store through ``site.stores[i + 1]``.
     now_s : callable
-        Returns the time of the emulation.
+        Returns seconds since the load began.
     stops : dict
         Planned stops under way, by the daemon's name.
     to_be_stopped : set of str
         Daemons that no other trouble may end or freeze.
-    crashing : CrashingCallers or None
+    crashing_callers : CrashingCallers or None
         Sends requests that crash their targets; None before the load begins.
     """
 
@@ -45,10 +45,10 @@
     now_s: Callable[[], float]
     stops: dict[str, PlannedStop] = field(default_factory=dict)
     to_be_stopped: set[str] = field(default_factory=set)
-    crashing: CrashingCallers | None = None
+    crashing_callers: CrashingCallers | None = None
 
     def store_of(self, daemon: DaemonProcess) -> StoreFace:
-        """Return the address at which a daemon reaches the store."""
+        """Return the emulated store server that a daemon uses."""
         return self.site.stores[1 + self.daemons.index(daemon)]
 
     def daemons_of(self, hall: str) -> list[DaemonProcess]:
@@ -56,12 +56,12 @@
         return [daemon for daemon in self.daemons if hall in ("", daemon.hall)]
 
 
-Action = Callable[[PlayedParts, Trouble], Awaitable[str]]
+Action = Callable[[EmulationParts, Trouble], Awaitable[str]]
 TROUBLES: dict[str, Action] = {}
 
 
 def trouble(kind: str) -> Callable[[Action], Action]:
-    """Register what plays a kind of trouble."""
+    """Register the decorated function as the one that carries out a kind of trouble."""
 
     def decorate(action: Action) -> Action:
         TROUBLES[kind] = action
--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -41,6 +41,7 @@
     "daemon.py",
     "demo.py",
     "demo_keys.py",
+    "emulator",
     "engines",
     "environment.py",
     "forwarding",
