--- a/ferrydock/emulator/__init__.py
+++ b/ferrydock/emulator/__init__.py
@@ -11,7 +11,13 @@
     draw_troubles,
     read_experiment,
 )
-from ._leaving import DRAIN_S, after_its_word, draw_leaving, draw_leaving_said, late_arrivals
+from ._leaving import (
+    DRAIN_S,
+    arrivals_after_leaving,
+    draw_leaving,
+    draw_leaving_said,
+    late_arrivals,
+)
 from ._limits import draw_limits, excess, max_arrivals
 from ._load import Call, Callers
 from ._page import figures, page
@@ -48,7 +54,7 @@
     "Trouble",
     "demo_experiment",
     "draw_eras",
-    "after_its_word",
+    "arrivals_after_leaving",
     "draw_leaving",
     "draw_leaving_said",
     "draw_limits",
--- a/ferrydock/emulator/_judge.py
+++ b/ferrydock/emulator/_judge.py
@@ -6,7 +6,7 @@
 """
 
 from ._crashing import CONTACT_S, MAX_LATE_ARRIVALS, arrivals_beyond, describe_refused
-from ._leaving import StoreDisturbance, after_its_word, describe_late, late_arrivals
+from ._leaving import StoreDisturbance, arrivals_after_leaving, describe_late, late_arrivals
 from ._limits import describe_excess, excess
 from ._load import Call
 from ._rests import describe_violations, disturbed
@@ -133,7 +133,7 @@
         calls = {call.request_id: call for call in result.calls}
         for announcement in self.parts.site.record.leaving_said:
             result.leaving_said += len(announcement.told)
-            late = after_its_word(
+            late = arrivals_after_leaving(
                 announcement,
                 lambda request_id: self.load_began_s + calls[request_id].at_s,
                 self._daemon_of,
--- a/ferrydock/emulator/_leaving.py
+++ b/ferrydock/emulator/_leaving.py
@@ -19,7 +19,7 @@
 __all__ = [
     "DRAIN_S",
     "StoreDisturbance",
-    "after_its_word",
+    "arrivals_after_leaving",
     "describe_late",
     "draw_leaving",
     "draw_leaving_said",
@@ -94,7 +94,7 @@
     ]
 
 
-def after_its_word(
+def arrivals_after_leaving(
     announcement: LeavingSaid,
     sent_s: Callable[[str], float],
     daemon_of: Callable[[str], str],
--- a/ferrydock/platform/tests/test_leaving_targets.py
+++ b/ferrydock/platform/tests/test_leaving_targets.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ...emulator import after_its_word
+from ...emulator import arrivals_after_leaving
 from .test_limited_targets import send_for, start_daemons
 from .test_site import REPLICAS, Site, run_scenario, send_request
 
@@ -72,7 +72,9 @@
             sent_s = {}
             sent_to, statuses = await send_for(site, path, model, 2 * DRAIN_S, sent_s)
             assert announcement.told and set(statuses) == {200}
-            assert after_its_word(announcement, sent_s.__getitem__, sent_to.__getitem__) == []
+            assert (
+                arrivals_after_leaving(announcement, sent_s.__getitem__, sent_to.__getitem__) == []
+            )
             hall = site.site.fleet.workers[target_id].hall if model else "hall-a"
             own = [daemon for daemon in site.daemons if daemon.settings.hall == hall]
             await site.wait_until(
