--- a/ferrydock/emulator/__init__.py
+++ b/ferrydock/emulator/__init__.py
@@ -22,7 +22,7 @@
 from ._load import Call, Callers
 from ._page import figures, page
 from ._processes import free_ports, loopback_address
-from ._rests import disturbed, draw_rests
+from ._rests import backoff_violations, draw_rests
 from ._result import PROMISES, Result
 from ._run import Emulation
 from ._stops import (
@@ -59,7 +59,7 @@
     "draw_leaving_said",
     "draw_limits",
     "draw_rests",
-    "disturbed",
+    "backoff_violations",
     "excess",
     "max_arrivals",
     "draw_stops",
--- a/ferrydock/emulator/_judge.py
+++ b/ferrydock/emulator/_judge.py
@@ -9,7 +9,7 @@
 from ._leaving import StoreDisturbance, arrivals_after_leaving, describe_late, late_arrivals
 from ._limits import describe_excess, excess
 from ._load import Call
-from ._rests import describe_violations, disturbed
+from ._rests import backoff_violations, describe_violations
 from ._stops import (
     PROMISES_NOT_RUN,
     STALE_HEAD_S,
@@ -158,7 +158,7 @@
         result = self.parts.result
         for shedding in self.parts.site.record.shed:
             result.shed += len(shedding.refused)
-            found = disturbed(shedding, self._daemon_of, self._was_undisturbed)
+            found = backoff_violations(shedding, self._daemon_of, self._was_undisturbed)
             for at_s, daemon, count in found[:1]:
                 refused_s = at_s - self.load_began_s
                 result.broken.append(describe_violations(shedding, daemon, refused_s, count))
--- a/ferrydock/emulator/_rests.py
+++ b/ferrydock/emulator/_rests.py
@@ -12,7 +12,7 @@
 from ._experiment import Trouble
 from ._limits import KNOWN_AFTER_S, draw_announcements
 
-__all__ = ["BACKOFFS_S", "describe_violations", "disturbed", "draw_rests"]
+__all__ = ["BACKOFFS_S", "describe_violations", "backoff_violations", "draw_rests"]
 
 # The bound that the platform promises.
 MAX_ARRIVALS = 2
@@ -21,7 +21,7 @@
 BACKOFFS_S = (1.0, 3.0, 6.0)
 
 
-def disturbed(
+def backoff_violations(
     shedding: Shedding,
     daemon_of: Callable[[str], str],
     was_undisturbed: Callable[[str, float, float], bool] = lambda daemon, from_s, to_s: True,
--- a/ferrydock/platform/tests/test_resting_targets.py
+++ b/ferrydock/platform/tests/test_resting_targets.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ...emulator import disturbed
+from ...emulator import backoff_violations
 from .test_limited_targets import send_for, start_daemons
 from .test_site import Site, run_scenario
 
@@ -21,7 +21,7 @@
             shedding = site.site.shed_at_worker(backing_off_id, BACKOFF_S)
             sent_to, statuses = await send_for(site, path, model, 2 * BACKOFF_S)
             assert {sent_to[request_id] for _, request_id in shedding.refused} >= {"a1", "a2", "a3"}
-            assert disturbed(shedding, sent_to.__getitem__) == []
+            assert backoff_violations(shedding, sent_to.__getitem__) == []
             assert set(statuses) <= {200, 503} and statuses.count(200) > len(statuses) / 2
             site.assert_no_violations()
 
