--- a/ferrydock/emulator/__init__.py
+++ b/ferrydock/emulator/__init__.py
@@ -18,7 +18,7 @@
     draw_leaving_said,
     late_arrivals,
 )
-from ._limits import draw_limits, excess, max_arrivals
+from ._limits import draw_limits, max_arrivals, rate_limit_violations
 from ._load import Call, Callers
 from ._page import figures, page
 from ._processes import free_ports, loopback_address
@@ -60,7 +60,7 @@
     "draw_limits",
     "draw_rests",
     "backoff_violations",
-    "excess",
+    "rate_limit_violations",
     "max_arrivals",
     "draw_stops",
     "draw_crashing",
--- a/ferrydock/emulator/_judge.py
+++ b/ferrydock/emulator/_judge.py
@@ -7,7 +7,7 @@
 
 from ._crashing import CONTACT_S, MAX_LATE_ARRIVALS, arrivals_beyond, describe_refused
 from ._leaving import StoreDisturbance, arrivals_after_leaving, describe_late, late_arrivals
-from ._limits import describe_excess, excess
+from ._limits import describe_excess, rate_limit_violations
 from ._load import Call
 from ._rests import backoff_violations, describe_violations
 from ._stops import (
@@ -150,7 +150,9 @@
         result = self.parts.result
         for limit in self.parts.site.record.limits:
             result.at_limited += len(limit.arrived)
-            for at_s, count in excess(limit, self._daemon_of, self._was_undisturbed)[:1]:
+            for at_s, count in rate_limit_violations(limit, self._daemon_of, self._was_undisturbed)[
+                :1
+            ]:
                 result.broken.append(describe_excess(limit, at_s - self.load_began_s, count))
 
     def _check_rests(self) -> None:
--- a/ferrydock/emulator/_limits.py
+++ b/ferrydock/emulator/_limits.py
@@ -18,7 +18,7 @@
     "describe_excess",
     "draw_limits",
     "draw_announcements",
-    "excess",
+    "rate_limit_violations",
     "max_arrivals",
 ]
 
@@ -51,7 +51,7 @@
     return OVERSHOOT * per_s * WINDOW_S + EXTRA_ARRIVALS
 
 
-def excess(
+def rate_limit_violations(
     limit: NamedLimit,
     daemon_of: Callable[[str], str],
     was_undisturbed: Callable[[str, float, float], bool] = lambda daemon, from_s, to_s: True,
--- a/ferrydock/platform/tests/test_limited_targets.py
+++ b/ferrydock/platform/tests/test_limited_targets.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from ...emulator import excess
+from ...emulator import rate_limit_violations
 from .test_site import REPLICAS, Site, run_scenario, send_request
 
 # A limit is checked from `contact-ms` (3 s) on, in windows of 4 s.
@@ -54,7 +54,7 @@
             site.site.limit_worker(limited_id, 1.1)
             sent_to, statuses = await send_for(site, path, model, SENDING_S)
             (limit,) = site.site.record.limits
-            assert excess(limit, sent_to.__getitem__) == []
+            assert rate_limit_violations(limit, sent_to.__getitem__) == []
             assert set(statuses) <= {200, 503} and statuses.count(200) > len(statuses) / 2
             site.assert_no_violations()
 
