--- a/ferrydock/emulator/__init__.py
+++ b/ferrydock/emulator/__init__.py
@@ -16,7 +16,7 @@
     arrivals_after_leaving,
     draw_leaving,
     draw_leaving_said,
-    late_arrivals,
+    late_leaving_arrivals,
 )
 from ._limits import draw_limits, max_arrivals, rate_limit_violations
 from ._load import Call, Callers
@@ -71,7 +71,7 @@
     "free_ports",
     "is_as_promised",
     "find_end_fault",
-    "late_arrivals",
+    "late_leaving_arrivals",
     "loopback_address",
     "page",
     "read_experiment",
--- a/ferrydock/emulator/_judge.py
+++ b/ferrydock/emulator/_judge.py
@@ -6,7 +6,7 @@
 """
 
 from ._crashing import CONTACT_S, MAX_LATE_ARRIVALS, arrivals_beyond, describe_refused
-from ._leaving import StoreDisturbance, arrivals_after_leaving, describe_late, late_arrivals
+from ._leaving import StoreDisturbance, arrivals_after_leaving, describe_late, late_leaving_arrivals
 from ._limits import describe_excess, rate_limit_violations
 from ._load import Call
 from ._rests import backoff_violations, describe_violations
@@ -123,7 +123,7 @@
 
         arrivals = self.parts.site.record.at_leaving
         result.at_leaving = len(arrivals)
-        for late in late_arrivals(arrivals, is_undisturbed):
+        for late in late_leaving_arrivals(arrivals, is_undisturbed):
             daemon = sent_to[late.request_id].name
             result.broken.append(describe_late(late, daemon, late.at_s - self.load_began_s))
 
--- a/ferrydock/emulator/_leaving.py
+++ b/ferrydock/emulator/_leaving.py
@@ -23,7 +23,7 @@
     "describe_late",
     "draw_leaving",
     "draw_leaving_said",
-    "late_arrivals",
+    "late_leaving_arrivals",
 ]
 
 # The platform's ``drain-ms`` on the known sites.
@@ -73,7 +73,7 @@
         return daemon in self.daemons and self.from_s <= to_s and self.to_s >= from_s
 
 
-def late_arrivals(
+def late_leaving_arrivals(
     arrivals: Sequence[LeavingArrival], is_undisturbed: Callable[[str, float, float], bool]
 ) -> list[LeavingArrival]:
     """Return the arrivals from undisturbed daemons at targets that left over `DRAIN_S` earlier.
--- a/ferrydock/emulator/tests/test_experiments.py
+++ b/ferrydock/emulator/tests/test_experiments.py
@@ -12,7 +12,7 @@
     draw_leaving,
     draw_troubles,
     free_ports,
-    late_arrivals,
+    late_leaving_arrivals,
     read_experiment,
 )
 from .._leaving import StoreDisturbance
@@ -75,13 +75,13 @@
 
 def test_only_arrivals_after_the_bound_from_undisturbed_daemons_are_late():
     arrivals = [arrival(1.99), arrival(2.01), arrival(9.0, "of a hurt daemon")]
-    late = late_arrivals(arrivals, lambda request_id, from_s, to_s: request_id == "r")
+    late = late_leaving_arrivals(arrivals, lambda request_id, from_s, to_s: request_id == "r")
     assert late == [arrivals[1]]
 
 
 def test_a_daemon_must_be_undisturbed_from_contact_s_before_the_target_left():
     checked = []
-    late_arrivals([arrival(2.5)], lambda *about: checked.append(about))
+    late_leaving_arrivals([arrival(2.5)], lambda *about: checked.append(about))
     assert checked == [("r", 100.0 - 2.5 - CONTACT_S, 100.0)]
 
 
