--- a/ferrydock/emulator/__init__.py
+++ b/ferrydock/emulator/__init__.py
@@ -1,6 +1,6 @@
 """Emulation of a platform: daemons as processes, callers, injected faults, and a report."""
 
-from ._crashing import CONTACT_S, arrivals_beyond, draw_crashing
+from ._crashing import CONTACT_S, draw_crashing, late_arrivals
 from ._eras import draw_eras
 from ._experiment import (
     KINDS,
@@ -39,7 +39,7 @@
 __all__ = [
     "CONTACT_S",
     "DRAIN_S",
-    "arrivals_beyond",
+    "late_arrivals",
     "KINDS",
     "PROMISES",
     "Call",
--- a/ferrydock/emulator/_crashing.py
+++ b/ferrydock/emulator/_crashing.py
@@ -20,7 +20,7 @@
     "CONTACT_S",
     "MAX_LATE_ARRIVALS",
     "CrashingCallers",
-    "arrivals_beyond",
+    "late_arrivals",
     "describe_refused",
     "draw_crashing",
     "is_of_crashing_request",
@@ -71,7 +71,7 @@
             await asyncio.sleep(pause_s)
 
 
-def arrivals_beyond(
+def late_arrivals(
     seen: CrashingRequest,
     is_undisturbed: Callable[[str, float], bool] = lambda request_id, at_s: True,
 ) -> list[float]:
--- a/ferrydock/emulator/_judge.py
+++ b/ferrydock/emulator/_judge.py
@@ -5,7 +5,7 @@
 nothing; adds broken promises to the result.
 """
 
-from ._crashing import CONTACT_S, MAX_LATE_ARRIVALS, arrivals_beyond, describe_refused
+from ._crashing import CONTACT_S, MAX_LATE_ARRIVALS, describe_refused, late_arrivals
 from ._leaving import StoreDisturbance, arrivals_after_leaving, describe_late, late_leaving_arrivals
 from ._limits import describe_excess, rate_limit_violations
 from ._load import Call
@@ -101,7 +101,7 @@
             return is_stable and sent_to[request_id].was_undisturbed(at_s, CONTACT_S)
 
         for (path, _, body), seen in self.parts.site.record.crashing.items():
-            beyond = arrivals_beyond(seen, is_undisturbed)
+            beyond = late_arrivals(seen, is_undisturbed)
             result.crashes += len(seen.crashed_s)
             result.beyond = max(result.beyond, len(beyond))
             if len(beyond) > MAX_LATE_ARRIVALS:
--- a/ferrydock/platform/tests/test_crashing_requests.py
+++ b/ferrydock/platform/tests/test_crashing_requests.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ...emulator import CONTACT_S, arrivals_beyond
+from ...emulator import CONTACT_S, late_arrivals
 from ...relay import PeerCalls
 from ...scheduling._server import RUNNING
 from ...standins.fleet import CRASHING_BODY
@@ -64,9 +64,9 @@
             body = CRASHING_BODY + b" 1"
             await send_repeatedly(daemons, path, model, body, SENT_FOR_S)
             (crash,) = site.site.record.crashing.values()
-            print(f"{len(crash.crashed_s)} crashes, {len(arrivals_beyond(crash))} arrivals beyond")
+            print(f"{len(crash.crashed_s)} crashes, {len(late_arrivals(crash))} arrivals beyond")
             assert len(crash.crashed_s) >= 3
-            assert len(arrivals_beyond(crash)) <= 3
+            assert len(late_arrivals(crash)) <= 3
 
     run_scenario(scenario)
 
@@ -284,10 +284,10 @@
     (crash,) = site.site.record.crashing.values()
     refused_s = refused_as_crashing_s(callers)
     print(
-        f"{len(crash.crashed_s)} crashes, {len(arrivals_beyond(crash))} beyond; served "
+        f"{len(crash.crashed_s)} crashes, {len(late_arrivals(crash))} beyond; served "
         f"{callers.share_served():.3f}, refused as crashing for {refused_s:.2f} s"
     )
-    assert len(arrivals_beyond(crash)) <= 3
+    assert len(late_arrivals(crash)) <= 3
     assert callers.share_served(calm_from_s) == 1.0
     return callers
 
