--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -42,7 +42,7 @@
     draw_crashing,
     draw_eras,
     draw_leaving,
-    draw_leaving_said,
+    draw_leaving_announcements,
     draw_limits,
     draw_rests,
     draw_stops,
@@ -150,7 +150,9 @@
 
 def leaving_said_experiment(seed: int) -> Experiment:
     """Return the experiment of a seed with targets whose answers announce that they leave."""
-    return _drawn_experiment(f"leaving {seed}", seed, 16.0, LEAVING_LOAD, draw_leaving_said)
+    return _drawn_experiment(
+        f"leaving {seed}", seed, 16.0, LEAVING_LOAD, draw_leaving_announcements
+    )
 
 
 def limits_experiment(seed: int) -> Experiment:
--- a/ferrydock/emulator/__init__.py
+++ b/ferrydock/emulator/__init__.py
@@ -15,7 +15,7 @@
     DRAIN_S,
     arrivals_after_leaving,
     draw_leaving,
-    draw_leaving_said,
+    draw_leaving_announcements,
     late_leaving_arrivals,
 )
 from ._limits import draw_limits, max_arrivals, rate_limit_violations
@@ -56,7 +56,7 @@
     "draw_eras",
     "arrivals_after_leaving",
     "draw_leaving",
-    "draw_leaving_said",
+    "draw_leaving_announcements",
     "draw_limits",
     "draw_rests",
     "backoff_violations",
--- a/ferrydock/emulator/_leaving.py
+++ b/ferrydock/emulator/_leaving.py
@@ -22,7 +22,7 @@
     "arrivals_after_leaving",
     "describe_late",
     "draw_leaving",
-    "draw_leaving_said",
+    "draw_leaving_announcements",
     "late_leaving_arrivals",
 ]
 
@@ -159,7 +159,7 @@
     return sorted(drawn, key=lambda trouble: trouble.at_s)
 
 
-def draw_leaving_said(seed: int, length_s: float, halls: Sequence[str]) -> list[Trouble]:
+def draw_leaving_announcements(seed: int, length_s: float, halls: Sequence[str]) -> list[Trouble]:
     """Return targets that announce leaving in answers, long before the target list shows it."""
     rng = random.Random(f"leaving said {seed}")
     drawn = []
