--- a/ferrydock/emulator/_load.py
+++ b/ferrydock/emulator/_load.py
@@ -51,7 +51,7 @@
     status: int = 0
     complete: bool = False
     took_s: float = 0.0
-    first_byte_s: float | None = None
+    time_to_header_s: float | None = None
     fault: str = ""
     code: str = ""
     event_ids: list[int] = field(default_factory=list)
@@ -151,7 +151,7 @@
     """
     head = await reader.readuntil(b"\r\n\r\n")
     call.status = int(head.split()[1])
-    call.first_byte_s = now_s() - call.at_s
+    call.time_to_header_s = now_s() - call.at_s
     body = await _read_body(reader, head, call, piece_pause_s)
     call.complete = True
     _check(call, body)
