--- a/ferrydock/standins/__init__.py
+++ b/ferrydock/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the systems that ferrydock serves, with faults that can be switched."""
+"""Small in-process stand-ins of the systems around ferrydock, with fault injection."""
 
 from ._engine import EngineProfile, StandInBox, StandInFleet
 from ._etcd import StandInEtcd, StoreFaults
--- a/ferrydock/standins/__main__.py
+++ b/ferrydock/standins/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m ferrydock.standins``: platform and targets as one plain program."""
+"""``python -m ferrydock.standins``: runs the stand-ins of platform and targets as a process."""
 
 import asyncio
 import logging
@@ -33,14 +33,14 @@
     site = await StandInSite(size, EngineProfile(step_s=STEP.value)).start(host, int(port))
     log_event(logging.getLogger("ferrydock.standins"), logging.INFO, "ready", listen=site.url[7:])
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
     await stop.wait()
     await site.close()
 
 
 def main(argv) -> int:
-    """Serve until a signal; return the exit status."""
+    """Serve until SIGTERM or SIGINT; return the exit status."""
     configure("info")
     uvloop.run(_serve())
     return 0
--- a/ferrydock/standins/_engine.py
+++ b/ferrydock/standins/_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of the model engines: boxes that form replicas, batch requests and stream answers."""
+"""Stand-in of the model engines: boxes that form replicas, batch requests and generate tokens."""
 
 import asyncio
 import heapq
@@ -21,34 +21,35 @@
 )
 from ..invariants import require
 from ._weights import StandInWeightStore
-from ._writer import answer_tokens, prompt_of, remaining_tokens
+from ._writer import answer_tokens, prompt_text, remaining_tokens
 
 __all__ = ["EngineJob", "EngineProfile", "EngineRefusal", "StandInBox", "StandInFleet"]
 
-JOBS_KEPT = 2000
-ABANDONED_AFTER_S = 1.0
+MAX_JOBS = 2000
+ABANDONED_JOB_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """How fast the stand-in works.
+    """Speed and limits of the stand-in engines.
 
     Attributes
     ----------
     step_s : float
-        Time of one batch step, which gives each running request one token.
+        Duration of one batch step, in which each running request whose prompt is processed
+        gets one token.
     prefill_blocks_per_step : int
-        Prompt blocks outside the cache that one step works off.
+        Uncached prompt blocks processed in one step, over all requests of the batch.
     cache_blocks : int
-        Blocks that the prefix cache holds.
+        Capacity of the prefix cache of a box, in blocks.
     queue_limit : int
-        Requests that may wait at one replica.
+        Requests that may wait at one replica; further ones are refused.
     load_lag_s : float
-        Age of the load that is reported.
+        Age of the load that a box reports.
     event_lag_s : float
-        Age of the newest cache event that is published.
+        Delay before a cache event is published.
     event_loss_ratio : float
-        Part of the cache events that is never published.
+        Share of the cache events that is never published.
     """
 
     step_s: float = 0.01
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineRefusal:
-    """The engine did not take the request; `stale` if the replica is not the one asked for."""
+    """Why the engine refused a request; `stale` if it does not serve the requested replica."""
 
     reason: str
     stale: bool
@@ -70,7 +71,7 @@
 
 @dataclass(eq=False, slots=True)
 class EngineJob:
-    """One request at the head of a replica."""
+    """One request at the first box of a replica."""
 
     request_id: str
     tokens: list[str]
@@ -84,24 +85,27 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the request has failed, was cancelled, or has all its tokens."""
         return self.failed or self.cancelled or self.emitted >= len(self.tokens)
 
     def notify(self) -> None:
-        """Wake those who read the job's tokens."""
+        """Wake the readers that wait for tokens or for the end of the request."""
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 class StandInBox:
-    """One target box with an engine on it.
+    """A target box that runs one engine.
 
     Parameters
     ----------
     name, hall, fabric_domain : str
-        Where it stands.
+        Name of the box, its hall and its fabric domain.
+
+    Attributes
+    ----------
     checks_orders : bool, default=True
-        Whether it refuses orders with a fence below the highest it has seen.
+        Whether the box refuses orders whose fence is below the highest that it has accepted.
     """
 
     def __init__(self, fleet: "StandInFleet", name: str, hall: str, fabric_domain: str):
@@ -114,17 +118,17 @@
         self.draining = False
         self.running_gate = asyncio.Event()
         self.running_gate.set()
-        self.boots = 0
+        self.start_count = 0
         self.orders_obeyed: list[Order] = []
         self._start_engine()
 
     def _start_engine(self) -> None:
-        self.boots += 1
-        self.incarnation = f"{self.name}#{self.boots}"
+        self.start_count += 1
+        self.incarnation = f"{self.name}#{self.start_count}"
         self.fence = Fence(0, 0, 0)
         self.phase = BoxPhase.IDLE
         self.order: Order | None = None
-        self.held: set[tuple[str, str]] = set()
+        self.loaded_weights: set[tuple[str, str]] = set()
         self.jobs: OrderedDict[str, EngineJob] = OrderedDict()
         self.waiting: list[tuple[int, int, EngineJob]] = []
         self.running: list[EngineJob] = []
@@ -132,34 +136,34 @@
         self.events: deque[tuple[float, CacheEvent]] = deque(maxlen=4096)
         self.sequence = itertools.count(1)
         self.loads: deque[tuple[float, int, int]] = deque(maxlen=256)
-        self._batch: asyncio.Task | None = None
-        self._loader: asyncio.Task | None = None
+        self._batch_task: asyncio.Task | None = None
+        self._load_task: asyncio.Task | None = None
 
     # Faults -------------------------------------------------------------------------------
 
     def kill(self) -> None:
-        """Take the box away at once: its requests end in the middle."""
+        """Terminate the box at once; its unfinished requests fail."""
         self.alive = False
-        self._abandon()
+        self._stop_engine()
 
     def pause(self) -> None:
-        """Freeze the box: it answers nothing and keeps all it holds."""
+        """Freeze the box: it answers no call and keeps its state."""
         self.running_gate.clear()
 
     def resume(self) -> None:
-        """Let a paused box go on where it stopped."""
+        """Unfreeze a paused box, which goes on with its unfinished work."""
         self.running_gate.set()
 
     def restart(self) -> None:
-        """Bring the box back with a new engine that holds nothing."""
-        self._abandon()
+        """Start the box again with a new engine that has neither weights nor requests."""
+        self._stop_engine()
         self._start_engine()
         self.alive = True
         self.draining = False
         self.resume()
 
-    def _abandon(self) -> None:
-        for task in (self._batch, self._loader):
+    def _stop_engine(self) -> None:
+        for task in (self._batch_task, self._load_task):
             if task is not None:
                 task.cancel()
         self._fail_jobs()
@@ -175,7 +179,7 @@
     # Control side -------------------------------------------------------------------------
 
     def state(self) -> BoxState:
-        """Return what the box says of itself; its load lags."""
+        """Return the state that the box reports; its load is `load_lag_s` old."""
         order = self.order
         running, waiting = self._reported_load()
         return BoxState(
@@ -187,7 +191,7 @@
             model=order.model if order else "",
             version=order.version if order else "",
             members=order.members if order else (),
-            held=tuple(sorted(self.held)),
+            held=tuple(sorted(self.loaded_weights)),
             running=running,
             waiting=waiting,
             draining=self.draining,
@@ -197,22 +201,25 @@
     def _reported_load(self) -> tuple[int, int]:
         now_s = self.fleet.clock.now_s()
         self.loads.append((now_s, len(self.running), len(self.waiting)))
-        old = [load for load in self.loads if load[0] <= now_s - self.fleet.profile.load_lag_s]
-        _, running, waiting = old[-1] if old else self.loads[0]
+        lagged = [load for load in self.loads if load[0] <= now_s - self.fleet.profile.load_lag_s]
+        _, running, waiting = lagged[-1] if lagged else self.loads[0]
         return running, waiting
 
     def obey(self, order: Order) -> OrderAccepted | OrderRefused:
-        """Carry out an order, or refuse it if the box checks fences and the fence is old."""
+        """Carry out an order, or refuse it if its fence is too low and the box checks fences.
+
+        An order with the fence of the last accepted order is a repetition and has no effect.
+        """
         if order.fence < self.fence and self.checks_orders:
             return OrderRefused(self.fence)
         if order.fence == self.fence:
             return OrderAccepted()
         self.fence = order.fence
         self.orders_obeyed.append(order)
-        if self._loader is not None:
-            self._loader.cancel()
+        if self._load_task is not None:
+            self._load_task.cancel()
         if order.action is OrderAction.PREPARE:
-            self._loader = self.fleet.spawn(self._prepare(order))
+            self._load_task = self.fleet.spawn(self._prepare(order))
             return OrderAccepted()
         self._fail_jobs()
         self.cache.clear()
@@ -222,7 +229,7 @@
         else:
             self.order = order
             self.phase = BoxPhase.LOADING
-            self._loader = self.fleet.spawn(self._load(order))
+            self._load_task = self.fleet.spawn(self._load(order))
         return OrderAccepted()
 
     async def _prepare(self, order: Order) -> None:
@@ -234,18 +241,18 @@
 
     async def _fetch_weights(self, order: Order) -> None:
         wanted = (order.model, order.version)
-        if wanted not in self.held:
+        if wanted not in self.loaded_weights:
             await self.fleet.weights.read(order.weight_bytes)
             await self.running_gate.wait()
-            self.held = {wanted}
+            self.loaded_weights = {wanted}
 
     def published_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Return the cache events after a sequence number that are old enough to be seen."""
+        """Return the events after sequence number `after` that are at least `event_lag_s` old."""
         latest_s = self.fleet.clock.now_s() - self.fleet.profile.event_lag_s
         return tuple(e for at_s, e in self.events if e.sequence > after and at_s <= latest_s)
 
     def cancel(self, request_id: str) -> None:
-        """Stop a request and free its slot."""
+        """Cancel a request and free its slot."""
         job = self.jobs.get(request_id)
         if job is not None and not job.ended:
             job.cancelled = True
@@ -255,11 +262,11 @@
             job.notify()
 
     def export_cache(self) -> list[int]:
-        """Return the blocks held, oldest first."""
+        """Return the cached blocks, least recently used first."""
         return list(self.cache)
 
     def import_cache(self, blocks: list[int]) -> None:
-        """Take over blocks that another replica exported."""
+        """Add blocks that another replica exported to the cache."""
         self._store_blocks(tuple(blocks))
 
     # Data side ----------------------------------------------------------------------------
@@ -267,26 +274,28 @@
     def accept(
         self, body: dict, request_id: str, replica_id: str, generation: str, priority: int
     ) -> EngineJob | EngineRefusal:
-        """Take a request, or refuse it without having run any of it."""
+        """Queue a request, or refuse it before any of it has run."""
         refusal = self._refusal(replica_id, generation)
         if refusal is not None:
             return refusal
         if len(self.waiting) >= self.fleet.profile.queue_limit:
             return EngineRefusal("queue_full", stale=False)
-        prompt = prompt_of(body)
+        prompt = prompt_text(body)
         blocks = prefix_blocks(prompt)
         cached = sum(1 for _ in itertools.takewhile(self.cache.__contains__, blocks))
-        most = int(body.get("max_tokens") or body.get("max_completion_tokens") or 512)
-        tokens = remaining_tokens(answer_tokens(prompt, most), str(body.get("continue_text", "")))
+        max_tokens = int(body.get("max_tokens") or body.get("max_completion_tokens") or 512)
+        tokens = remaining_tokens(
+            answer_tokens(prompt, max_tokens), str(body.get("continue_text", ""))
+        )
         job = EngineJob(request_id, tokens, priority, len(blocks) - cached)
         self.jobs[request_id] = job
-        while len(self.jobs) > JOBS_KEPT:
+        while len(self.jobs) > MAX_JOBS:
             self.jobs.popitem(last=False)
-        self.fleet.count_run(request_id, reused=cached, total=len(blocks))
-        heapq.heappush(self.waiting, (-priority, self.fleet.next_ticket(), job))
+        self.fleet.record_run(request_id, reused_blocks=cached, prompt_blocks=len(blocks))
+        heapq.heappush(self.waiting, (-priority, self.fleet.next_arrival_number(), job))
         self._store_blocks(blocks)
-        if self._batch is None or self._batch.done():
-            self._batch = self.fleet.spawn(self._run_batch())
+        if self._batch_task is None or self._batch_task.done():
+            self._batch_task = self.fleet.spawn(self._run_batches())
         return job
 
     def _refusal(self, replica_id: str, generation: str) -> EngineRefusal | None:
@@ -297,12 +306,12 @@
             return EngineRefusal("stale_replica", stale=True)
         if order.members[0] != self.name:
             return EngineRefusal("not_the_head", stale=True)
-        if not self.group_whole():
+        if not self.is_group_complete():
             return EngineRefusal("member_missing", stale=True)
         return None
 
-    def group_whole(self) -> bool:
-        """Return whether all members run and stand behind this box's generation."""
+    def is_group_complete(self) -> bool:
+        """Return whether all members run and are ready in the same generation as this box."""
         if self.order is None:
             return False
         members = [self.fleet.boxes.get(name) for name in self.order.members]
@@ -315,15 +324,19 @@
             for m in members
         )
 
-    async def _run_batch(self) -> None:
-        """Give each running request one token a step, for as long as there is work."""
+    async def _run_batches(self) -> None:
+        """Run batch steps until no request runs or waits.
+
+        The batch stalls while the group is incomplete, and fails once a member is dead or has
+        another fence.
+        """
         while self.running or self.waiting:
             await asyncio.sleep(self.fleet.profile.step_s)
             await self.running_gate.wait()
             if not self._members_alive():
                 self._fail_jobs()
                 return
-            if not self.group_whole():
+            if not self.is_group_complete():
                 continue
             while self.waiting and len(self.running) < require(self.order, "the order").slots:
                 self.running.append(heapq.heappop(self.waiting)[2])
@@ -336,27 +349,27 @@
         return all(m is not None and m.alive and m.fence == self.fence for m in members)
 
     def _step(self) -> None:
-        budget = self.fleet.profile.prefill_blocks_per_step
+        remaining_blocks = self.fleet.profile.prefill_blocks_per_step
         for job in self.running:
             if job.prefill_blocks > 0:
-                done = min(budget, job.prefill_blocks)
-                job.prefill_blocks -= done
-                budget -= done
+                processed = min(remaining_blocks, job.prefill_blocks)
+                job.prefill_blocks -= processed
+                remaining_blocks -= processed
                 continue
             job.emitted += 1
             job.notify()
         self.running = [job for job in self.running if not job.ended]
 
     def _store_blocks(self, blocks: tuple[int, ...]) -> None:
-        fresh = tuple(block for block in blocks if block not in self.cache)
+        added = tuple(block for block in blocks if block not in self.cache)
         for block in blocks:
             self.cache[block] = None
             self.cache.move_to_end(block)
-        dropped = []
+        evicted = []
         while len(self.cache) > self.fleet.profile.cache_blocks:
-            dropped.append(self.cache.popitem(last=False)[0])
-        self._publish(True, fresh)
-        self._publish(False, tuple(dropped))
+            evicted.append(self.cache.popitem(last=False)[0])
+        self._publish(True, added)
+        self._publish(False, tuple(evicted))
 
     def _publish(self, stored: bool, blocks: tuple[int, ...]) -> None:
         if not blocks:
@@ -372,13 +385,13 @@
     Parameters
     ----------
     clock : Clock
-        Time of the stand-ins.
+        Clock for lags of loads and cache events.
     weights : StandInWeightStore
-        Where boxes load weights from.
+        Store from which boxes load weights.
     profile : EngineProfile
         Speed of the engines.
     random_source : random.Random
-        For lost cache events.
+        Decides which cache events are lost.
     """
 
     def __init__(
@@ -396,34 +409,34 @@
         self.runs: dict[str, int] = {}
         self.reused_blocks = 0
         self.prompt_blocks = 0
-        self._tickets = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._tasks: set[asyncio.Task] = set()
 
     def add_box(self, name: str, hall: str, fabric_domain: str) -> StandInBox:
-        """Put a new box into the fleet."""
+        """Add a new idle box."""
         box = StandInBox(self, name, hall, fabric_domain)
         self.boxes[name] = box
         return box
 
-    def next_ticket(self) -> int:
-        """Return a number that orders requests of the same priority."""
-        return next(self._tickets)
+    def next_arrival_number(self) -> int:
+        """Return an increasing number, which keeps requests of one priority in order of arrival."""
+        return next(self._arrival_numbers)
 
-    def count_run(self, request_id: str, reused: int, total: int) -> None:
-        """Count that a request began to run, and what its prompt found in the cache."""
+    def record_run(self, request_id: str, reused_blocks: int, prompt_blocks: int) -> None:
+        """Count an accepted request, the blocks of its prompt, and how many of them were cached."""
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
-        self.reused_blocks += reused
-        self.prompt_blocks += total
+        self.reused_blocks += reused_blocks
+        self.prompt_blocks += prompt_blocks
 
     def spawn(self, coroutine) -> asyncio.Task:
-        """Run a task that lives as long as the fleet."""
+        """Start a task that `close` cancels."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def close(self) -> None:
-        """End all that runs."""
+        """Cancel all tasks."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/ferrydock/standins/_engine_http.py
+++ b/ferrydock/standins/_engine_http.py
@@ -1,4 +1,7 @@
-"""HTTP side of the stand-in engines: control below ``/boxes/NAME/control``, data beside it."""
+"""HTTP side of the stand-in engines.
+
+Control is under ``/boxes/NAME/control``, requests are under ``/boxes/NAME/v1``.
+"""
 
 import asyncio
 import time
@@ -7,23 +10,23 @@
 from aiohttp import web
 
 from ..engines import Fence, Order, OrderAction, OrderRefused, state_to_json
-from ._engine import ABANDONED_AFTER_S, EngineJob, EngineRefusal, StandInBox, StandInFleet
+from ._engine import ABANDONED_JOB_TIMEOUT_S, EngineJob, EngineRefusal, StandInBox, StandInFleet
 
 __all__ = ["engine_routes"]
 
 
 def engine_routes(fleet: StandInFleet) -> list[web.RouteDef]:
     """Return the HTTP routes of all boxes of `fleet`."""
-    side = _EngineSide(fleet)
+    handlers = _EngineHandlers(fleet)
     return [
-        web.get("/boxes/{box}/control/state", side.get_state),
-        web.post("/boxes/{box}/control/order", side.post_order),
-        web.get("/boxes/{box}/control/events", side.get_events),
-        web.post("/boxes/{box}/control/cancel/{request_id}", side.post_cancel),
-        web.get("/boxes/{box}/control/kv", side.get_cache),
-        web.post("/boxes/{box}/control/kv", side.post_cache),
-        web.post("/boxes/{box}/v1/chat/completions", side.post_completion),
-        web.post("/boxes/{box}/v1/completions", side.post_completion),
+        web.get("/boxes/{box}/control/state", handlers.get_state),
+        web.post("/boxes/{box}/control/order", handlers.post_order),
+        web.get("/boxes/{box}/control/events", handlers.get_events),
+        web.post("/boxes/{box}/control/cancel/{request_id}", handlers.post_cancel),
+        web.get("/boxes/{box}/control/kv", handlers.get_cache),
+        web.post("/boxes/{box}/control/kv", handlers.post_cache),
+        web.post("/boxes/{box}/v1/chat/completions", handlers.post_completion),
+        web.post("/boxes/{box}/v1/completions", handlers.post_completion),
     ]
 
 
@@ -31,14 +34,14 @@
     return web.Response(body=orjson.dumps(fields), status=status, content_type="application/json")
 
 
-def _abort(request: web.Request) -> web.Response:
-    """Cut the connection without an answer, as a box does that is gone."""
+def _abort_connection(request: web.Request) -> web.Response:
+    """Abort the connection without an answer, as seen by a client of a dead box."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=503)
 
 
-class _EngineSide:
+class _EngineHandlers:
     def __init__(self, fleet: StandInFleet):
         self.fleet = fleet
 
@@ -51,12 +54,12 @@
 
     async def get_state(self, request: web.Request) -> web.Response:
         box = await self._box(request)
-        return _abort(request) if box is None else _json(state_to_json(box.state()))
+        return _abort_connection(request) if box is None else _json(state_to_json(box.state()))
 
     async def post_order(self, request: web.Request) -> web.Response:
         box = await self._box(request)
         if box is None:
-            return _abort(request)
+            return _abort_connection(request)
         fields = orjson.loads(await request.read())
         order = Order(
             fence=Fence(*fields["fence"]),
@@ -76,7 +79,7 @@
     async def get_events(self, request: web.Request) -> web.Response:
         box = await self._box(request)
         if box is None:
-            return _abort(request)
+            return _abort_connection(request)
         events = box.published_events(int(request.query.get("after", "0")))
         listed = [
             {"sequence": e.sequence, "stored": e.stored, "blocks": list(e.blocks)} for e in events
@@ -86,25 +89,25 @@
     async def post_cancel(self, request: web.Request) -> web.Response:
         box = await self._box(request)
         if box is None:
-            return _abort(request)
+            return _abort_connection(request)
         box.cancel(request.match_info["request_id"])
         return _json({})
 
     async def get_cache(self, request: web.Request) -> web.Response:
         box = await self._box(request)
-        return _abort(request) if box is None else _json({"blocks": box.export_cache()})
+        return _abort_connection(request) if box is None else _json({"blocks": box.export_cache()})
 
     async def post_cache(self, request: web.Request) -> web.Response:
         box = await self._box(request)
         if box is None:
-            return _abort(request)
+            return _abort_connection(request)
         box.import_cache(orjson.loads(await request.read())["blocks"])
         return _json({})
 
     async def post_completion(self, request: web.Request) -> web.StreamResponse:
         box = await self._box(request)
         if box is None:
-            return _abort(request)
+            return _abort_connection(request)
         body = orjson.loads(await request.read())
         request_id = request.headers["X-Request-Id"]
         offset = int(request.headers.get("X-Resume-Offset", "0"))
@@ -125,52 +128,60 @@
             status = 409 if job.stale else 429
             return _json({"error": {"code": job.reason, "run": "not_run"}}, status=status)
         chat = request.path.endswith("/chat/completions")
-        shape = _AnswerShape(job, body.get("model", ""), chat)
+        answer_format = _AnswerFormat(job, body.get("model", ""), chat)
         job.readers += 1
         try:
             if body.get("stream"):
-                return await self._stream(request, job, shape, offset)
-            return await self._whole(request, job, shape)
+                return await self._stream(request, job, answer_format, offset)
+            return await self._complete_answer(request, job, answer_format)
         finally:
             job.readers -= 1
             if not job.ended:
                 self.fleet.spawn(_cancel_if_abandoned(box, job))
 
-    async def _whole(self, request, job: EngineJob, shape: "_AnswerShape") -> web.Response:
+    async def _complete_answer(
+        self, request, job: EngineJob, answer_format: "_AnswerFormat"
+    ) -> web.Response:
         while not job.ended:
             await job.changed.wait()
-        return _abort(request) if job.failed or job.cancelled else _json(shape.whole())
+        return (
+            _abort_connection(request)
+            if job.failed or job.cancelled
+            else _json(answer_format.complete_answer())
+        )
 
-    async def _stream(self, request, job: EngineJob, shape: "_AnswerShape", offset: int):
+    async def _stream(self, request, job: EngineJob, answer_format: "_AnswerFormat", offset: int):
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
-        sent = offset
+        sent_count = offset
         while True:
             changed = job.changed
-            upto = job.emitted
-            if sent < upto:
-                await response.write(b"".join(shape.event(i) for i in range(sent, upto)))
-                sent = upto
+            emitted_count = job.emitted
+            if sent_count < emitted_count:
+                await response.write(
+                    b"".join(answer_format.event(i) for i in range(sent_count, emitted_count))
+                )
+                sent_count = emitted_count
             if job.failed or job.cancelled:
-                return _abort(request)
+                return _abort_connection(request)
             if job.ended:
                 break
-            if upto == job.emitted:
+            if emitted_count == job.emitted:
                 await changed.wait()
-        closing = b"" if sent > len(job.tokens) else shape.finish()
+        closing = b"" if sent_count > len(job.tokens) else answer_format.finish()
         await response.write(closing + b"data: [DONE]\n\n")
         await response.write_eof()
         return response
 
 
 async def _cancel_if_abandoned(box: StandInBox, job: EngineJob) -> None:
-    await asyncio.sleep(ABANDONED_AFTER_S)
+    await asyncio.sleep(ABANDONED_JOB_TIMEOUT_S)
     if job.readers == 0:
         box.cancel(job.request_id)
 
 
-class _AnswerShape:
-    """The OpenAI shape of one answer."""
+class _AnswerFormat:
+    """Formats the answer to one request as the OpenAI API does."""
 
     def __init__(self, job: EngineJob, model: str, chat: bool):
         self.job = job
@@ -188,11 +199,11 @@
         }
 
     def event(self, index: int) -> bytes:
-        """Return the event of one token."""
+        """Return the event that carries the token at `index`."""
         return self._event(self.job.tokens[index], index == 0, None)
 
     def finish(self) -> bytes:
-        """Return the event that says why the answer ended."""
+        """Return the last event, which carries the finish reason."""
         return self._event("", False, "stop")
 
     def _event(self, text: str, first: bool, reason: str | None) -> bytes:
@@ -204,8 +215,8 @@
             fields = self._fields("text_completion", {"text": text, "finish_reason": reason})
         return b"data: " + orjson.dumps(fields) + b"\n\n"
 
-    def whole(self) -> dict:
-        """Return the answer in one piece."""
+    def complete_answer(self) -> dict:
+        """Return the body of an answer that is not streamed."""
         text = "".join(self.job.tokens)
         if self.chat:
             choice = {"message": {"role": "assistant", "content": text}, "finish_reason": "stop"}
--- a/ferrydock/standins/_etcd.py
+++ b/ferrydock/standins/_etcd.py
@@ -1,6 +1,7 @@
-"""Stand-in of the platform's key-value service: the used part of the etcd v3 JSON API.
+"""Stand-in of the platform's key-value service: the part of the etcd v3 JSON API in use.
 
-Faults: an outage, slowness, writes that are applied while their answer is lost, lapsed leases.
+Faults: an outage, slow calls, applied writes whose answer is lost, silent watches.
+Leases are made to expire through the `MemoryStore`.
 """
 
 import asyncio
@@ -29,18 +30,18 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What is wrong with the store at the moment.
+    """Faults of the store that are switched on.
 
     Attributes
     ----------
     down : bool
-        Every call is cut off without an answer and without effect.
+        Every connection is aborted; calls have no effect and get no answer.
     delay_s : float
-        Wait before each call.
+        Delay before each call, watches excepted.
     lose_answers : int
-        So many of the next writes take effect while their answer is lost.
+        Number of coming writes that are applied and whose answer is lost.
     silent_watches : bool
-        Watch streams stay open and say nothing.
+        Watch streams stay open and carry no events.
     """
 
     down: bool = False
@@ -62,25 +63,25 @@
     def routes(self) -> list[web.RouteDef]:
         """Return the HTTP routes."""
         return [
-            web.post("/v3/kv/range", self._guard(self._range)),
-            web.post("/v3/kv/txn", self._guard(self._txn, write=True)),
-            web.post("/v3/lease/grant", self._guard(self._grant, write=True)),
-            web.post("/v3/lease/keepalive", self._guard(self._keep)),
-            web.post("/v3/lease/revoke", self._guard(self._revoke, write=True)),
+            web.post("/v3/kv/range", self._with_faults(self._range)),
+            web.post("/v3/kv/txn", self._with_faults(self._txn, write=True)),
+            web.post("/v3/lease/grant", self._with_faults(self._grant, write=True)),
+            web.post("/v3/lease/keepalive", self._with_faults(self._keep_alive)),
+            web.post("/v3/lease/revoke", self._with_faults(self._revoke, write=True)),
             web.post("/v3/watch", self._watch),
         ]
 
-    def _guard(self, call, write: bool = False):
+    def _with_faults(self, call, write: bool = False):
         async def handler(request: web.Request) -> web.StreamResponse:
             self.calls[request.path] += 1
             if self.faults.delay_s:
                 await asyncio.sleep(self.faults.delay_s)
             if self.faults.down:
-                return _cut(request)
+                return _abort_connection(request)
             answer = await call(orjson.loads(await request.read()))
             if write and self.faults.lose_answers > 0:
                 self.faults.lose_answers -= 1
-                return _cut(request)
+                return _abort_connection(request)
             return _json(answer)
 
         return handler
@@ -89,7 +90,9 @@
         return {"revision": str(self.store.revision if revision is None else revision)}
 
     async def _range(self, body: dict) -> dict:
-        done = await self.store.range(_text(body["key"]), _text(body.get("range_end", "")))
+        done = await self.store.range(
+            _decoded_text(body["key"]), _decoded_text(body.get("range_end", ""))
+        )
         kvs = [_key_value(item) for item in done.items]
         return {"header": self._header(done.revision), "kvs": kvs, "count": str(len(kvs))}
 
@@ -102,9 +105,9 @@
         lease = await self.store.grant_lease(float(body["TTL"]))
         return {"header": self._header(), "ID": str(lease.lease_id), "TTL": body["TTL"]}
 
-    async def _keep(self, body: dict) -> dict:
-        kept = await self.store.renew_lease(int(body["ID"]))
-        ttl_s = 0 if isinstance(kept, LeaseLost) else int(kept.ttl_s)
+    async def _keep_alive(self, body: dict) -> dict:
+        renewed = await self.store.renew_lease(int(body["ID"]))
+        ttl_s = 0 if isinstance(renewed, LeaseLost) else int(renewed.ttl_s)
         result = {"ID": body["ID"], "TTL": str(ttl_s)} if ttl_s else {"ID": body["ID"]}
         return {"result": {"header": self._header(), **result}}
 
@@ -115,21 +118,21 @@
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         self.calls[request.path] += 1
         if self.faults.down:
-            return _cut(request)
+            return _abort_connection(request)
         body = orjson.loads(await request.read())["create_request"]
-        first = int(body.get("start_revision") or self.store.revision + 1)
+        first_revision = int(body.get("start_revision") or self.store.revision + 1)
         response = web.StreamResponse(headers={"Content-Type": "application/json"})
         await response.prepare(request)
         await _write_line(response, {"header": self._header(), "created": True})
         try:
-            await self._send_events(request, response, _text(body["key"]), first)
+            await self._send_events(request, response, _decoded_text(body["key"]), first_revision)
         except ConnectionError:
             return response
-        return _cut(request)
+        return _abort_connection(request)
 
-    async def _send_events(self, request, response, prefix: str, first: int) -> None:
-        """Send what happens below `prefix`, until an outage."""
-        async for batch in self.store.watch(prefix, Position(self.store.era, first - 1)):
+    async def _send_events(self, request, response, prefix: str, first_revision: int) -> None:
+        """Send the changes under `prefix` from `first_revision` on, until an outage."""
+        async for batch in self.store.watch(prefix, Position(self.store.era, first_revision - 1)):
             if self.faults.down:
                 return
             if self.faults.silent_watches:
@@ -142,7 +145,7 @@
     await response.write(orjson.dumps({"result": result}) + b"\n")
 
 
-def _cut(request: web.Request) -> web.Response:
+def _abort_connection(request: web.Request) -> web.Response:
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=503)
@@ -152,7 +155,7 @@
     return web.Response(body=orjson.dumps(fields), content_type="application/json")
 
 
-def _text(encoded: str) -> str:
+def _decoded_text(encoded: str) -> str:
     return base64.b64decode(encoded).decode()
 
 
@@ -180,14 +183,14 @@
 def _parse_txn(body: dict) -> Txn:
     compares = tuple(
         Compare(
-            _text(c["key"]),
+            _decoded_text(c["key"]),
             int(c.get("mod_revision", c.get("create_revision", 0))),
             CompareField(c["target"]),
         )
         for c in body.get("compare", ())
     )
     success = tuple(_parse_operation(operation) for operation in body.get("success", ()))
-    reads = tuple(_text(o["request_range"]["key"]) for o in body.get("failure", ()))
+    reads = tuple(_decoded_text(o["request_range"]["key"]) for o in body.get("failure", ()))
     return Txn(compares, success, reads)
 
 
@@ -195,10 +198,10 @@
     if "request_put" in operation:
         put = operation["request_put"]
         value = base64.b64decode(put.get("value", ""))
-        return Put(_text(put["key"]), value, int(put.get("lease", 0)))
+        return Put(_decoded_text(put["key"]), value, int(put.get("lease", 0)))
     if "request_delete_range" in operation:
         delete = operation["request_delete_range"]
-        return Delete(_text(delete["key"]), _text(delete.get("range_end", "")))
+        return Delete(_decoded_text(delete["key"]), _decoded_text(delete.get("range_end", "")))
     return _parse_txn(operation["request_txn"])
 
 
--- a/ferrydock/standins/_link.py
+++ b/ferrydock/standins/_link.py
@@ -1,4 +1,4 @@
-"""A TCP link that can be cut or delayed, to part halls from each other and from the platform."""
+"""TCP proxy that can drop or delay traffic, to cut halls off from each other and the platform."""
 
 import asyncio
 
@@ -6,22 +6,23 @@
 
 __all__ = ["Link"]
 
-_PIECE_BYTES = 65536
-_CLOSED = (OSError, RuntimeError)  # uvloop raises RuntimeError on a transport that was aborted
+_CHUNK_BYTES = 65536
+# uvloop raises RuntimeError on a transport that was aborted.
+_CONNECTION_CLOSED = (OSError, RuntimeError)
 
 
 class Link:
-    """Listens on loopback and passes bytes on to one address.
+    """Listens on loopback and forwards bytes to and from one address.
 
     Parameters
     ----------
     host, port : str, int
-        Where the other end is.
+        Address to which connections are forwarded.
 
     Notes
     -----
-    A cut link swallows bytes and refuses nothing, as a network does that loses every packet:
-    only time-outs find out. Connections that live through the cut are dropped when it ends.
+    A cut link accepts connections and forwards nothing, like a network that loses every packet:
+    clients notice only by time-outs. Connections that are open when the cut ends are aborted.
     """
 
     def __init__(self, host: str, port: int):
@@ -35,7 +36,7 @@
 
     @property
     def address(self) -> str:
-        """``IP:PORT`` to connect to."""
+        """``IP:PORT`` at which the link listens."""
         host, port = require(self._server, "the listener").sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
@@ -45,18 +46,18 @@
         return self
 
     def cut(self) -> None:
-        """Lose everything from now on."""
+        """Stop forwarding; connections stay open."""
         self._open.clear()
 
     def mend(self) -> None:
-        """Pass new connections on again; those from before are dropped."""
+        """End a cut: abort the open connections and forward new ones."""
         if not self._open.is_set():
             for writer in list(self._writers):
                 writer.transport.abort()
         self._open.set()
 
     async def close(self) -> None:
-        """Stop listening and drop all connections."""
+        """Stop listening and abort all connections."""
         require(self._server, "the listener").close()
         for writer in list(self._writers):
             writer.transport.abort()
@@ -65,24 +66,26 @@
         self._writers.add(writer)
         try:
             await self._open.wait()
-            far_reader, far_writer = await asyncio.open_connection(self.host, self.port)
-            self._writers.add(far_writer)
-            await asyncio.gather(self._pass(reader, far_writer), self._pass(far_reader, writer))
-        except (*_CLOSED, asyncio.CancelledError):
+            remote_reader, remote_writer = await asyncio.open_connection(self.host, self.port)
+            self._writers.add(remote_writer)
+            await asyncio.gather(
+                self._forward(reader, remote_writer), self._forward(remote_reader, writer)
+            )
+        except (*_CONNECTION_CLOSED, asyncio.CancelledError):
             writer.transport.abort()
         finally:
             self._writers.discard(writer)
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            while piece := await reader.read(_PIECE_BYTES):
+            while chunk := await reader.read(_CHUNK_BYTES):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
                 await self._open.wait()
-                writer.write(piece)
+                writer.write(chunk)
                 await writer.drain()
             writer.close()
-        except _CLOSED:
+        except _CONNECTION_CLOSED:
             writer.transport.abort()
         finally:
             self._writers.discard(writer)
--- a/ferrydock/standins/_local.py
+++ b/ferrydock/standins/_local.py
@@ -1,4 +1,4 @@
-"""Stand-ins reached by calls instead of HTTP: for focused tests and replays in one process."""
+"""Stand-ins that are called directly instead of over HTTP, for unit tests and simulations."""
 
 from collections.abc import AsyncIterator
 
@@ -28,7 +28,7 @@
 
 
 class LocalControl:
-    """Control side of a `StandInFleet`, where a box's address is its name.
+    """Control port of the boxes of a `StandInFleet`; the address of a box is its name.
 
     Parameters
     ----------
@@ -38,25 +38,27 @@
     Attributes
     ----------
     unreachable : set of str
-        Boxes that this control cannot reach.
+        Names of boxes that calls do not reach.
     hold_orders : bool
-        Whether orders are kept back in `held`, to arrive late.
-    sent : list
-        Every order with its address, in order.
+        Whether orders are held back until `deliver_held`.
+    sent : list of (str, Order)
+        Address and order of each call of `send`, in order of sending.
+    cancelled : list of str
+        Ids of the requests that `cancel` was called with.
     """
 
     def __init__(self, fleet: StandInFleet):
         self.fleet = fleet
         self.unreachable: set[str] = set()
         self.hold_orders = False
-        self.held: list[tuple[str, Order]] = []
+        self.held_orders: list[tuple[str, Order]] = []
         self.sent: list[tuple[str, Order]] = []
         self.cancelled: list[str] = []
 
     def _box(self, url: str):
         box = self.fleet.boxes.get(url)
-        gone = box is None or not box.alive or not box.running_gate.is_set()
-        return None if gone or url in self.unreachable else box
+        is_down = box is None or not box.alive or not box.running_gate.is_set()
+        return None if is_down or url in self.unreachable else box
 
     async def state(self, url: str) -> BoxState | Unavailable:
         box = self._box(url)
@@ -67,18 +69,18 @@
     ) -> OrderAccepted | OrderRefused | Unavailable | Unknown:
         self.sent.append((url, order))
         if self.hold_orders:
-            self.held.append((url, order))
+            self.held_orders.append((url, order))
             return Unknown("no answer yet")
         box = self._box(url)
         return Unavailable("no answer") if box is None else box.obey(order)
 
     def deliver_held(self) -> None:
-        """Let the orders that were kept back arrive now."""
-        held, self.held = self.held, []
-        self._deliver(held)
+        """Deliver the orders that were held back."""
+        held_orders, self.held_orders = self.held_orders, []
+        self._deliver(held_orders)
 
     def repeat_orders(self, fence: Fence) -> None:
-        """Let all orders of one fence arrive once more, as a network does that doubles them."""
+        """Deliver all sent orders with `fence` again, as if the network duplicated them."""
         self._deliver([(url, order) for url, order in self.sent if order.fence == fence])
 
     def _deliver(self, orders: list[tuple[str, Order]]) -> None:
@@ -104,14 +106,14 @@
 
 
 class LocalBoxList:
-    """The box list of a `StandInFleet`, with a lag that is moved by hand.
+    """The box list of a `StandInFleet`, always up to date.
 
     Attributes
     ----------
     down : bool
-        Whether it cannot be read.
+        Whether the list cannot be read.
     leaving, delisted : set of str
-        Boxes that it marks, or does not name.
+        Names of boxes that the list marks as leaving, and of boxes that it omits.
     """
 
     def __init__(self, fleet: StandInFleet):
@@ -134,25 +136,26 @@
 
 
 class FaultyStore:
-    """One client's way to a `MemoryStore`, which can be cut or lose answers.
+    """One client's connection to a `MemoryStore`, which can lose writes and answers.
 
     Parameters
     ----------
     store : MemoryStore
-        The store itself, shared by all clients.
+        The store, which several clients may share.
 
     Attributes
     ----------
     down : bool
-        Whether nothing gets through.
+        Whether all calls fail; watches still work.
     lose_answers : int
-        So many of the next writes take effect while their answer is lost.
+        Number of coming writes that are applied and whose answer is lost.
     lose_writes : int
-        So many of the next writes are lost on their way, which the writer cannot tell apart.
-    late : list of Txn
-        Writes that were lost on their way and may still arrive: see `deliver_late`.
+        Number of coming writes that do not reach the store. The client gets `Unknown`, as for a
+        lost answer, and cannot distinguish the two.
+    late_writes : list of Txn
+        Writes that did not reach the store and that `deliver_late` applies.
     calls : int
-        Calls that were made.
+        Number of calls.
     """
 
     def __init__(self, store: MemoryStore):
@@ -160,7 +163,7 @@
         self.down = False
         self.lose_answers = 0
         self.lose_writes = 0
-        self.late: list[Txn] = []
+        self.late_writes: list[Txn] = []
         self.calls = 0
 
     @property
@@ -181,7 +184,7 @@
             return Unavailable("down")
         if self.lose_writes > 0:
             self.lose_writes -= 1
-            self.late.append(txn)
+            self.late_writes.append(txn)
             return Unknown("lost on its way")
         done = await self.store.transact(txn)
         if self.lose_answers > 0:
@@ -190,9 +193,9 @@
         return done
 
     async def deliver_late(self) -> None:
-        """Let the writes that were lost on their way arrive after all."""
-        late, self.late = self.late, []
-        for txn in late:
+        """Apply the writes of `late_writes`, as a network that delays messages does."""
+        late_writes, self.late_writes = self.late_writes, []
+        for txn in late_writes:
             await self.store.transact(txn)
 
     async def grant_lease(self, ttl_s: float) -> LeaseGranted | Unavailable:
--- a/ferrydock/standins/_plain.py
+++ b/ferrydock/standins/_plain.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service, such as class records: counts how often each call ran."""
+"""Stand-in of a service without models, such as class records; counts how often each call ran."""
 
 import asyncio
 from collections import Counter
@@ -12,10 +12,19 @@
 
 
 class StandInService:
-    """Keeps records in memory.
+    """Keeps records in memory and counts the executions of each write.
 
-    ``GET /records/NAME`` reads, ``POST /records`` files the body; a filing is counted under its
-    ``Idempotency-Key``, or its request id where it has none.
+    ``GET /service/records/NUMBER`` reads a record, ``POST /service/records`` appends the body as
+    a record. Executions are counted by ``Idempotency-Key``, or by request id without one.
+
+    Attributes
+    ----------
+    executions : Counter of str
+        How often each write was executed.
+    delay_s : float
+        Delay between the execution of a write and its answer.
+    cut_after_run, cut_before_run : int
+        Number of coming writes whose connection is aborted after, or before, their execution.
     """
 
     __slots__ = ("cut_after_run", "cut_before_run", "delay_s", "executions", "records")
@@ -50,9 +59,9 @@
             self.cut_before_run -= 1
             require(request.transport, "the connection").abort()
             return web.Response(status=503)
-        given = request.headers
-        name = given.get("Idempotency-Key") or given.get("X-Request-Id") or ""
-        self.executions[name] += 1
+        headers = request.headers
+        identity = headers.get("Idempotency-Key") or headers.get("X-Request-Id") or ""
+        self.executions[identity] += 1
         self.records.append(text)
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
--- a/ferrydock/standins/_site.py
+++ b/ferrydock/standins/_site.py
@@ -1,4 +1,4 @@
-"""All stand-ins of a site behind one HTTP address, with a page to switch faults."""
+"""All stand-ins of a site behind one HTTP address, with a route that switches faults."""
 
 import random
 from collections import deque
@@ -21,20 +21,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteSize:
-    """How many boxes the stand-ins have.
+    """Size of the stand-in site, and properties of its weight store and box list.
 
     Attributes
     ----------
     halls : tuple of str
         Names of the halls.
     domains_per_hall, boxes_per_domain : int
-        Fabric domains of each hall, and boxes of each domain.
+        Fabric domains per hall, and boxes per fabric domain.
     accelerators_per_box : int
-        Accelerators of each box.
+        Accelerators that the box list shows for each box.
     weight_rate_bytes_per_s : float
-        What the weight store gives.
+        Rate of the weight store over all readers.
     box_list_lag_s : float
-        Age of what the box list shows.
+        Age of the state that the box list shows.
     """
 
     halls: tuple[str, ...] = ("hall-a",)
@@ -46,18 +46,18 @@
 
 
 class StandInSite:
-    """Platform and targets of a site.
+    """Stand-ins of the platform and the targets of a site.
 
     Parameters
     ----------
     size : SiteSize
-        Boxes and rates.
+        Number of boxes, and rates.
     profile : EngineProfile, default=EngineProfile()
         Speed of the engines.
     clock : Clock, default=SystemClock()
-        Time of the stand-ins.
+        Clock of all stand-ins.
     random_source : random.Random, default=random.Random(0)
-        For lost cache events.
+        Decides which cache events are lost.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self.box_list_down = False
         self.leaving: set[str] = set()
         self.delisted: set[str] = set()
-        self._listed: deque[tuple[float, tuple[Box, ...]]] = deque(maxlen=4096)
+        self._list_history: deque[tuple[float, tuple[Box, ...]]] = deque(maxlen=4096)
         self._runner: web.AppRunner | None = None
         self._url = ""
         for hall in size.halls:
@@ -96,7 +96,7 @@
                 self.fleet.add_box(f"{hall}-d{domain}-b{index}", hall, f"{hall}-d{domain}")
 
     def boxes(self, hall: str) -> tuple[Box, ...]:
-        """Return what the box list shows of a hall, `box_list_lag_s` old."""
+        """Return the boxes of a hall as the box list shows them, `box_list_lag_s` old."""
         now_s = self.clock.now_s()
         current = tuple(
             Box(
@@ -110,9 +110,11 @@
             for box in self.fleet.boxes.values()
             if box.name not in self.delisted
         )
-        self._listed.append((now_s, current))
-        old = [boxes for at_s, boxes in self._listed if at_s <= now_s - self.size.box_list_lag_s]
-        shown = old[-1] if old else self._listed[0][1]
+        self._list_history.append((now_s, current))
+        lagged = [
+            boxes for at_s, boxes in self._list_history if at_s <= now_s - self.size.box_list_lag_s
+        ]
+        shown = lagged[-1] if lagged else self._list_history[0][1]
         return tuple(box for box in shown if box.hall == hall)
 
     def application(self) -> web.Application:
@@ -132,17 +134,17 @@
         return app
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> "StandInSite":
-        """Begin to listen; port 0 takes a free one."""
+        """Start to listen; port 0 selects a free port."""
         self._runner = web.AppRunner(self.application(), access_log=None, shutdown_timeout=0.1)
         await self._runner.setup()
         listener = web.TCPSite(self._runner, host, port, backlog=1024)
         await listener.start()
-        bound = self._runner.addresses[0]
-        self._url = f"http://{bound[0]}:{bound[1]}"
+        bound_address = self._runner.addresses[0]
+        self._url = f"http://{bound_address[0]}:{bound_address[1]}"
         return self
 
     async def close(self) -> None:
-        """Stop listening and end all that runs."""
+        """Stop listening and cancel all tasks of the fleet."""
         await self.fleet.close()
         if self._runner is not None:
             await self._runner.cleanup()
@@ -171,7 +173,7 @@
                 "store_calls": dict(self.etcd.calls),
                 "runs": self.fleet.runs,
                 "executions": dict(self.service.executions),
-                "weight_bytes_read": self.weights.read_bytes,
+                "weight_bytes_read": self.weights.bytes_read,
                 "prompt_blocks": self.fleet.prompt_blocks,
                 "reused_blocks": self.fleet.reused_blocks,
             }
@@ -185,7 +187,13 @@
         return web.json_response({"problem": problem}, status=status)
 
     def switch_fault(self, fields: dict) -> str:
-        """Switch one fault and return what is wrong with the wish, or an empty text."""
+        """Switch one fault on or off.
+
+        Returns
+        -------
+        problem : str
+            Why the fault cannot be switched; empty if it was.
+        """
         name = fields.get("fault")
         if name in ("kill", "pause", "resume", "restart"):
             box = self.fleet.boxes.get(fields.get("box", ""))
--- a/ferrydock/standins/_weights.py
+++ b/ferrydock/standins/_weights.py
@@ -1,4 +1,4 @@
-"""Stand-in of the weight store: readers share one rate, first come, first served."""
+"""Stand-in of the weight store: readers share one rate and are served in order of arrival."""
 
 import asyncio
 
@@ -10,28 +10,28 @@
 
 
 class StandInWeightStore:
-    """Hands out bytes at a bounded rate.
+    """Simulates reads of weights at a limited rate.
 
     Parameters
     ----------
     clock : Clock
-        Measures the time that a read takes.
+        Clock against which waiting times are computed.
     rate_bytes_per_s : float
-        Over all readers.
+        Rate over all readers.
     """
 
-    __slots__ = ("_free_at_s", "clock", "rate_bytes_per_s", "read_bytes")
+    __slots__ = ("_free_at_s", "clock", "rate_bytes_per_s", "bytes_read")
 
     def __init__(self, clock: Clock, rate_bytes_per_s: float):
         self.clock = clock
         self.rate_bytes_per_s = rate_bytes_per_s
-        self.read_bytes = 0
+        self.bytes_read = 0
         self._free_at_s = 0.0
 
     async def read(self, size_bytes: int) -> None:
-        """Wait as long as reading `size_bytes` takes behind those who asked before."""
+        """Wait until `size_bytes` are read, after all reads that began earlier."""
         now_s = self.clock.now_s()
-        self.read_bytes += size_bytes
+        self.bytes_read += size_bytes
         self._free_at_s = max(now_s, self._free_at_s) + size_bytes / self.rate_bytes_per_s
         await asyncio.sleep(self._free_at_s - now_s)
 
--- a/ferrydock/standins/_writer.py
+++ b/ferrydock/standins/_writer.py
@@ -1,19 +1,19 @@
-"""What the stand-in engine writes: an answer that restates its own prompt, token by token.
+"""Generates the answers of the stand-in engines.
 
-Every answer holds the whole text it answers, so a test can tell whose answer it is.
+Each answer repeats its whole prompt, so that a test can tell to which request it belongs.
 """
 
 import re
 
-__all__ = ["answer_tokens", "prompt_of", "remaining_tokens"]
+__all__ = ["answer_tokens", "prompt_text", "remaining_tokens"]
 
 _TOKEN = re.compile(r"[\u3000-\u9fff]|\s*[^\s\u3000-\u9fff]+|\s+")
 _CHINESE = re.compile(r"[\u4e00-\u9fff]")
 _FRENCH = re.compile(r"[àâçéèêëîïôùûœ]|\b(?:le|la|les|une|est|des)\b", re.IGNORECASE)
 
 
-def prompt_of(body: dict) -> str:
-    """Return the text of a chat or a completion request."""
+def prompt_text(body: dict) -> str:
+    """Return the prompt of a chat or completion request; messages are joined by newlines."""
     if "prompt" in body:
         prompt = body["prompt"]
         return prompt if isinstance(prompt, str) else "\n".join(map(str, prompt))
@@ -26,7 +26,7 @@
     return "\n".join(parts)
 
 
-def _frame(prompt: str) -> tuple[str, str]:
+def _opening_and_closing(prompt: str) -> tuple[str, str]:
     if _CHINESE.search(prompt):
         return "敬啟者：茲就下列事項陳情，「", "」。懇請貴機關惠予查明並函復，謹致謝忱。"
     if _FRENCH.search(prompt):
@@ -34,20 +34,20 @@
     return "On your request: ", " — here is a first draft to build on."
 
 
-def answer_tokens(prompt: str, most: int) -> list[str]:
-    """Return the tokens of the answer to `prompt`, at most `most`.
+def answer_tokens(prompt: str, max_tokens: int) -> list[str]:
+    """Return the tokens of the answer to `prompt`, at most `max_tokens`.
 
     Examples
     --------
     >>> "".join(answer_tokens("repair the pump", 100))
     'On your request: repair the pump — here is a first draft to build on.'
     """
-    opening, closing = _frame(prompt)
-    return _TOKEN.findall(opening + prompt + closing)[:most]
+    opening, closing = _opening_and_closing(prompt)
+    return _TOKEN.findall(opening + prompt + closing)[:max_tokens]
 
 
 def remaining_tokens(tokens: list[str], text_so_far: str) -> list[str]:
-    """Return the tokens that follow `text_so_far`, the text that the caller already has.
+    """Return the tokens that follow `text_so_far`, the part of the answer the caller has.
 
     Examples
     --------
--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -67,6 +67,7 @@
     "route_metrics.py",
     "routing",
     "scheduling",
+    "standins",
     "startup.py",
     "store",
     "table",
