--- a/ferrydock/standins/fleet/__init__.py
+++ b/ferrydock/standins/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in of a platform with groups of workers: in memory, and by its published protocol."""
+"""Stand-in of the users' platform and its workers, called in memory or over its protocol."""
 
 from ._caller import request_bytes
 from ._ports import FleetControl, FleetList
--- a/ferrydock/standins/fleet/_caller.py
+++ b/ferrydock/standins/fleet/_caller.py
@@ -1,4 +1,4 @@
-"""A caller's request in the platform's words."""
+"""Bytes of a caller's request, with the headers of the platform."""
 
 __all__ = ["request_bytes"]
 
@@ -6,7 +6,7 @@
 def request_bytes(
     path: str, request_id: str, deadline_ms: int, model: str, key: str, body: bytes
 ) -> bytes:
-    """Return one request on a connection that stays open.
+    """Return a POST request as HTTP/1.1 bytes; the connection stays open after it.
 
     Examples
     --------
--- a/ferrydock/standins/fleet/_ports.py
+++ b/ferrydock/standins/fleet/_ports.py
@@ -1,4 +1,4 @@
-"""The product's ports filled from a fleet in memory, with delays and lost messages."""
+"""Target control and target list on a `Fleet` in memory, with delays and lost messages."""
 
 import asyncio
 import random
@@ -21,19 +21,21 @@
 
 
 class FleetControl:
-    """Orders and reports over a network that takes time and may be cut.
+    """Sends orders and fetches reports over a simulated network with delays and cuts.
 
     Parameters
     ----------
     fleet : Fleet
-        Workers.
+        Workers that are reached.
     rng : random.Random
-        Draws delays.
+        Source of random delays.
 
     Attributes
     ----------
     cut : set of str
-        Ids of workers that this side cannot reach.
+        Ids of workers that calls do not reach.
+    given : int
+        Number of orders sent, unanswered ones included.
     """
 
     def __init__(self, fleet: Fleet, rng: random.Random):
@@ -42,7 +44,7 @@
         self.cut: set[str] = set()
         self.given = 0
 
-    def _reach(self, target: Target) -> Worker | None:
+    def _reachable_worker(self, target: Target) -> Worker | None:
         worker = self.fleet.workers.get(target.target_id)
         if worker is None or not worker.alive or target.target_id in self.cut:
             return None
@@ -53,7 +55,7 @@
     ) -> OrderDone | OrderRefused | Unavailable | Unknown:
         self.given += 1
         await asyncio.sleep(self.rng.uniform(0.001, 0.004))
-        worker = self._reach(target)
+        worker = self._reachable_worker(target)
         if worker is None:
             await asyncio.sleep(ANSWER_TIMEOUT_S)
             return Unavailable("silent")
@@ -66,16 +68,16 @@
 
     async def report(self, target: Target, timeout_s: float) -> TargetReport | Unavailable:
         await asyncio.sleep(self.rng.uniform(0.001, 0.004))
-        worker = self._reach(target)
+        worker = self._reachable_worker(target)
         if worker is None:
             await asyncio.sleep(timeout_s)
             return Unavailable("silent")
-        place = worker.membership
+        membership = worker.membership
         return TargetReport(
             orders=worker.orders,
-            replica=place.replica if place else None,
-            epoch=place.epoch if place else 0,
-            state=place.state.value if place else None,
+            replica=membership.replica if membership else None,
+            epoch=membership.epoch if membership else 0,
+            state=membership.state.value if membership else None,
         )
 
     async def close(self) -> None:
@@ -83,14 +85,15 @@
 
 
 class FleetList:
-    """The list of targets, as it comes to one reader.
+    """The list of targets, as one reader receives it.
 
     Parameters
     ----------
     heartbeat_s : float
-        After three of which a silent worker's entry goes.
+        Heartbeat interval of workers. The entry of a worker is removed three intervals after
+        the worker falls silent.
     lag_s : float
-        How late a change shows.
+        Delay before the reader receives a change.
     """
 
     def __init__(self, fleet: Fleet, heartbeat_s: float = 1.2, lag_s: float = 0.05):
@@ -106,7 +109,7 @@
         self._queue.put_nowait((worker.worker_id, worker.entry))
 
     def on_silent(self, worker: Worker) -> None:
-        """Let the entry of a worker that fell silent go, after three heartbeats."""
+        """Remove the entry of a worker that fell silent, after three heartbeat intervals."""
         asyncio.get_running_loop().call_later(
             3 * self.heartbeat_s, self._queue.put_nowait, (worker.worker_id, None)
         )
@@ -116,11 +119,11 @@
     ) -> AsyncIterator[TargetChanges | Unavailable]:
         yield TargetChanges(True, ())
         while True:
-            news = [await self._queue.get()]
+            changes = [await self._queue.get()]
             await asyncio.sleep(self.lag_s)
             while not self._queue.empty():
-                news.append(self._queue.get_nowait())
-            latest = dict(news)
+                changes.append(self._queue.get_nowait())
+            latest = dict(changes)
             yield TargetChanges(
                 False,
                 tuple(entry for entry in latest.values() if entry is not None),
--- a/ferrydock/standins/fleet/_site.py
+++ b/ferrydock/standins/fleet/_site.py
@@ -1,4 +1,4 @@
-"""A whole stand-in site on loopback: store, workers, an operator, settings for daemons."""
+"""Complete stand-in site on loopback: store, workers, operator, and settings for daemons."""
 
 import asyncio
 import random
@@ -9,27 +9,28 @@
 from ...configuration import EngineSpec, ModelSpec
 from ...store import MemoryStore, StoreCopy
 from ._store_http import StoreFace
-from ._worker_http import KV_TOKENS, RunRecord, WorkerFace, entry_group, entry_models
+from ._worker_http import KV_CAPACITY_TOKENS, RunRecord, WorkerFace, entry_group, entry_models
 from ._workers import Fleet, LeavingSaid, NamedLimit, Shedding, Worker
 
 __all__ = ["WRITTEN_AGAIN_S", "FleetSite", "small_engine"]
 
 HEARTBEAT_S = 0.4
 
-# How long a worker that has crashed is away before it starts again under its id.
-BACK_AFTER_S = (0.5, 2.0)
+# Range of the delay before a crashed worker starts again under the same id.
+RESTART_DELAY_S = (0.5, 2.0)
 
-# When operator and workers write again what a store has lost that came back older.
+# Range of the delay before operator and workers repeat the writes that are missing in a store
+# that was restored from an older copy.
 WRITTEN_AGAIN_S = (0.2, 2.0)
 
-# Pause before it tries again to listen at an address that another socket has taken meanwhile.
-PORT_TAKEN_S = 0.1
+# Delay before a restarted worker retries to listen while another socket uses its address.
+PORT_RETRY_INTERVAL_S = 0.1
 ENGINE_SERVICE = "engines"
 PLAIN_SERVICE = "records"
 
 
 def small_engine() -> EngineSpec:
-    """Return an engine whose replicas form within a moment."""
+    """Return an engine with short load times, whose replicas form in less than a second."""
     return EngineSpec(
         slots=8,
         loads_per_s=100.0,
@@ -46,16 +47,19 @@
     Parameters
     ----------
     halls : tuple of str
-        Each with two domains of ten workers and one plain worker.
+        Names of the halls. Each has two domains with `domain_size` workers each, and one worker
+        of the plain service.
     seed : int
-        Draws faults.
+        Seed of the random faults.
+    domain_size : int
+        Number of workers in each domain.
 
     Attributes
     ----------
     killed_s : dict
-        Loop time at which a worker fell silent for good, by its id.
+        Loop time at which a worker fell silent permanently, by worker id.
     crashed_s : dict
-        Loop times at which a worker's process ended, to start again.
+        Loop times at which a worker's process crashed, by worker id; it starts again.
     """
 
     def __init__(self, halls: tuple[str, ...], seed: int = 1, domain_size: int = 10):
@@ -73,8 +77,8 @@
         self.plain: dict[str, Worker] = {}
         self.killed_s: dict[str, float] = {}
         self.crashed_s: dict[str, list[float]] = {}
-        self._returns: set[asyncio.Task] = set()
-        self._own_rng = random.Random(f"store {seed}")
+        self._restart_tasks: set[asyncio.Task] = set()
+        self._store_rng = random.Random(f"store {seed}")
         self._configuration = b""
 
     async def start(self) -> None:
@@ -87,14 +91,14 @@
             await self.add_plain(f"{hall}-plain", hall)
 
     async def open_store(self) -> StoreFace:
-        """Open one more address of the store, with faults of its own."""
+        """Open another address of the store, which has its own faults."""
         face = StoreFace(self.store, self.rng)
         await face.start()
         self.stores.append(face)
         return face
 
     async def add_worker(self, worker_id: str, hall: str, domain: str) -> Worker:
-        """Start an empty model worker."""
+        """Start a model worker that holds no model."""
         worker = Worker(worker_id, "", hall, domain, ENGINE_SERVICE, self.engine)
         face = WorkerFace(worker, self.fleet, self.record, on_crash=self.crash_worker)
         self.faces[worker_id] = face
@@ -117,7 +121,7 @@
         return self.fleet.workers.get(worker_id) or self.plain[worker_id]
 
     def kill_worker(self, worker_id: str) -> None:
-        """Let a worker fall silent for good."""
+        """Make a worker silent permanently; its entry is removed after three heartbeats."""
         worker = self._worker(worker_id)
         worker.alive = False
         if worker_id in self.fleet.workers:
@@ -127,35 +131,35 @@
         loop.call_later(3 * HEARTBEAT_S, self._remove_entry, worker)
 
     def crash_worker(self, worker: Worker) -> None:
-        """End the process of a worker; it starts again under the same id some seconds later."""
+        """Crash the process of a worker; it starts again under the same id after a delay."""
         worker.alive = False
         self.faces[worker.worker_id].crash()
         if worker.worker_id in self.fleet.workers:
             self.fleet.kill(worker.worker_id)
         loop = asyncio.get_running_loop()
         self.crashed_s.setdefault(worker.worker_id, []).append(loop.time())
-        loop.call_later(3 * HEARTBEAT_S, self._remove_entry_of_dead, worker, worker.born_ms)
-        self._returns.add(loop.create_task(self._start_again(worker)))
+        loop.call_later(3 * HEARTBEAT_S, self._remove_entry_if_dead, worker, worker.born_ms)
+        self._restart_tasks.add(loop.create_task(self._restart_process(worker)))
 
-    async def _start_again(self, worker: Worker) -> None:
-        """Start a worker's process again; it lives, and may crash again, once its port is open."""
-        await asyncio.sleep(self.rng.uniform(*BACK_AFTER_S))
+    async def _restart_process(self, worker: Worker) -> None:
+        """Start a worker's process again; it answers, and can crash, once its port is open."""
+        await asyncio.sleep(self.rng.uniform(*RESTART_DELAY_S))
         while True:
             try:
                 await self.faces[worker.worker_id].start()
                 break
             except OSError:
-                await asyncio.sleep(PORT_TAKEN_S)
-        worker.start_again()
+                await asyncio.sleep(PORT_RETRY_INTERVAL_S)
+        worker.restart()
         self.faces[worker.worker_id].has_crashed = False
         self._write_entry(worker)
 
-    def _remove_entry_of_dead(self, worker: Worker, born_ms: int) -> None:
+    def _remove_entry_if_dead(self, worker: Worker, born_ms: int) -> None:
         if not worker.alive and worker.born_ms == born_ms:
             self._remove_entry(worker)
 
     def drain_worker(self, worker_id: str) -> None:
-        """Let a worker say that it will leave."""
+        """Mark a worker as draining in its entry, because it will leave."""
         worker = self._worker(worker_id)
         worker.draining = True
         self._write_entry(worker)
@@ -163,44 +167,44 @@
             worker.left_s = asyncio.get_running_loop().time()
 
     def limit_worker(self, worker_id: str, per_s: float) -> None:
-        """Let a worker name a limit in its answers from now on."""
+        """Make a worker name a rate limit in its answers, in requests per second."""
         worker = self._worker(worker_id)
         worker.limit = NamedLimit(worker_id, per_s, asyncio.get_running_loop().time())
         self.record.limits.append(worker.limit)
 
     def end_limit(self, worker_id: str) -> None:
-        """Let a worker name no limit any more."""
+        """Make a worker stop naming a limit."""
         worker = self._worker(worker_id)
         worker.limit = None
 
     def shed_at_worker(self, worker_id: str, rest_s: float) -> Shedding:
-        """Let a worker refuse all requests from now on, and ask for rest."""
+        """Make a worker refuse all requests and ask for a back-off of `rest_s` seconds."""
         worker = self._worker(worker_id)
         worker.shedding = Shedding(worker_id, rest_s)
         self.record.shed.append(worker.shedding)
         return worker.shedding
 
     def say_leaving(self, worker_id: str) -> LeavingSaid:
-        """Let a worker say in its answers that it leaves; its entry does not say so yet."""
+        """Make a worker announce in its answers that it leaves, without marking its entry."""
         worker = self._worker(worker_id)
         worker.leaving_said = LeavingSaid(worker_id)
         self.record.leaving_said.append(worker.leaving_said)
         return worker.leaving_said
 
     def come_back_older(self, copy: StoreCopy) -> None:
-        """Let the store lose all since a copy was taken; each writer writes again what is gone."""
+        """Restore the store from an older copy; operator and workers then repeat their writes."""
         self.store.come_back_older(copy)
         for face in self.stores:
             face.forget_history()
         loop = asyncio.get_running_loop()
-        loop.call_later(self._own_rng.uniform(*WRITTEN_AGAIN_S), self._write_configuration_again)
+        loop.call_later(self._store_rng.uniform(*WRITTEN_AGAIN_S), self._write_configuration_again)
         for worker in (*self.fleet.workers.values(), *self.plain.values()):
             if worker.alive:
-                again_s = self._own_rng.uniform(*WRITTEN_AGAIN_S)
-                loop.call_later(again_s, self._write_entry_again, worker)
+                delay_s = self._store_rng.uniform(*WRITTEN_AGAIN_S)
+                loop.call_later(delay_s, self._write_entry_again, worker)
             else:
                 born_ms = worker.born_ms
-                loop.call_later(3 * HEARTBEAT_S, self._remove_entry_of_dead, worker, born_ms)
+                loop.call_later(3 * HEARTBEAT_S, self._remove_entry_if_dead, worker, born_ms)
 
     def _write_configuration_again(self) -> None:
         self._put("op/config", self._configuration)
@@ -241,7 +245,13 @@
     # The operator -----------------------------------------------------------------------------
 
     def write_configuration(self, **changes) -> int:
-        """Write a configuration with `changes` at its top level; return its version."""
+        """Write the usual configuration with top-level fields replaced by `changes`.
+
+        Returns
+        -------
+        version : int
+            Version of the written configuration.
+        """
         self.version += 3
         fields = {**self.configuration(), **changes, "version": self.version}
         self._configuration = orjson.dumps(fields)
@@ -249,11 +259,11 @@
         return self.version
 
     def configuration(self) -> dict:
-        """Return the usual configuration, in the platform's words."""
+        """Return the usual configuration in the format of the platform."""
         return {
             "version": self.version,
             "routes": [
-                _route("stream", "/write/", ENGINE_SERVICE, **_STREAM),
+                _route("stream", "/write/", ENGINE_SERVICE, **_STREAM_FIELDS),
                 _route("lookup", "/look/", PLAIN_SERVICE, **{"route-type": "safe"}),
                 _route("file", "/file/", PLAIN_SERVICE, **{"route-type": "unsafe"}),
                 _route("open", "/open/", PLAIN_SERVICE, **{"route-type": "safe", "public": True}),
@@ -289,8 +299,11 @@
         store: StoreFace | None = None,
         address: str = "127.0.0.1",
     ) -> dict:
-        """Return the settings of a daemon that listens on four given ports."""
-        front, ready, control, internal = ports
+        """Return the settings of a daemon that listens on the four `ports`.
+
+        The ports are those of frontend, readiness, control and internal traffic, in this order.
+        """
+        frontend, ready, control, internal = ports
         return {
             "node-name": name,
             "role": "entry",
@@ -298,7 +311,7 @@
             "zone": hall,
             "zones": dict.fromkeys(self.halls, "region"),
             "listen": {
-                "frontend": f"{address}:{front}",
+                "frontend": f"{address}:{frontend}",
                 "ready": f"{address}:{ready}",
                 "control": f"{address}:{control}",
             },
@@ -320,15 +333,15 @@
         }
 
     async def close(self) -> None:
-        """Stop everything."""
-        for returning in self._returns:
-            returning.cancel()
+        """Stop all restarts, workers and store addresses."""
+        for restart_task in self._restart_tasks:
+            restart_task.cancel()
         closing = [face.close() for face in self.faces.values()]
         closing += [store.close() for store in self.stores]
         await asyncio.gather(*closing)
 
 
-_STREAM = {
+_STREAM_FIELDS = {
     "route-type": "streaming",
     "resumable": True,
     "gap-target-ms": 300,
@@ -355,7 +368,7 @@
 def _engine_fields(engine: EngineSpec) -> dict:
     return {
         "slots": engine.slots,
-        "kv-capacity": KV_TOKENS,
+        "kv-capacity": KV_CAPACITY_TOKENS,
         "step_ms": 4.0,
         "per_seq_ms": 0.1,
         "context_per_k": 0.01,
--- a/ferrydock/standins/fleet/_store_http.py
+++ b/ferrydock/standins/fleet/_store_http.py
@@ -1,4 +1,4 @@
-"""The platform's store by its published protocol, on a store in memory, with its faults."""
+"""HTTP protocol of the platform's store on a `MemoryStore`, with fault injection."""
 
 import asyncio
 import base64
@@ -24,31 +24,32 @@
 
 __all__ = ["StoreFace", "StoreFaults"]
 
-PAGE = 50
-LONGEST_WAIT_MS = 30000
-GUARDED = ("op/", "servers/")
+PAGE_SIZE = 50
+MAX_WAIT_MS = 30000
+PROTECTED_PREFIXES = ("op/", "servers/")
 
-# Header of all answers: how often the store has come back older.
+# Header of all answers: how often the store was restored from an older copy.
 ERA_HEADER = "Store-Era"
 
-# How long a call is left without an answer: longer than any caller waits (21.5 s).
-SILENT_S = 60.0
+# Time for which a call gets no answer; longer than any caller waits (21.5 s).
+SILENCE_S = 60.0
 
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What goes wrong with calls.
+    """Faults of one address of the store.
 
     Attributes
     ----------
     down : str
-        Empty, ``busy`` (503), ``many`` (429), ``reset`` or ``silent``.
+        How all calls fail: ``busy`` (status 503), ``many`` (status 429), ``reset`` (connection
+        aborted) or ``silent`` (no answer). Empty if they don't.
     lost_share : float
-        Part of the writing calls that are done and not answered.
+        Share of the transactions that are executed and not answered.
     refused_share : float
-        Part of the writing calls that are neither done nor answered.
+        Share of the transactions that are neither executed nor answered.
     slow_s : float
-        Added to each answer.
+        Delay of each answer.
     """
 
     down: str = ""
@@ -58,14 +59,21 @@
 
 
 class StoreFace:
-    """One address at which callers reach the store; faults are its own.
+    """One address at which callers reach the store, with its own faults.
 
     Parameters
     ----------
     store : MemoryStore
-        What is stored; several faces may share it.
+        The store, which several addresses may share.
     rng : random.Random
-        Draws which answers are lost.
+        Decides which calls are refused and which answers are lost.
+
+    Attributes
+    ----------
+    calls : dict
+        Number of calls by kind.
+    address : str
+        ``IP:PORT``, once started.
     """
 
     def __init__(self, store: MemoryStore, rng: random.Random):
@@ -74,21 +82,23 @@
         self.faults = StoreFaults()
         self.calls: dict[str, int] = {}
         self.address = ""
-        self._oldest = 0
-        self._silenced = 0
+        self._oldest_revision = 0
+        self._silence_count = 0
         self._runner: web.AppRunner | None = None
 
     async def start(self, listen: str = "127.0.0.1:0") -> str:
-        """Begin to listen; return the address."""
+        """Start to listen; return the address as ``IP:PORT``."""
         app = web.Application(client_max_size=4 * 2**20)
-        app.on_response_prepare.append(self._tell_era)
-        app.router.add_get("/v1/kv-key", self._bounded("key", self._key))
-        app.router.add_get("/v1/kv-range", self._bounded("range", self._range))
-        app.router.add_get("/v1/kv-watch", self._bounded("watch", self._watch))
-        app.router.add_post("/v1/kv-txn", self._bounded("txn", self._txn))
-        app.router.add_post("/v1/kv-lease", self._bounded("lease", self._lease))
-        app.router.add_post("/v1/kv-keep/{lease}", self._bounded("keep", self._keep))
-        app.router.add_delete("/v1/kv-lease-end/{lease}", self._bounded("end", self._end))
+        app.on_response_prepare.append(self._add_era_header)
+        app.router.add_get("/v1/kv-key", self._with_faults("key", self._key))
+        app.router.add_get("/v1/kv-range", self._with_faults("range", self._range))
+        app.router.add_get("/v1/kv-watch", self._with_faults("watch", self._watch))
+        app.router.add_post("/v1/kv-txn", self._with_faults("txn", self._txn))
+        app.router.add_post("/v1/kv-lease", self._with_faults("lease", self._grant_lease))
+        app.router.add_post("/v1/kv-keep/{lease}", self._with_faults("keep", self._renew_lease))
+        app.router.add_delete(
+            "/v1/kv-lease-end/{lease}", self._with_faults("end", self._revoke_lease)
+        )
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await self._runner.setup()
         host, port = listen.split(":")
@@ -103,33 +113,33 @@
             await self._runner.cleanup()
 
     def forget_history(self) -> None:
-        """Drop all changes up to now: whoever watches from before gets 410."""
-        self._oldest = self.store.revision
+        """Compact the store's history: watches from an earlier revision get status 410."""
+        self._oldest_revision = self.store.revision
 
     def silence_waits(self) -> None:
-        """Leave the calls that wait now without an answer for good; later calls are answered.
+        """Withhold the answers of the calls in progress for `SILENCE_S`; later calls are answered.
 
-        So it is with a wait over which the store was silent, and with a connection that falls
-        silent without a reset.
+        This simulates an outage of the store during a long poll, and a connection that fails
+        without a reset.
         """
-        self._silenced += 1
+        self._silence_count += 1
 
-    async def _tell_era(self, request: web.Request, response: web.StreamResponse) -> None:
+    async def _add_era_header(self, request: web.Request, response: web.StreamResponse) -> None:
         response.headers[ERA_HEADER] = str(self.store.era)
 
-    def _bounded(self, kind: str, handler):
+    def _with_faults(self, kind: str, handler):
         async def handle(request: web.Request) -> web.Response:
             self.calls[kind] = self.calls.get(kind, 0) + 1
-            silenced = self._silenced
+            silence_count = self._silence_count
             refusal = await self._refusal(request)
             if refusal is not None:
                 return refusal
             answer = await handler(request)
             await asyncio.sleep(self.faults.slow_s)
-            if silenced != self._silenced:
-                await asyncio.sleep(SILENT_S)
+            if silence_count != self._silence_count:
+                await asyncio.sleep(SILENCE_S)
             if kind == "txn" and self.rng.random() < self.faults.lost_share:
-                await asyncio.sleep(SILENT_S)
+                await asyncio.sleep(SILENCE_S)
             return answer
 
         return handle
@@ -137,7 +147,7 @@
     async def _refusal(self, request: web.Request) -> web.Response | None:
         down = self.faults.down
         if down == "silent":
-            await asyncio.sleep(SILENT_S)
+            await asyncio.sleep(SILENCE_S)
         if down == "reset":
             require(request.transport, "the connection").abort()
         if down in ("silent", "reset"):
@@ -159,18 +169,22 @@
         found = await self.store.range(prefix, prefix_end(prefix))
         after = request.query.get("since-revision", "")
         items = [item for item in found.items if item.key > after]
-        page = [_item(item) for item in items[:PAGE]]
-        body = {"entries": page, "truncated": len(items) > PAGE, "store-revision": found.revision}
+        page = [_item(item) for item in items[:PAGE_SIZE]]
+        body = {
+            "entries": page,
+            "truncated": len(items) > PAGE_SIZE,
+            "store-revision": found.revision,
+        }
         return _json(body)
 
     async def _watch(self, request: web.Request) -> web.Response:
         prefix = request.query["path-prefix"]
-        since = int(request.query["since-revision"])
-        wait_s = min(int(request.query["wait-ms"]), LONGEST_WAIT_MS) / 1000
+        since_revision = int(request.query["since-revision"])
+        wait_s = min(int(request.query["wait-ms"]), MAX_WAIT_MS) / 1000
         era = self.store.era
-        if since < self._oldest or since > self.store.revision:
+        if since_revision < self._oldest_revision or since_revision > self.store.revision:
             return _json({}, 410)
-        batches = await self._next_batches(prefix, since, wait_s)
+        batches = await self._next_batches(prefix, since_revision, wait_s)
         if era != self.store.era:
             return _json({}, 410)
         if not batches:
@@ -182,9 +196,11 @@
         ]
         return _json({"events": events, "store-revision": batches[-1].revision})
 
-    async def _next_batches(self, prefix: str, since: int, wait_s: float) -> list[WatchBatch]:
-        """Return all changes that there are, or the next one if there is none yet."""
-        changes = self.store.watch(prefix, Position(self.store.era, since))
+    async def _next_batches(
+        self, prefix: str, since_revision: int, wait_s: float
+    ) -> list[WatchBatch]:
+        """Return all changes after revision `since_revision`; wait up to `wait_s` for the first."""
+        changes = self.store.watch(prefix, Position(self.store.era, since_revision))
         found = []
         try:
             async with asyncio.timeout(wait_s):
@@ -206,11 +222,13 @@
 
     async def _txn(self, request: web.Request) -> web.Response:
         if self.rng.random() < self.faults.refused_share:
-            await asyncio.sleep(SILENT_S)
+            await asyncio.sleep(SILENCE_S)
         body = orjson.loads(await request.read())
         expected = body.get("expected-revision", ())
         writes, removed = body.get("writes", ()), body.get("remove", ())
-        if any(key.startswith(GUARDED) for key in (*(w["key"] for w in writes), *removed)):
+        if any(
+            key.startswith(PROTECTED_PREFIXES) for key in (*(w["key"] for w in writes), *removed)
+        ):
             return _json({}, 403)
         txn = Txn(
             tuple(Compare(row["key"], row["revision"]) for row in expected),
@@ -229,18 +247,18 @@
         entries = [_item(item) for item in done.reads if item is not None]
         return _json({"entries": entries, "store-revision": self.store.revision}, 412)
 
-    async def _lease(self, request: web.Request) -> web.Response:
+    async def _grant_lease(self, request: web.Request) -> web.Response:
         body = orjson.loads(await request.read())
         lease = await self.store.grant_lease(body["ttl-ms"] / 1000)
         return _json({"lease": lease.lease_id, "ttl-ms": int(lease.ttl_s * 1000)})
 
-    async def _keep(self, request: web.Request) -> web.Response:
-        kept = await self.store.renew_lease(int(request.match_info["lease"]))
-        if isinstance(kept, LeaseLost):
+    async def _renew_lease(self, request: web.Request) -> web.Response:
+        renewed = await self.store.renew_lease(int(request.match_info["lease"]))
+        if isinstance(renewed, LeaseLost):
             return _json({}, 404)
-        return _json({"ttl-ms": int(kept.ttl_s * 1000)})
+        return _json({"ttl-ms": int(renewed.ttl_s * 1000)})
 
-    async def _end(self, request: web.Request) -> web.Response:
+    async def _revoke_lease(self, request: web.Request) -> web.Response:
         await self.store.revoke_lease(int(request.match_info["lease"]))
         return _json({})
 
--- a/ferrydock/standins/fleet/_virtual.py
+++ b/ferrydock/standins/fleet/_virtual.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer: seconds of waiting take no time at all."""
+"""Event loop on virtual time: instead of waiting, its time jumps to the next timer."""
 
 import asyncio
 import selectors
@@ -11,7 +11,7 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Never waits: a wait moves the loop's time instead."""
+    """Selector that advances the loop's time by the time-out instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -21,13 +21,15 @@
         ready = super().select(0)
         if not ready:
             if timeout is None:
-                raise RuntimeError("nothing is left to happen: the test waits for ever")
+                raise RuntimeError(
+                    "deadlock in virtual time: no timer is scheduled and no callback is ready"
+                )
             self.now_s += max(0.0, timeout)
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop on virtual time, for work without sockets.
+    """Event loop on virtual time, for coroutines that use no sockets.
 
     Examples
     --------
@@ -41,12 +43,12 @@
         self._clock_resolution = 1e-6
 
     def time(self) -> float:
-        """Return virtual seconds since the loop was made."""
+        """Return the virtual seconds since the loop was created."""
         return self._jumping.now_s
 
 
 class LoopClock(Clock):
-    """The clock of the running loop."""
+    """Clock that reads the time of the running loop."""
 
     __slots__ = ()
 
@@ -57,11 +59,11 @@
         return self.now_s()
 
 
-def run_virtually(work: Coroutine) -> Any:
-    """Run a coroutine on virtual time, cancel what it left running, and return its result."""
+def run_virtually(coroutine: Coroutine) -> Any:
+    """Run a coroutine on virtual time, cancel the tasks it left running, and return its result."""
     loop = VirtualLoop()
     try:
-        return loop.run_until_complete(work)
+        return loop.run_until_complete(coroutine)
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
--- a/ferrydock/standins/fleet/_worker_http.py
+++ b/ferrydock/standins/fleet/_worker_http.py
@@ -1,4 +1,4 @@
-"""A worker by its published protocol: requests, streams, orders, reports, health."""
+"""HTTP protocol of a worker: requests, event streams, orders, reports and health checks."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,33 +21,33 @@
 
 __all__ = [
     "CRASHING_BODY",
-    "KV_TOKENS",
+    "KV_CAPACITY_TOKENS",
     "CrashingRequest",
     "LeavingArrival",
     "RunRecord",
     "WorkerFace",
 ]
 
-KV_TOKENS = 100000
+KV_CAPACITY_TOKENS = 100000
 
-# A body that begins so crashes each worker that begins to run it.
+# A request whose body starts with these bytes crashes each worker that starts to run it.
 CRASHING_BODY = b"crash"
 
 _REFUSAL_STATUS = {"state": 409, "epoch": 412, "invalid": 400}
-_ONE_MOMENT_S = 0.02
-_CLOSE_S = 0.1
+_GROUP_POLL_INTERVAL_S = 0.02
+_CLOSE_TIMEOUT_S = 0.1
 
 
 @dataclass(slots=True)
 class CrashingRequest:
-    """What the workers of a site have seen of one request that crashes them.
+    """Arrivals of one request that crashes workers, and the crashes it caused.
 
     Attributes
     ----------
     arrived : list of (float, str)
-        Loop time at which it reached a worker, and the id of the caller's try.
+        Loop time and attempt id of each arrival at a worker.
     crashed_s : list of float
-        Loop times at which a worker ended under it.
+        Loop times at which a worker crashed because of it.
     """
 
     arrived: list[tuple[float, str]] = field(default_factory=list)
@@ -56,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingArrival:
-    """A request that reached a worker which had said that it leaves.
+    """A request that reached a worker after the worker announced that it leaves.
 
     Attributes
     ----------
     at_s : float
-        Loop time.
+        Loop time of the arrival.
     after_s : float
-        Time since the store had the worker's word.
+        Time between the announcement and the arrival.
     """
 
     request_id: str
@@ -74,25 +74,33 @@
 
 @dataclass(slots=True)
 class RunRecord:
-    """What the workers of a site have run, by request id.
+    """What the workers of a site have received and run.
+
+    Requests are identified by the id of the attempt (``X-Attempt-Id``).
 
     Attributes
     ----------
+    runs : dict
+        How often each request started to run.
+    tenants : dict
+        Tenant of each request that started to run.
     workers : dict
-        Ids of the workers that a request reached, other members of their replicas included;
-        also those that are silent and run nothing.
+        Ids of the workers that a request reached, the other members of their replicas and
+        silent workers included.
     worked_s : dict
-        Loop time at which a worker last worked on a request.
+        Loop time at which a worker last worked on each request.
+    keys_seen : int
+        Number of requests that carried a caller's key to a worker.
     crashing : dict
         Requests that crash workers, by path, tenant and body.
     at_leaving : list of LeavingArrival
-        Requests that reached workers which had said that they leave.
+        Requests that reached workers whose entry said that they leave.
     limits : list of NamedLimit
-        Limits that workers have named.
+        Rate limits that workers named in their answers.
     shed : list of Shedding
-        Times in which workers refused all requests.
+        Periods in which workers refused all requests.
     leaving_said : list of LeavingSaid
-        Workers whose answers say that they leave.
+        Announcements of workers, in their answers, that they leave.
     """
 
     runs: dict[str, int] = field(default_factory=dict)
@@ -106,8 +114,8 @@
     shed: list[Shedding] = field(default_factory=list)
     leaving_said: list[LeavingSaid] = field(default_factory=list)
 
-    def note_leaving(self, request: web.BaseRequest, worker: Worker) -> None:
-        """Note that a request has reached a worker, if that has said that it leaves."""
+    def record_arrival_at_leaving(self, request: web.BaseRequest, worker: Worker) -> None:
+        """Record the arrival of a request at a worker whose entry says that it leaves."""
         if worker.left_s is None:
             return
         now_s = asyncio.get_running_loop().time()
@@ -115,58 +123,58 @@
         after_s = now_s - worker.left_s
         self.at_leaving.append(LeavingArrival(request_id, worker.worker_id, now_s, after_s))
 
-    def note_said(self, request: web.BaseRequest, worker: Worker) -> None:
-        """Note that a request has reached a worker that names a limit or says that it leaves."""
+    def record_arrival_after_announcement(self, request: web.BaseRequest, worker: Worker) -> None:
+        """Record the arrival of a request at a worker whose answers name a limit or its leaving."""
         arrival = (asyncio.get_running_loop().time(), request.headers["X-Attempt-Id"])
-        for said in (worker.limit, worker.leaving_said):
-            if said is not None:
-                said.arrived.append(arrival)
+        for announcement in (worker.limit, worker.leaving_said):
+            if announcement is not None:
+                announcement.arrived.append(arrival)
 
-    def note_crashing(self, request: web.BaseRequest, body: bytes) -> CrashingRequest:
-        """Note that a request which crashes workers has reached one; return what is known of it."""
+    def record_crashing(self, request: web.BaseRequest, body: bytes) -> CrashingRequest:
+        """Record the arrival of a request that crashes workers; return its record."""
         key = (request.raw_path, request.headers.get("X-Tenant", ""), body)
-        seen = self.crashing.setdefault(key, CrashingRequest())
+        crashing_request = self.crashing.setdefault(key, CrashingRequest())
         now_s = asyncio.get_running_loop().time()
-        seen.arrived.append((now_s, request.headers["X-Attempt-Id"]))
-        return seen
+        crashing_request.arrived.append((now_s, request.headers["X-Attempt-Id"]))
+        return crashing_request
 
     def note(self, request: web.BaseRequest) -> None:
-        """Note a request that begins to run at a worker."""
+        """Record that a worker starts to run a request."""
         request_id = request.headers["X-Attempt-Id"]
-        self.note_work(request)
+        self.record_work(request)
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
         self.tenants[request_id] = request.headers.get("X-Tenant", "")
         self.keys_seen += "Authorization" in request.headers
 
-    def note_arrival(self, request: web.BaseRequest, worker: Worker) -> None:
-        """Note that a request has reached a worker."""
+    def record_arrival(self, request: web.BaseRequest, worker: Worker) -> None:
+        """Record the arrival of a request at a worker and its replica."""
         request_id = request.headers["X-Attempt-Id"]
         self.workers.setdefault(request_id, set()).update((worker.worker_id, *worker.members))
 
-    def note_work(self, request: web.BaseRequest) -> None:
-        """Note that a request is worked on now."""
+    def record_work(self, request: web.BaseRequest) -> None:
+        """Record the time at which a worker works on a request."""
         self.worked_s[request.headers["X-Attempt-Id"]] = asyncio.get_running_loop().time()
 
 
 class WorkerFace:
-    """Listens for one worker.
+    """HTTP server of one worker.
 
     Parameters
     ----------
     worker : Worker
-        Its state.
+        State of the worker.
     fleet : Fleet or None
-        Judges orders and groups; None for a worker of a plain service.
+        Executes orders and checks groups; None for a worker of a plain service.
     record : RunRecord
-        Shared by the site.
+        Record of requests, shared by all workers of the site.
     first_s, event_s : float
-        Time to the first event, and between two.
+        Time to the first event, and between two events.
     events : int
-        Events of a stream.
+        Number of events of a stream.
     crash_after_s : float
-        Time from the begin of a run of a request that crashes the worker until it does.
+        Time that a crashing request runs until the worker crashes.
     on_crash : callable
-        Ends the process of the worker; it may be started again.
+        Called with the worker when it crashes.
     """
 
     def __init__(
@@ -193,7 +201,7 @@
         self.has_crashed = False
 
     async def start(self) -> str:
-        """Begin to listen, at the same address after a crash; return the address."""
+        """Start to listen and return ``IP:PORT``; a restarted worker listens at its old address."""
         _, _, port = self.worker.address.rpartition(":")
         self._server = web.Server(self._handle, access_log=None, handler_cancellation=True)
         self._sockets = await asyncio.get_running_loop().create_server(
@@ -203,7 +211,7 @@
         return self.worker.address
 
     def crash(self) -> None:
-        """End as a process that crashes: the port is closed, the connections are reset."""
+        """Close the port and abort all connections, as the crash of a process does."""
         self.has_crashed = True
         if self._sockets is not None:
             self._sockets.close()
@@ -216,19 +224,19 @@
         if self._sockets is not None:
             self._sockets.close()
         if self._server is not None:
-            await self._server.shutdown(_CLOSE_S)
+            await self._server.shutdown(_CLOSE_TIMEOUT_S)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if not self.worker.alive and self.has_crashed:
-            # Its port is open again, and the process is not yet there: as a port that is closed.
+            # The port is open again before the restarted worker is alive: act as a closed port.
             require(request.transport, "the connection").abort()
             raise asyncio.CancelledError
         if not self.worker.alive:
             if "X-Attempt-Id" in request.headers:
-                self.record.note_arrival(request, self.worker)
+                self.record.record_arrival(request, self.worker)
             await asyncio.sleep(60)
-        wanted = request.headers.get("X-Expect-Instance", self.worker.worker_id)
-        if wanted != self.worker.worker_id:
+        expected_id = request.headers.get("X-Expect-Instance", self.worker.worker_id)
+        if expected_id != self.worker.worker_id:
             headers = {"X-Instance-Id": self.worker.worker_id, "At-Server": self.worker.worker_id}
             return web.Response(status=421, headers=headers)
         if request.path == "/v1/order":
@@ -237,24 +245,29 @@
             return self._report(request)
         if request.path == "/healthz":
             status = 503 if self.worker.draining else 200
-            headers = {"X-Instance-Id": self.worker.worker_id, **self._says(request)}
+            headers = {
+                "X-Instance-Id": self.worker.worker_id,
+                **self._announcement_headers(request),
+            }
             return web.Response(status=status, headers=headers)
         if "X-Attempt-Id" not in request.headers:
             return self._refuse(request, 400)
         return await self._answer(request)
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a request of a caller."""
-        self.record.note_leaving(request, self.worker)
-        self.record.note_said(request, self.worker)
-        if self.worker.shedding is not None and self._is_shed(request, self.worker.shedding):
+        """Answer a caller's request, or refuse it while the worker sheds load."""
+        self.record.record_arrival_at_leaving(request, self.worker)
+        self.record.record_arrival_after_announcement(request, self.worker)
+        if self.worker.shedding is not None and self._record_and_check_shedding(
+            request, self.worker.shedding
+        ):
             return self._refuse(request, 503, self.worker.shedding.rest_s)
         if self.fleet is None:
-            return await self._plain(request)
-        return await self._stream(request)
+            return await self._answer_plain(request)
+        return await self._answer_stream(request)
 
-    def _is_shed(self, request: web.BaseRequest, shedding: Shedding) -> bool:
-        """Note a request that has come, and return whether it is refused."""
+    def _record_and_check_shedding(self, request: web.BaseRequest, shedding: Shedding) -> bool:
+        """Record the arrival of a request; return whether the worker refuses it."""
         arrival = (asyncio.get_running_loop().time(), request.headers["X-Attempt-Id"])
         shedding.arrived.append(arrival)
         if not shedding.is_over:
@@ -267,99 +280,107 @@
         headers = {"X-Not-Executed": "1", "At-Server": self.worker.worker_id}
         if rest_s is not None:
             headers["Retry-After"] = f"{rest_s:g}"
-        return web.Response(status=status, headers={**headers, **self._says(request)})
+        return web.Response(
+            status=status, headers={**headers, **self._announcement_headers(request)}
+        )
 
-    def _signed(self, request: web.BaseRequest) -> dict[str, str]:
+    def _answer_headers(self, request: web.BaseRequest) -> dict[str, str]:
         return {
             "X-Attempt-Id": request.headers["X-Attempt-Id"],
             "X-Server-Stamp": f"stamp.{self.worker.worker_id}",
-            **self._says(request),
+            **self._announcement_headers(request),
         }
 
-    def _says(self, request: web.BaseRequest) -> dict[str, str]:
-        """Return what the worker says of itself in the answer that it writes now."""
+    def _announcement_headers(self, request: web.BaseRequest) -> dict[str, str]:
+        """Return the headers for the worker's limit and leaving, and record that they are sent."""
         limit, leaving_said = self.worker.limit, self.worker.leaving_said
         request_id = request.headers.get("X-Attempt-Id")
         if request_id is not None:
-            told = (asyncio.get_running_loop().time(), request_id)
-            for said in (limit, leaving_said):
-                if said is not None:
-                    said.told.append(told)
+            answered = (asyncio.get_running_loop().time(), request_id)
+            for announcement in (limit, leaving_said):
+                if announcement is not None:
+                    announcement.told.append(answered)
         headers = {"Server-Limit": f"{limit.per_s:g}"} if limit is not None else {}
         return headers | ({"Server-Leaving": "1"} if leaving_said is not None else {})
 
-    async def _plain(self, request: web.BaseRequest) -> web.Response:
+    async def _answer_plain(self, request: web.BaseRequest) -> web.Response:
         body = await request.read()
-        self.record.note_arrival(request, self.worker)
+        self.record.record_arrival(request, self.worker)
         self.record.note(request)
-        await self._crash_under(request, body)
+        await self._crash_on_crashing_body(request, body)
         await asyncio.sleep(self.first_s)
-        self.record.note_work(request)
-        return web.Response(body=b"whole:" + body, headers=self._signed(request))
+        self.record.record_work(request)
+        return web.Response(body=b"whole:" + body, headers=self._answer_headers(request))
 
-    async def _stream(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _answer_stream(self, request: web.BaseRequest) -> web.StreamResponse:
         worker = self.worker
         body = await request.read()
-        if worker.running >= worker.engine.slots or not self._serves():
+        if worker.running >= worker.engine.slots or not self._accepts_request():
             return self._refuse(request, 503)
         worker.running += 1
         born_ms = worker.born_ms
         try:
-            self.record.note_arrival(request, worker)
+            self.record.record_arrival(request, worker)
             self.record.note(request)
-            await self._crash_under(request, body)
+            await self._crash_on_crashing_body(request, body)
             await asyncio.sleep(self.first_s)
             return await self._events(request)
         finally:
             if worker.born_ms == born_ms:
                 worker.running -= 1
 
-    async def _crash_under(self, request: web.BaseRequest, body: bytes) -> None:
-        """End the worker's process if the request is one that crashes it."""
+    async def _crash_on_crashing_body(self, request: web.BaseRequest, body: bytes) -> None:
+        """Crash the worker if the request is one that crashes workers."""
         if not body.startswith(CRASHING_BODY):
             return
-        seen = self.record.note_crashing(request, body)
+        crashing_request = self.record.record_crashing(request, body)
         born_ms = self.worker.born_ms
         await asyncio.sleep(self.crash_after_s)
         if self.worker.born_ms == born_ms and self.worker.alive:
-            seen.crashed_s.append(asyncio.get_running_loop().time())
+            crashing_request.crashed_s.append(asyncio.get_running_loop().time())
             self.on_crash(self.worker)
-        raise asyncio.CancelledError  # the worker has crashed, and its connections with it
+        raise asyncio.CancelledError  # the crash closes the connection
 
-    def _serves(self) -> bool:
-        place = self.worker.membership
-        if place is None or place.state.value != "open":
+    def _accepts_request(self) -> bool:
+        membership = self.worker.membership
+        if membership is None or membership.state.value != "open":
             return False
         require(self.fleet, "the fleet").serve(self.worker)
         return True
 
     async def _events(self, request: web.BaseRequest) -> web.StreamResponse:
-        headers = {**self._signed(request), "Content-Type": "text/event-stream"}
+        headers = {**self._answer_headers(request), "Content-Type": "text/event-stream"}
         response = web.StreamResponse(headers=headers)
         response.enable_chunked_encoding()
         await response.prepare(request)
         after = int(request.headers.get("Last-Event-Id", 0))
         key = self.worker.group_key
         for number in range(after + 1, self.events + 1):
-            await self._until_whole(request, key)
+            await self._wait_until_complete(request, key)
             await response.write(f"id: {number}\ndata: piece {number}\n\n".encode())
-            self.record.note_work(request)
+            self.record.record_work(request)
             await asyncio.sleep(self.event_s)
         await response.write_eof()
         return response
 
-    async def _until_whole(self, request: web.BaseRequest, key: tuple[str, int] | None) -> None:
-        """Stand still while a member is missing; break off once the group is broken."""
-        while not (self.worker.alive and require(self.fleet, "the fleet").whole(self.worker)):
-            place = self.worker.membership
-            if self.worker.group_key != key or place is None or place.state.value == "broken":
+    async def _wait_until_complete(
+        self, request: web.BaseRequest, key: tuple[str, int] | None
+    ) -> None:
+        """Wait while a member of the group is missing; abort the connection if the group breaks."""
+        while not (self.worker.alive and require(self.fleet, "the fleet").is_complete(self.worker)):
+            membership = self.worker.membership
+            if (
+                self.worker.group_key != key
+                or membership is None
+                or membership.state.value == "broken"
+            ):
                 require(request.transport, "the connection").abort()
                 raise asyncio.CancelledError
-            await asyncio.sleep(_ONE_MOMENT_S)
+            await asyncio.sleep(_GROUP_POLL_INTERVAL_S)
 
     async def _order(self, request: web.BaseRequest) -> web.Response:
         fields = orjson.loads(await request.read())
-        order = _order_of(fields)
+        order = _parse_order(fields)
         if order is None or self.fleet is None:
             return web.Response(status=400)
         answer = self.fleet.order(self.worker, order, fields.get("expected-revision"))
@@ -369,7 +390,7 @@
         if isinstance(answer, OrderRefused):
             return web.Response(status=_REFUSAL_STATUS[answer.reason])
         status = 200 if answer.already else 202
-        return web.Response(status=status, headers=self._says(request))
+        return web.Response(status=status, headers=self._announcement_headers(request))
 
     def _report(self, request: web.BaseRequest) -> web.Response:
         worker = self.worker
@@ -382,35 +403,35 @@
             "waiting": 0,
             "running": worker.running,
             "kv-used": 0,
-            "kv-total": KV_TOKENS,
+            "kv-total": KV_CAPACITY_TOKENS,
             "group": entry_group(worker),
             "staged": worker.staged,
             "domain": worker.domain,
             "pace": 1.0,
         }
-        headers = {"Content-Type": "application/json", **self._says(request)}
+        headers = {"Content-Type": "application/json", **self._announcement_headers(request)}
         return web.Response(body=orjson.dumps(fields), headers=headers)
 
 
 def entry_models(worker: Worker) -> list[dict]:
-    """Return the models that a worker tells of."""
+    """Return the models of a worker, as in its entry and report."""
     return [{"name": name, "version": 1, "adapters": []} for name in worker.entry.models]
 
 
 def entry_group(worker: Worker) -> dict | None:
-    """Return the group that a worker tells of."""
-    place = worker.membership
-    if place is None:
+    """Return the group of a worker, as in its entry and report."""
+    membership = worker.membership
+    if membership is None:
         return None
     return {
-        "name": place.replica,
-        "epoch": place.epoch,
-        "rank": place.rank,
-        "state": place.state.value,
+        "name": membership.replica,
+        "epoch": membership.epoch,
+        "rank": membership.rank,
+        "state": membership.state.value,
     }
 
 
-def _order_of(fields: dict) -> Order | None:
+def _parse_order(fields: dict) -> Order | None:
     match fields.get("operation"):
         case "join":
             members = tuple(fields["members"])
--- a/ferrydock/standins/fleet/_workers.py
+++ b/ferrydock/standins/fleet/_workers.py
@@ -1,4 +1,4 @@
-"""Model workers in memory: groups, staging, late orders, deaths, and the rules they judge by."""
+"""Model workers in memory: groups, staging, late orders, deaths, and checks of group rules."""
 
 import asyncio
 import random
@@ -24,14 +24,19 @@
 
 __all__ = ["Fleet", "FleetFaults", "LeavingSaid", "NamedLimit", "Shedding", "Violation", "Worker"]
 
-REJOIN_S = 0.2
-MODELS_KEPT_BY_HOST = 1
-SERVING = (ReplicaState.OPEN, ReplicaState.CLOSING)
+REJOIN_DURATION_S = 0.2
+MAX_STAGED_MODELS = 1
+SERVING_STATES = (ReplicaState.OPEN, ReplicaState.CLOSING)
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken: ``partial`` or ``two``."""
+    """A violation of a group rule.
+
+    The rules are ``partial`` (a request reached an open group with too few members, or with
+    members that were never ready) and ``two`` (a worker joined another group while its own
+    was serving).
+    """
 
     rule: str
     worker: str
@@ -40,16 +45,16 @@
 
 @dataclass(slots=True, eq=False)
 class NamedLimit:
-    """A limit that a worker names in its answers, and the requests that it gets meanwhile.
+    """A rate limit that a worker names in its answers, and the requests that arrive meanwhile.
 
     Attributes
     ----------
     per_s : float
-        Requests a second that it takes from all daemons together.
+        Requests per second that the worker accepts from all daemons together.
     from_s : float
-        Loop time from which on it names the limit.
+        Loop time at which the worker starts to name the limit.
     told, arrived : list of (float, str)
-        Loop time and request id of each answer that named it, and of each request that came.
+        Loop time and request id of each answer that named the limit, and of each arrival.
     """
 
     worker_id: str
@@ -61,12 +66,12 @@
 
 @dataclass(slots=True, eq=False)
 class LeavingSaid:
-    """A worker that says in its answers that it leaves, and the requests that it gets.
+    """A worker's announcement in its answers that it leaves, and the requests that arrive.
 
     Attributes
     ----------
     told, arrived : list of (float, str)
-        Loop time and request id of each answer that said so, and of each request that came.
+        Loop time and request id of each answer with the announcement, and of each arrival.
     """
 
     worker_id: str
@@ -76,16 +81,17 @@
 
 @dataclass(slots=True, eq=False)
 class Shedding:
-    """A time in which a worker refuses all requests and asks for rest, and what it gets since.
+    """A period in which a worker refuses all requests and asks for a back-off.
 
     Attributes
     ----------
     rest_s : float
-        Seconds for which it wants no request of the daemon that it refuses.
+        Back-off that the worker asks of a daemon whose request it refuses.
     is_over : bool
-        Whether it serves again; requests are noted all the same, since a rest may go on.
+        Whether the worker serves again. Arrivals are recorded all the same, since the back-off
+        of a daemon may last longer than the period.
     refused, arrived : list of (float, str)
-        Loop time and request id of each refusal, and of each request that came.
+        Loop time and request id of each refusal, and of each arrival.
     """
 
     worker_id: str
@@ -97,14 +103,14 @@
 
 @dataclass(slots=True)
 class FleetFaults:
-    """What goes wrong with orders.
+    """Faults of the handling of orders.
 
     Attributes
     ----------
     late_share : float
-        Part of the orders that are left unanswered and carried out later.
+        Share of the orders that get no answer and are executed later.
     late_from_s, late_to_s : float
-        How much later.
+        Range of the delay of these orders.
     """
 
     late_share: float = 0.0
@@ -119,23 +125,23 @@
     Attributes
     ----------
     born_ms : int
-        Time of day of its start, in milliseconds.
+        Time of the last start, in milliseconds since the epoch.
     entries : int
-        How often it has written its entry since its start.
+        Number of times the worker has written its entry since its start.
     alive : bool
-        Whether it answers at all.
+        Whether the process runs and answers.
     left_s : float or None
-        Loop time at which the store had its word that it leaves; None if it does not.
+        Loop time at which the worker's entry said that it leaves; None if it does not leave.
     was_ready : set
-        ``(name, epoch, members)`` under which it was ready once.
+        ``(name, epoch, members)`` of each group in which the worker has been ready.
     loads : int
-        Loads from the weight store that it began.
+        Number of loads from the weight store that the worker has started.
     limit : NamedLimit or None
-        What it says that it takes; None for no limit.
+        Rate limit that the worker names in its answers; None for no limit.
     shedding : Shedding or None
-        The last time in which it refused all requests.
+        Last period in which the worker refused all requests; None if there was none.
     leaving_said : LeavingSaid or None
-        That its answers say that it leaves; None if they don't.
+        Announcement in the worker's answers that it leaves; None if they carry none.
     """
 
     worker_id: str
@@ -150,22 +156,22 @@
     draining: bool = False
     left_s: float | None = None
     orders: int = 0
-    top_epoch: int = 0
+    highest_epoch: int = 0
     last_model: str = ""
     staged: list[str] = field(default_factory=list)
     staging_until_s: float = 0.0
     membership: Membership | None = None
     members: tuple[str, ...] = ()
     model: str = ""
-    was_ready: set = field(default_factory=set)
+    ready_groups: set = field(default_factory=set)
     running: int = 0
     loads: int = 0
     limit: NamedLimit | None = None
     shedding: Shedding | None = None
     leaving_said: LeavingSaid | None = None
 
-    def start_again(self) -> None:
-        """Begin another life under the same id; only what lies on the host is left."""
+    def restart(self) -> None:
+        """Start a new incarnation under the same id; only the models staged on the host remain."""
         self.born_ms = max(self.born_ms + 1, int(time.time() * 1000))
         self.entries = 0
         self.alive = True
@@ -175,17 +181,17 @@
         self.shedding = None
         self.leaving_said = None
         self.orders = 0
-        self.top_epoch = 0
+        self.highest_epoch = 0
         self.last_model = ""
         self.membership = None
         self.members = ()
         self.model = ""
-        self.was_ready = set()
+        self.ready_groups = set()
         self.running = 0
 
     @property
     def entry(self) -> Target:
-        """What the list of targets shows of it."""
+        """Entry of the worker in the list of targets."""
         return Target(
             target_id=self.worker_id,
             service=self.service,
@@ -200,30 +206,30 @@
         )
 
     @property
-    def joined(self) -> Membership:
-        """Its membership; only for a worker that has one."""
+    def current_membership(self) -> Membership:
+        """Membership of the worker; an error if it has none."""
         return require(self.membership, f"the membership of {self.worker_id}")
 
     @property
     def group_key(self) -> tuple[str, int] | None:
-        """Name and epoch of its group."""
-        place = self.membership
-        return (place.replica, place.epoch) if place else None
+        """Name and epoch of the worker's group; None without a group."""
+        membership = self.membership
+        return (membership.replica, membership.epoch) if membership else None
 
 
 class Fleet:
-    """All workers of a service, and the judge of what is done with them.
+    """All workers of a service; executes orders and records violations of group rules.
 
     Parameters
     ----------
     engine : EngineSpec
-        Models, sizes, times.
+        Models, and their sizes and load times.
     rng : random.Random
-        Draws faults.
+        Decides which orders are late, and by how much.
     stall_s : float
-        After which a group without one of its members breaks.
+        Time after which a serving group with a missing member breaks.
     on_change : callable
-        Takes a worker whose entry has changed.
+        Called with each worker whose entry has changed.
     """
 
     def __init__(
@@ -244,7 +250,7 @@
     def add(
         self, worker_id: str, hall: str, domain: str, service: str = "engines", address: str = ""
     ) -> Worker:
-        """Start an empty worker."""
+        """Add a worker that holds no model."""
         worker = Worker(
             worker_id=worker_id,
             address=address or "127.0.0.1:1",
@@ -258,13 +264,13 @@
         return worker
 
     def kill(self, worker_id: str) -> None:
-        """Let a worker fall silent for good; its group stands still."""
+        """Make a worker silent; its group stalls and breaks after `stall_s`."""
         worker = self.workers[worker_id]
         worker.alive = False
-        self._check_still(worker.group_key)
+        self._schedule_break(worker.group_key)
 
     def now_s(self) -> float:
-        """Return the loop's time."""
+        """Return the time of the running loop."""
         return asyncio.get_running_loop().time()
 
     # Orders -----------------------------------------------------------------------------------
@@ -272,78 +278,81 @@
     def order(
         self, worker: Worker, order: Order, expected: int | None
     ) -> OrderDone | OrderRefused | None:
-        """Take an order, or leave it without an answer (None)."""
+        """Execute an order, or return None for no answer.
+
+        A dead worker does not answer; a late order is executed later.
+        """
         if not worker.alive:
             return None
         if self.rng.random() < self.faults.late_share:
             delay_s = self.rng.uniform(self.faults.late_from_s, self.faults.late_to_s)
             loop = asyncio.get_running_loop()
-            loop.call_later(delay_s, self.carry_out, worker, order, expected)
+            loop.call_later(delay_s, self.execute, worker, order, expected)
             return None
-        return self.carry_out(worker, order, expected)
+        return self.execute(worker, order, expected)
 
-    def carry_out(
+    def execute(
         self, worker: Worker, order: Order, expected: int | None
     ) -> OrderDone | OrderRefused | None:
-        """Do what an order says, if it still fits."""
+        """Execute an order if the worker is alive and its order count is the expected one."""
         if not worker.alive:
             return None
         if expected is not None and expected != worker.orders:
             return OrderRefused("state")
-        carry_out: dict[type, Callable[..., OrderDone | OrderRefused]] = {
+        handlers: dict[type, Callable[..., OrderDone | OrderRefused]] = {
             JoinOrder: self._join,
             OpenOrder: self._open,
             CloseOrder: self._close,
             LeaveOrder: self._leave,
             StageOrder: self._stage,
         }
-        answer = carry_out[type(order)](worker, order)
+        answer = handlers[type(order)](worker, order)
         if not isinstance(answer, OrderDone):
             return answer
         if not answer.already:
             worker.orders += 1
         self.on_change(worker)
-        # A leave acts at once, and counts all the same.
+        # A leave is complete at once, unlike other orders, and still counts as an order.
         return OrderDone(already=True) if isinstance(order, LeaveOrder) else answer
 
     def _join(self, worker: Worker, order: JoinOrder) -> OrderDone | OrderRefused:
-        if order.epoch < worker.top_epoch:
+        if order.epoch < worker.highest_epoch:
             return OrderRefused("epoch")
         key = (order.replica, order.epoch)
         if worker.group_key == key:
             same = worker.members == order.members
             return OrderDone(already=True) if same else OrderRefused("epoch")
-        self._judge_leaving(worker)
-        before = worker.group_key
+        self._check_serving_group(worker)
+        previous_group = worker.group_key
         model = require(self.engine.model(order.model), order.model)
-        ready_s = self._ready_in_s(worker, model)
+        ready_s = self._time_to_ready_s(worker, model)
         rank = order.members.index(worker.worker_id)
-        worker.top_epoch = order.epoch
+        worker.highest_epoch = order.epoch
         worker.membership = Membership(order.replica, order.epoch, rank, ReplicaState.JOINING)
         worker.members = order.members
         worker.model = model.name
         worker.last_model = model.name
         loop = asyncio.get_running_loop()
         loop.call_later(ready_s, self._become_ready, worker, key)
-        self._check_still(before)
+        self._schedule_break(previous_group)
         return OrderDone(already=False)
 
-    def _judge_leaving(self, worker: Worker) -> None:
-        """Note a worker that joins elsewhere while its group's head serves or stands still."""
-        place = worker.membership
-        if place is None:
+    def _check_serving_group(self, worker: Worker) -> None:
+        """Record a violation if a worker joins another group while its own is serving."""
+        membership = worker.membership
+        if membership is None:
             return
         head = self.workers.get(worker.members[0])
         if head is None or not head.alive or head.group_key != worker.group_key:
             return
-        if head.joined.state in SERVING:
-            detail = f"{worker.group_key} is {head.joined.state.value}"
+        if head.current_membership.state in SERVING_STATES:
+            detail = f"{worker.group_key} is {head.current_membership.state.value}"
             self.violations.append(Violation("two", worker.worker_id, detail))
 
-    def _ready_in_s(self, worker: Worker, model: ModelSpec) -> float:
+    def _time_to_ready_s(self, worker: Worker, model: ModelSpec) -> float:
         staging_s = max(0.0, worker.staging_until_s - self.now_s())
         if worker.last_model == model.name and model.name in worker.staged:
-            return REJOIN_S
+            return REJOIN_DURATION_S
         if model.name in worker.staged:
             return staging_s + model.warm_s
         self._load(worker, model)
@@ -352,22 +361,22 @@
     def _load(self, worker: Worker, model: ModelSpec) -> None:
         worker.loads += 1
         worker.staging_until_s = self.now_s() + model.load_s
-        worker.staged = [model.name, *worker.staged][:MODELS_KEPT_BY_HOST]
+        worker.staged = [model.name, *worker.staged][:MAX_STAGED_MODELS]
 
     def _become_ready(self, worker: Worker, key: tuple[str, int]) -> None:
         if worker.alive and worker.group_key == key:
             self._set_state(worker, ReplicaState.READY)
-            worker.was_ready.add((*key, worker.members))
+            worker.ready_groups.add((*key, worker.members))
 
     def _set_state(self, worker: Worker, state: ReplicaState) -> None:
-        place = worker.joined
-        worker.membership = Membership(place.replica, place.epoch, place.rank, state)
+        membership = worker.current_membership
+        worker.membership = Membership(membership.replica, membership.epoch, membership.rank, state)
         self.on_change(worker)
 
     def _open(self, worker: Worker, order: OpenOrder) -> OrderDone | OrderRefused:
-        if worker.group_key != (order.replica, order.epoch) or worker.joined.rank != 0:
+        if worker.group_key != (order.replica, order.epoch) or worker.current_membership.rank != 0:
             return OrderRefused("state")
-        if worker.joined.state is not ReplicaState.READY:
+        if worker.current_membership.state is not ReplicaState.READY:
             return OrderRefused("state")
         self._set_state(worker, ReplicaState.OPEN)
         return OrderDone(already=False)
@@ -375,25 +384,25 @@
     def _close(self, worker: Worker, order: CloseOrder) -> OrderDone | OrderRefused:
         if worker.group_key != (order.replica, order.epoch):
             return OrderRefused("state")
-        if worker.joined.state is not ReplicaState.OPEN:
+        if worker.current_membership.state is not ReplicaState.OPEN:
             return OrderRefused("state")
         self._set_state(worker, ReplicaState.CLOSING)
         delay_s = 0.01 if order.cut else 1.0
         key = worker.group_key
-        asyncio.get_running_loop().call_later(delay_s, self._closed, worker, key)
+        asyncio.get_running_loop().call_later(delay_s, self._finish_closing, worker, key)
         return OrderDone(already=False)
 
-    def _closed(self, worker: Worker, key: tuple[str, int]) -> None:
-        if worker.group_key == key and worker.joined.state is ReplicaState.CLOSING:
+    def _finish_closing(self, worker: Worker, key: tuple[str, int]) -> None:
+        if worker.group_key == key and worker.current_membership.state is ReplicaState.CLOSING:
             self._set_state(worker, ReplicaState.READY)
 
     def _leave(self, worker: Worker, order: LeaveOrder) -> OrderDone | OrderRefused:
         key = (order.replica, order.epoch)
-        if worker.group_key != key or worker.joined.state in SERVING:
+        if worker.group_key != key or worker.current_membership.state in SERVING_STATES:
             return OrderRefused("state")
         worker.membership = None
         worker.members = ()
-        self._check_still(key)
+        self._schedule_break(key)
         return OrderDone(already=False)
 
     def _stage(self, worker: Worker, order: StageOrder) -> OrderDone | OrderRefused:
@@ -404,8 +413,8 @@
 
     # Groups -----------------------------------------------------------------------------------
 
-    def whole(self, head: Worker) -> bool:
-        """Whether every member of a head's group lives and stands behind it."""
+    def is_complete(self, head: Worker) -> bool:
+        """Return whether all members of a head's group are alive and in that group."""
         return all(
             (member := self.workers.get(member_id)) is not None
             and member.alive
@@ -413,46 +422,50 @@
             for member_id in head.members
         )
 
-    def _check_still(self, key: tuple[str, int] | None) -> None:
-        """Let a group that lost a member break after a while."""
+    def _schedule_break(self, key: tuple[str, int] | None) -> None:
+        """Break a serving group that lost a member, after `stall_s`."""
         for worker in self.workers.values():
-            if key is None or worker.group_key != key or worker.joined.rank != 0:
+            if key is None or worker.group_key != key or worker.current_membership.rank != 0:
                 continue
-            if worker.joined.state in SERVING and not self.whole(worker):
+            if worker.current_membership.state in SERVING_STATES and not self.is_complete(worker):
                 asyncio.get_running_loop().call_later(self.stall_s, self._break, worker, key)
 
     def _break(self, head: Worker, key: tuple[str, int]) -> None:
-        if head.alive and head.group_key == key and not self.whole(head):
+        if head.alive and head.group_key == key and not self.is_complete(head):
             self._set_state(head, ReplicaState.BROKEN)
 
     def serve(self, head: Worker) -> bool:
-        """Judge a request that reaches a head; return whether it runs now."""
-        place = head.membership
-        if not head.alive or place is None or place.state is not ReplicaState.OPEN:
+        """Check a request that reaches a head; return whether the group can run it.
+
+        A request to an open group that is incomplete, or that has a member which was never
+        ready, is a violation.
+        """
+        membership = head.membership
+        if not head.alive or membership is None or membership.state is not ReplicaState.OPEN:
             return False
         size = require(self.engine.model(head.model), head.model).size
         if len(head.members) != size:
-            self._partial(head, f"{len(head.members)} of {size} members")
+            self._record_partial(head, f"{len(head.members)} of {size} members")
         for member_id in head.members:
             member = self.workers.get(member_id)
             if (
                 member is None
-                or (*require(head.group_key, "the group"), head.members) not in member.was_ready
+                or (*require(head.group_key, "the group"), head.members) not in member.ready_groups
             ):
-                self._partial(head, f"{member_id} was never ready")
-        return self.whole(head)
+                self._record_partial(head, f"{member_id} was never ready")
+        return self.is_complete(head)
 
-    def _partial(self, head: Worker, detail: str) -> None:
+    def _record_partial(self, head: Worker, detail: str) -> None:
         self.violations.append(Violation("partial", head.worker_id, f"{head.group_key} {detail}"))
 
     def open_heads(self) -> list[Worker]:
-        """Return the heads of groups that are open and whole."""
+        """Return the heads of groups that are open and complete."""
         return [
             worker
             for worker in self.workers.values()
             if worker.alive
             and worker.membership is not None
-            and worker.joined.rank == 0
-            and worker.joined.state is ReplicaState.OPEN
-            and self.whole(worker)
+            and worker.current_membership.rank == 0
+            and worker.current_membership.state is ReplicaState.OPEN
+            and self.is_complete(worker)
         ]
--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -68,6 +68,7 @@
     "routing",
     "scheduling",
     "standins",
+    "standins/fleet",
     "startup.py",
     "store",
     "table",
