--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -1,6 +1,7 @@
-"""Code rules that no linter checks, for the packages listed as conforming.
+"""Code rules that no linter checks.
 
-A package that conforms is added to the list and is never removed.
+The rules on numbers and wording hold for all product modules, the others for the packages listed in
+`FINISHED`. A package that conforms is added to that list and is never removed.
 """
 
 import ast
@@ -65,7 +66,10 @@
 
 
 def numbers_of(value):
-    """Return the numbers in a constant's value; empty if the value has anything but numbers."""
+    """Return the numbers in a constant's value, or an empty list.
+
+    A number, a sum or product with a number in it, and a tuple or list of these have numbers.
+    """
     match value:
         case ast.Constant(value=int() | float() as number) if not isinstance(number, bool):
             return [number]
