--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests over whole programs."""
+"""Fixtures for tests that run ferrydock programs as processes."""
 
 import pytest
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Real processes for tests: stand-ins and daemons on loopback, each on free ports."""
+"""Stand-ins and daemons as processes on loopback, each on free ports."""
 
 import os
 import re
@@ -18,19 +18,22 @@
 
 
 def wait_until(condition, what, limit_s=CONDITION_LIMIT_S):
-    """Wait until `condition` returns something true, and return it."""
-    until = time.monotonic() + limit_s
+    """Poll `condition` until it returns a true value, and return that value.
+
+    `what` describes the condition in the error that is raised after `limit_s`.
+    """
+    deadline_s = time.monotonic() + limit_s
     while True:
         found = condition()
         if found:
             return found
-        if time.monotonic() > until:
-            raise AssertionError(f"still not so after {limit_s} s: {what}")
+        if time.monotonic() > deadline_s:
+            raise AssertionError(f"condition not met within {limit_s} s: {what}")
         time.sleep(0.05)
 
 
 class Process:
-    """A program of ferrydock's, started with `module` and flags."""
+    """A ferrydock module run as a process, which logs ``event=ready`` once it listens."""
 
     def __init__(self, module, *arguments, log_path):
         self.log_path = log_path
@@ -43,7 +46,7 @@
     def _ready_fields(self):
         text = self.log_path.read_text()
         if self.popen.poll() is not None:
-            raise AssertionError(f"it ended with {self.popen.returncode}: {text[-2000:]}")
+            raise AssertionError(f"the process exited with {self.popen.returncode}: {text[-2000:]}")
         line = re.search(r".*event=ready (.*)", text)
         return dict(pair.split("=", 1) for pair in line.group(1).split()) if line else None
 
@@ -68,7 +71,7 @@
 
 
 class Site:
-    """Stand-ins and daemons of one test."""
+    """The stand-in process and the daemons of one test; their logs go to `path`."""
 
     def __init__(self, path, halls):
         self.path = path
@@ -84,7 +87,7 @@
         self.processes.append(process)
         return process
 
-    def daemon(self, hall, *more):
+    def daemon(self, hall, *extra_flags):
         platform = self.standins.url
         peers = ",".join(d.ready["peer_listen"] for d in self.daemons)
         process = self._start(
@@ -97,7 +100,7 @@
             f"--weight_store_url={platform}",
             f"--operator_key_digests={digest_key(OPERATOR_KEY)}",
             "--stop_readiness_s=0",
-            *more,
+            *extra_flags,
         )
         self.daemons.append(process)
         return process
@@ -108,7 +111,7 @@
 
 
 def cli(daemon, *words, key=OPERATOR_KEY, stdin=None):
-    """Run the command line and return the finished process."""
+    """Run the operator command line against a daemon; return the completed process."""
     return subprocess.run(
         [sys.executable, "-m", "ferrydock.cli", f"--daemon={daemon.url}", *words],
         capture_output=True,
@@ -120,7 +123,7 @@
 
 
 def fill_table(daemon, halls):
-    """Fill the table of a test site through one daemon."""
+    """Write halls, a model, a team and its share to the table through one daemon."""
     for hall in halls:
         assert cli(daemon, "table", "set", "halls", hall, "region=test").returncode == 0
     rows = (
--- a/tests/run.py
+++ b/tests/run.py
@@ -10,21 +10,23 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 4
+MAX_KNOWN_RED_LINES = 4
 
 
 def known_red_tests():
-    """Return the ids of the tests that are listed as failing."""
+    """Return the ids of the tests listed in KNOWN-RED.txt."""
     if not KNOWN_RED.exists():
         return set()
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN_RED:
-        sys.exit(f"KNOWN-RED.txt holds {len(lines)} lines, at most {MOST_KNOWN_RED} are allowed")
+    if len(lines) > MAX_KNOWN_RED_LINES:
+        sys.exit(
+            f"KNOWN-RED.txt holds {len(lines)} lines, at most {MAX_KNOWN_RED_LINES} are allowed"
+        )
     return {line.split("|")[0].strip() for line in lines}
 
 
 class FailureRecorder:
-    """A pytest plugin that keeps the ids of the failed tests."""
+    """A pytest plugin that collects the ids of the failed tests."""
 
     def __init__(self):
         self.failed = set()
@@ -35,13 +37,13 @@
 
 
 def main():
-    known = known_red_tests()
+    known_red = known_red_tests()
     recorder = FailureRecorder()
     status = pytest.main(sys.argv[1:], plugins=[recorder])
     if status != pytest.ExitCode.TESTS_FAILED:
         return int(status)
-    unexpected = recorder.failed - known
-    for test in sorted(recorder.failed & known):
+    unexpected = recorder.failed - known_red
+    for test in sorted(recorder.failed & known_red):
         print(f"known red: {test}")
     return 1 if unexpected else 0
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,6 +1,6 @@
-"""What the README and the pages tell to type, run as processes.
+"""The commands that the README and the documentation show, run as processes.
 
-Each command ends by itself; its exit status and its last lines are the verdict.
+Each command ends by itself; the tests check its exit status and its output.
 """
 
 import json
@@ -16,20 +16,20 @@
 
 from .processes import ROOT, Process, wait_until
 
-# Ends a command that hangs. Chosen, not measured.
+# Time-out of a command that hangs.
 COMMAND_LIMIT_S = 300.0
 
 BENCHMARKS = sorted(
     path.stem for path in (ROOT / "benchmarks").glob("*.py") if not path.stem.startswith("_")
 )
 EMULATIONS = sorted(path.name for path in (ROOT / "examples").glob("*.toml"))
-BENCHMARKS_AT_ONCE = 3
-MUST_BE_ABOVE_0 = ("requests", "served_part")
+CONCURRENT_BENCHMARKS = 3
+POSITIVE_FIGURES = ("requests", "served_part")
 
 
 def run(*command, stdin=None):
-    """Run a command at the root of the checkout; return the finished process."""
-    beside_python = str(Path(sys.executable).parent)
+    """Run a command at the root of the checkout; return the completed process."""
+    scripts_folder = str(Path(sys.executable).parent)
     return subprocess.run(
         command,
         capture_output=True,
@@ -37,7 +37,7 @@
         cwd=ROOT,
         input=stdin,
         timeout=COMMAND_LIMIT_S,
-        env={**os.environ, "PATH": beside_python + os.pathsep + os.environ["PATH"]},
+        env={**os.environ, "PATH": scripts_folder + os.pathsep + os.environ["PATH"]},
     )
 
 
@@ -48,9 +48,9 @@
 
 
 def test_every_claim_of_the_demo_holds():
-    told = ferrydock("demo")
-    assert "claim=failed" not in told
-    assert told.count("claim=held") == 7
+    output = ferrydock("demo")
+    assert "claim=failed" not in output
+    assert output.count("claim=held") == 7
 
 
 def test_the_demo_of_routes_keeps_every_promise():
@@ -59,7 +59,7 @@
 
 @pytest.fixture
 def embedded(tmp_path):
-    """A daemon with its stand-ins, as the README starts it."""
+    """A daemon in embedded mode, which starts its own stand-ins."""
     log_path = tmp_path / "daemon.log"
     daemon = Process(
         "ferrydock.daemon",
@@ -73,28 +73,30 @@
 
 
 def test_every_verb_works_on_one_daemon(embedded, tmp_path):
-    to = f"--daemon={embedded.url}"
+    daemon_flag = f"--daemon={embedded.url}"
     wait_until(
-        lambda: run("ferrydock", to, "request", "draft-large", stdin="ready?").returncode == 0,
+        lambda: (
+            run("ferrydock", daemon_flag, "request", "draft-large", stdin="ready?").returncode == 0
+        ),
         "the daemon answers",
     )
-    assert "請修水溝" in ferrydock(to, "request", "draft-large", stdin="請修水溝")
-    assert "draft-large" in ferrydock(to, "table", "show")
-    ferrydock(to, "table", "set", "shares", "demo-draft", "priority=7")
-    assert ferrydock(to, "table", "get", "shares", "demo-draft", "priority") == "7\n"
-    assert "priority" in ferrydock(to, "table", "log")
-    assert "in force" in ferrydock(to, "table", "watch", "--until_revision=2")
+    assert "請修水溝" in ferrydock(daemon_flag, "request", "draft-large", stdin="請修水溝")
+    assert "draft-large" in ferrydock(daemon_flag, "table", "show")
+    ferrydock(daemon_flag, "table", "set", "shares", "demo-draft", "priority=7")
+    assert ferrydock(daemon_flag, "table", "get", "shares", "demo-draft", "priority") == "7\n"
+    assert "priority" in ferrydock(daemon_flag, "table", "log")
+    assert "in force" in ferrydock(daemon_flag, "table", "watch", "--until_revision=2")
     folder = tmp_path / "site"
-    ferrydock(to, "table", "export", str(folder))
+    ferrydock(daemon_flag, "table", "export", str(folder))
     assert "shares.csv" in {path.name for path in folder.iterdir()}
-    ferrydock(to, "table", "apply", str(folder), "--dry_run")
-    assert "replica" in ferrydock(to, "status")
-    replica = json.loads(ferrydock(to, "status", "--json"))["replicas"][0]["replica"]
-    assert replica in ferrydock(to, "status", f"--explain={replica}")
-    assert ferrydock(to, "report", "burn")
+    ferrydock(daemon_flag, "table", "apply", str(folder), "--dry_run")
+    assert "replica" in ferrydock(daemon_flag, "status")
+    replica = json.loads(ferrydock(daemon_flag, "status", "--json"))["replicas"][0]["replica"]
+    assert replica in ferrydock(daemon_flag, "status", f"--explain={replica}")
+    assert ferrydock(daemon_flag, "report", "burn")
     assert ferrydock("version").startswith("ferrydock ")
-    ferrydock(to, "table", "set", "teams", "other", f"key_digests={'0' * 64}")
-    ferrydock(to, "table", "delete", "teams", "other")
+    ferrydock(daemon_flag, "table", "set", "teams", "other", f"key_digests={'0' * 64}")
+    ferrydock(daemon_flag, "table", "delete", "teams", "other")
 
 
 def test_the_example_with_the_openai_client_gets_an_answer(embedded):
@@ -114,9 +116,9 @@
 @pytest.mark.parametrize("name", EMULATIONS)
 def test_each_example_of_the_emulator_keeps_every_promise(name, tmp_path):
     page = tmp_path / "page.html"
-    told = ferrydock("emulate", f"examples/{name}", str(tmp_path / "logs"), f"--report={page}")
-    figures = json.loads(told[: told.rindex("}") + 1])
-    assert all(figures[field] > 0 for field in MUST_BE_ABOVE_0)
+    output = ferrydock("emulate", f"examples/{name}", str(tmp_path / "logs"), f"--report={page}")
+    figures = json.loads(output[: output.rindex("}") + 1])
+    assert all(figures[field] > 0 for field in POSITIVE_FIGURES)
     assert "<svg" in page.read_text()
     logs = [str(path) for path in (tmp_path / "logs").glob("*.log")]
     request = next(
@@ -131,17 +133,17 @@
 
 
 @pytest.fixture(scope="module")
-def benchmark_runs():
-    """All benchmarks, some at a time, since most of them mostly wait; results by name."""
-    with ThreadPoolExecutor(BENCHMARKS_AT_ONCE) as threads:
+def benchmark_futures():
+    """Futures of all benchmarks by name; a few run concurrently, as most of them mainly wait."""
+    with ThreadPoolExecutor(CONCURRENT_BENCHMARKS) as executor:
         yield {
-            name: threads.submit(run, sys.executable, "-m", f"benchmarks.{name}", "--quick")
+            name: executor.submit(run, sys.executable, "-m", f"benchmarks.{name}", "--quick")
             for name in BENCHMARKS
         }
 
 
 @pytest.mark.parametrize("name", BENCHMARKS)
-def test_each_benchmark_runs_to_its_end(name, benchmark_runs):
-    done = benchmark_runs[name].result()
+def test_each_benchmark_runs_to_its_end(name, benchmark_futures):
+    done = benchmark_futures[name].result()
     assert done.returncode == 0, done.stdout[-2000:] + done.stderr[-2000:]
     assert done.stdout.strip()
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,4 +1,7 @@
-"""Requests that crash their targets, before daemons as processes, beside all other troubles."""
+"""Requests that crash their targets, sent through daemon processes, with all other faults.
+
+Guards against such a request being sent on to further targets, and against refusing others.
+"""
 
 import pytest
 
@@ -6,15 +9,17 @@
 
 from .soak_plays import play_seeds, seeds_in
 
-# Emulations at a time: each takes less than one core. Chosen, not measured.
-AT_ONCE = 4
+# Emulations that run concurrently; each takes less than one core.
+CONCURRENT_EMULATIONS = 4
 SEEDS = seeds_in("soak_crash_seeds.txt")
 
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
-    """Return the results of all seeds."""
-    return play_seeds(crashes_experiment, SEEDS, tmp_path_factory.mktemp("crashes"), AT_ONCE)
+    """Run the emulations of all seeds; return the results by seed."""
+    return play_seeds(
+        crashes_experiment, SEEDS, tmp_path_factory.mktemp("crashes"), CONCURRENT_EMULATIONS
+    )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,7 @@
-"""Targets that leave, before daemons as processes, beside a store that falls silent."""
+"""Targets that announce that they leave, behind daemon processes, while the store stops answering.
+
+Guards against requests sent to a target after its announcement.
+"""
 
 import pytest
 
@@ -6,19 +9,23 @@
 
 from .soak_plays import play_seeds, seeds_in
 
-# Emulations at a time: each takes less than one core.
-AT_ONCE = 4
+# Emulations that run concurrently; each takes less than one core.
+CONCURRENT_EMULATIONS = 4
 SEEDS = seeds_in("soak_leaving_seeds.txt")
 
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
-    """Return the results of all seeds."""
-    return play_seeds(leaving_experiment, SEEDS, tmp_path_factory.mktemp("leaving"), AT_ONCE)
+    """Run the emulations of all seeds; return the results by seed."""
+    return play_seeds(
+        leaving_experiment, SEEDS, tmp_path_factory.mktemp("leaving"), CONCURRENT_EMULATIONS
+    )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_request_is_sent_to_a_target_after_its_word_that_it_leaves(results, seed):
     result = results[seed]
-    assert result.at_leaving, "no request reached a leaving target even in time: nothing was judged"
+    assert result.at_leaving, (
+        "no request reached a leaving target within the allowed time: nothing was checked"
+    )
     assert result.broken == [], result.troubles
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs are bounded, and a reader that stops reading loses lines but does not block the daemon."""
+"""Log output is bounded: a reader that stops reading loses lines but does not block the daemon."""
 
 import logging
 import os
@@ -6,19 +6,19 @@
 from ferrydock.logs import BoundedHandler, format_event, log_event, parse_event
 
 
-def logger_to(descriptor, **bounds):
-    """Return a logger of its own that writes to a descriptor, and its handler."""
-    handler = BoundedHandler(descriptor, **bounds)
+def logger_to(file_descriptor, **bounds):
+    """Return a separate logger that writes to a file descriptor, and its handler."""
+    handler = BoundedHandler(file_descriptor, **bounds)
     logger = logging.Logger("test", logging.INFO)
     logger.addHandler(handler)
     return logger, handler
 
 
-def read_all(descriptor):
-    os.set_blocking(descriptor, False)
+def read_all(file_descriptor):
+    os.set_blocking(file_descriptor, False)
     data = b""
     try:
-        while chunk := os.read(descriptor, 65536):
+        while chunk := os.read(file_descriptor, 65536):
             data += chunk
     except BlockingIOError:
         pass
--- a/tests/test_outside.py
+++ b/tests/test_outside.py
@@ -1,8 +1,8 @@
-"""The outside of the route daemon: command line, wire, stored values, metrics.
+"""External interfaces of the route daemon: command line, wire, stored values, metrics.
 
-These tests start ``python -m ferrydock.route_daemon`` as a process and speak to it in literal
-bytes. They name nothing inside the product, so they hold through every rename: other daemons, the
-platform, dashboards and deployment files depend on exactly what is checked here.
+These tests run ``python -m ferrydock.route_daemon`` as a process and exchange literal bytes with
+it. They do not depend on names inside the daemon. Other daemons, the platform, dashboards and
+deployment files depend on exactly what is checked here.
 """
 
 import asyncio
@@ -197,7 +197,7 @@
 
 
 class CapturingRecord(RunRecord):
-    """Keeps the headers that requests reached workers with."""
+    """Also stores the headers of the requests that reach workers, in `headers`."""
 
     def note(self, request):
         super().note(request)
@@ -208,7 +208,7 @@
 
 
 class Play:
-    """A stand-in site with one daemon process before it."""
+    """A stand-in site behind one daemon process."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -252,7 +252,7 @@
         await until(lambda: self.get("ready", "/"), lambda found: found == (200, "ready\n"))
 
     async def ask(self, path, key="key-acme", more=""):
-        """Send one request; return the head's lines and the body."""
+        """Send one request; return the lines of the response head, and the body."""
         host, port = self.daemon.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         head = (
@@ -268,13 +268,13 @@
         return head.decode().split("\r\n"), body
 
     async def call(self, method, data):
-        """Make a call as another daemon would."""
+        """Call a gRPC method of the daemon as another daemon would; return the raw reply."""
         async with grpc.aio.insecure_channel(self.peer_address) as channel:
             return await channel.unary_unary(f"/ferrydock.Peer/{method}")(data, timeout=5)
 
 
 async def until(ask, holds):
-    """Ask again and again until the answer holds; return it."""
+    """Await `ask()` repeatedly until `holds` is true of its result; return that result."""
     async with asyncio.timeout(LIMIT_S):
         while not holds(found := await ask()):
             await asyncio.sleep(0.05)
@@ -378,7 +378,7 @@
 
 
 async def check_backpressure(play):
-    """What daemons tell each other of limits and rests of targets, along calls that run."""
+    """Check the rate limits and back-offs of targets that daemons exchange in their calls."""
     asked = (
         b'{"sender":"e2","running":{},"seen":[],"service":"records","model":"","avoid":[],'
         b'"rank":[5,1],"left_s":4.0,"hold_s":0.0%s}'
@@ -403,7 +403,7 @@
 
 
 async def check_crash_news(play):
-    """What daemons tell each other of requests that crash their targets, along calls that run."""
+    """Check the reports of crashing requests that daemons exchange in their calls."""
     crashes = (
         b'{"life":"x","change":1,"known_life":"","known_change":0,"reports":[{"identity":"r",'
         b'"crashes":[{"crash_id":"x:1","target_id":"t","ended_age_s":1.0,"ran_s":0.1},'
@@ -517,7 +517,7 @@
 
 
 class FakeLeader:
-    """A hall leader of an older version: literal bytes in, literal bytes out."""
+    """A hall leader of an older version, which records and answers calls as literal bytes."""
 
     def __init__(self, site):
         self.site = site
@@ -565,8 +565,8 @@
             )
             await play.start_daemon()
             await play.until_ready()
-            # "" until it knows a list, then "@" and the list's revision: an older leader takes that
-            # for the id of another process, and sends the whole list
+            # The follower sends "" until it knows a target list, then "@" and the list's revision.
+            # An older leader takes that for the id of another process and sends the complete list.
             life = json.loads(leader.asked["News"][0])["life"]
             assert re.fullmatch(r"(@[0-9]+)?", life)
             first = b'{"life":"%s","change":0,"version":-1,"broken":[],"sender":"edge-1"}'
@@ -576,7 +576,7 @@
             head, _ = await play.ask("/look/x")
             assert head[0] == "HTTP/1.1 200 OK"
             asked = json.loads(leader.asked["Place"][0])
-            # until the end of the objective; an older leader only orders by it
+            # Seconds until the end of the objective; an older leader only orders requests by it.
             assert 0.0 < asked.pop("left_s") <= 0.5
             assert list(json.loads(leader.asked["Place"][0])) == [
                 "sender",
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,6 +1,6 @@
-"""What the pages, examples and docstrings name is there.
+"""Files, commands and names mentioned in pages, examples and docstrings exist.
 
-Pages that keep history (measurements, incidents) may name what is gone; their links must work.
+Historical pages (measurements, incidents) may name what has been removed; their links must work.
 """
 
 import re
@@ -10,10 +10,10 @@
 from .processes import ROOT
 
 PAGES = sorted([*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")])
-HISTORY = {"MEASUREMENTS.md", "CHANGELOG.md"} | {
+HISTORICAL = {"MEASUREMENTS.md", "CHANGELOG.md"} | {
     path.name for path in ROOT.glob("docs/incidents/*.md")
 }
-LIVING = [page for page in PAGES if page.name not in HISTORY] + sorted(
+MAINTAINED = [page for page in PAGES if page.name not in HISTORICAL] + sorted(
     path for path in ROOT.glob("examples/*") if path.is_file()
 )
 SOURCES = sorted([*ROOT.glob("ferrydock/**/*.py"), *ROOT.glob("benchmarks/*.py")])
@@ -27,8 +27,8 @@
 NAME = re.compile(r"_?[a-z]+(?:_[a-z0-9]+)+|[A-Z][a-z]+\w*[a-z]|[A-Z]+_[A-Z_]+")
 EVENT = re.compile(r"^ *(?:->)? *\d\d:\d\d:\d\d\.\d+ \S+ (\w+) ", re.MULTILINE)
 BENCHMARK = re.compile(r"\bbenchmarks\.([a-z_]+)")
-OPTIONS_OF_OTHERS = {"grep", "oneline"}  # of git
-MADE_BY_TOOLS = {"KNOWN-RED.txt"}
+GIT_OPTIONS = {"grep", "oneline"}
+GENERATED_FILES = {"KNOWN-RED.txt"}
 
 
 def name_of(path):
@@ -37,32 +37,32 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=name_of)
 def test_links_lead_somewhere(page):
-    gone = [link for link in LINK.findall(page.read_text()) if not _is_there(page, link)]
-    assert gone == []
+    missing = [link for link in LINK.findall(page.read_text()) if not _link_exists(page, link)]
+    assert missing == []
 
 
-def _is_there(page, link):
+def _link_exists(page, link):
     return link.startswith("http") or (page.parent / link).exists()
 
 
-@pytest.mark.parametrize("page", LIVING, ids=name_of)
+@pytest.mark.parametrize("page", MAINTAINED, ids=name_of)
 def test_named_files_exist(page):
-    gone = [
+    missing = [
         span
         for span in CODE_SPAN.findall(page.read_text())
-        if FILE.fullmatch(span) and span not in MADE_BY_TOOLS and not _find(page, span)
+        if FILE.fullmatch(span) and span not in GENERATED_FILES and not _file_exists(page, span)
     ]
-    assert gone == []
+    assert missing == []
 
 
-def _find(page, name):
-    places = (ROOT, ROOT / "ferrydock", ROOT / "docs", page.parent)
-    return any((place / name).exists() for place in places) or any(
+def _file_exists(page, name):
+    folders = (ROOT, ROOT / "ferrydock", ROOT / "docs", page.parent)
+    return any((folder / name).exists() for folder in folders) or any(
         ROOT.glob(f"ferrydock/**/{name}")
     )
 
 
-@pytest.mark.parametrize("page", LIVING, ids=name_of)
+@pytest.mark.parametrize("page", MAINTAINED, ids=name_of)
 def test_named_commands_exist(page):
     text = page.read_text()
     makefile = (ROOT / "Makefile").read_text()
@@ -70,24 +70,24 @@
     modules = [name for name in MODULE.findall(text) if not _is_module(name)]
     assert modules == []
     flags = {flag for flag in FLAG.findall(text) if f'"{flag}"' not in CODE}
-    assert flags - OPTIONS_OF_OTHERS - set(re.findall(r'"--([a-z_]+)', CODE)) == set()
+    assert flags - GIT_OPTIONS - set(re.findall(r'"--([a-z_]+)', CODE)) == set()
 
 
 def _is_module(name):
     if name == "benchmarks.NAME":
-        return True  # stands for each of them
+        return True  # a placeholder for any benchmark
     path = ROOT / name.replace(".", "/")
     return path.with_suffix(".py").exists() or (path / "__main__.py").exists()
 
 
-@pytest.mark.parametrize("page", LIVING, ids=name_of)
+@pytest.mark.parametrize("page", MAINTAINED, ids=name_of)
 def test_named_parts_of_the_code_exist(page):
-    gone = [
+    missing = [
         span
         for span in CODE_SPAN.findall(page.read_text())
         if NAME.fullmatch(span) and span not in CODE
     ]
-    assert gone == []
+    assert missing == []
 
 
 def test_log_events_of_the_operators_page_are_logged():
@@ -97,7 +97,7 @@
     assert {event for event in events if f'"{event}"' not in CODE} == set()
 
 
-@pytest.mark.parametrize("path", [*LIVING, *SOURCES], ids=name_of)
+@pytest.mark.parametrize("path", [*MAINTAINED, *SOURCES], ids=name_of)
 def test_named_benchmarks_and_pages_exist(path):
     text = path.read_text()
     names = set(BENCHMARK.findall(text))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,5 +1,7 @@
-"""Promises that span processes, over real ones: kill -9, SIGSTOP, SIGTERM. Verdicts wait on
-conditions; the limits only end a run that hangs."""
+"""Guarantees across processes under SIGKILL, SIGSTOP and SIGTERM.
+
+The tests wait for conditions; the time limits only end a run that hangs.
+"""
 
 import http.client
 import json
@@ -19,12 +21,12 @@
     return json.loads(cli(daemon, "status", "--json").stdout)
 
 
-def serving(daemon):
+def serving_replicas(daemon):
     return [r for r in status(daemon)["replicas"] if r["phase"] == "serving" and r["whole"]]
 
 
 def post(daemon, path, body, **headers):
-    """Return status and body of one POST."""
+    """Send one POST with the team key; return the status and the decoded body."""
     request = urllib.request.Request(
         daemon.url + path,
         data=json.dumps(body).encode(),
@@ -43,7 +45,7 @@
         assert json.loads(response.read())["problem"] == ""
 
 
-def chat(text, **fields):
+def chat_body(text, **fields):
     return {"model": "draft", "messages": [{"role": "user", "content": text}], **fields}
 
 
@@ -51,16 +53,16 @@
     site = make_site(*HALLS)
     daemons = [site.daemon(hall) for hall in HALLS]
     fill_table(daemons[0], HALLS)
-    wait_until(lambda: serving(daemons[1]), "a replica serves")
+    wait_until(lambda: serving_replicas(daemons[1]), "a replica serves")
     done = cli(daemons[0], "table", "set", "models", "draft", "priority=8")
     assert done.returncode == 0, done.stderr
     daemons[0].kill()
     for daemon in daemons[1:]:
         wait_until(
             lambda d=daemon: cli(d, "table", "get", "models", "draft", "priority").stdout == "8\n",
-            "the accepted edit is in force on the daemons that are left",
+            "the accepted edit is in force on the remaining daemons",
         )
-    code, answer = post(daemons[1], "/v1/chat/completions", chat("the pump is broken"))
+    code, answer = post(daemons[1], "/v1/chat/completions", chat_body("the pump is broken"))
     assert code == 200
     assert "the pump is broken" in answer["choices"][0]["message"]["content"]
 
@@ -69,14 +71,14 @@
     site = make_site("hall-a")
     daemon = site.daemon("hall-a")
     fill_table(daemon, ["hall-a"])
-    before = wait_until(lambda: serving(daemon), "a replica serves")[0]
+    before = wait_until(lambda: serving_replicas(daemon), "a replica serves")[0]
     fault(site, fault="kill", box=before["boxes"][1])
     after = wait_until(
-        lambda: [r for r in serving(daemon) if r["generation"] != before["generation"]],
-        "the replica is whole in a new generation",
+        lambda: [r for r in serving_replicas(daemon) if r["generation"] != before["generation"]],
+        "the replica is complete in a new generation",
     )[0]
     assert before["boxes"][1] not in after["boxes"]
-    code, answer = post(daemon, "/v1/chat/completions", chat("after the repair"))
+    code, answer = post(daemon, "/v1/chat/completions", chat_body("after the repair"))
     assert code == 200
     assert "after the repair" in answer["choices"][0]["message"]["content"]
 
@@ -85,36 +87,46 @@
     site = make_site("hall-a")
     daemons = [site.daemon("hall-a") for _ in range(2)]
     fill_table(daemons[0], ["hall-a"])
-    wait_until(lambda: serving(daemons[0]) and serving(daemons[1]), "a replica serves")
-    names = {d.ready["name"]: d for d in daemons}
-    first = status(daemons[0])["controller"]
-    frozen, other = names[first], next(d for d in daemons if d is not names[first])
+    wait_until(
+        lambda: serving_replicas(daemons[0]) and serving_replicas(daemons[1]), "a replica serves"
+    )
+    daemons_by_name = {d.ready["name"]: d for d in daemons}
+    controller_name = status(daemons[0])["controller"]
+    frozen, successor = (
+        daemons_by_name[controller_name],
+        next(d for d in daemons if d is not daemons_by_name[controller_name]),
+    )
     frozen.signal(signal.SIGSTOP)
     wait_until(
-        lambda: status(other)["controller"] == other.ready["name"], "the other takes the hall"
+        lambda: status(successor)["controller"] == successor.ready["name"],
+        "the other daemon becomes controller of the hall",
     )
-    wait_until(lambda: serving(other), "the replica is attested by the other")
+    wait_until(lambda: serving_replicas(successor), "the other daemon attests the replica")
     frozen.signal(signal.SIGCONT)
     wait_until(
-        lambda: status(frozen)["controller"] == other.ready["name"], "the sleeper learns of it"
+        lambda: status(frozen)["controller"] == successor.ready["name"],
+        "the resumed daemon knows the new controller",
+    )
+    wait_until(
+        lambda: "lease_lost" in frozen.log(),
+        "the resumed daemon notices that its lease has expired",
     )
-    wait_until(lambda: "lease_lost" in frozen.log(), "the sleeper notices that its lease is over")
     assert status(frozen)["controller_mode"] == "follower"
-    assert len(serving(other)) == 1
+    assert len(serving_replicas(successor)) == 1
 
 
 def test_planned_stop_ends_a_stream_whole(make_site):
     site = make_site("hall-a")
     daemon = site.daemon("hall-a")
     fill_table(daemon, ["hall-a"])
-    wait_until(lambda: serving(daemon), "a replica serves")
+    wait_until(lambda: serving_replicas(daemon), "a replica serves")
     text = "a long grievance " * 20
     lines = []
 
     def read_stream():
         request = urllib.request.Request(
             daemon.url + "/v1/chat/completions",
-            data=json.dumps(chat(text, stream=True)).encode(),
+            data=json.dumps(chat_body(text, stream=True)).encode(),
             headers={"Authorization": f"Bearer {TEAM_KEY}"},
         )
         with urllib.request.urlopen(request) as response:
@@ -134,8 +146,11 @@
     assert text in answer
 
 
-class KeepingCaller(threading.Thread):
-    """Sends requests on a kept connection, on a new one where that ends, until nobody listens."""
+class PersistentConnectionCaller(threading.Thread):
+    """Sends requests on a persistent connection until the daemon refuses connections.
+
+    A connection that the daemon closes is opened anew.
+    """
 
     def __init__(self, daemon):
         super().__init__()
@@ -147,16 +162,16 @@
         connection = http.client.HTTPConnection(self.address)
         while True:
             try:
-                self.answers.append(self.ask(connection))
+                self.answers.append(self.send_request(connection))
             except ConnectionRefusedError:
                 return
             except (http.client.RemoteDisconnected, ConnectionError):
                 self.unanswered += 1
                 connection.close()
 
-    def ask(self, connection):
+    def send_request(self, connection):
         headers = {"Authorization": f"Bearer {TEAM_KEY}", "X-Not-Repeatable": "true"}
-        body = json.dumps(chat("a short grievance"))
+        body = json.dumps(chat_body("a short grievance"))
         connection.request("POST", "/v1/chat/completions", body, headers)
         answer = connection.getresponse()
         return answer.status, json.loads(answer.read())
@@ -166,8 +181,8 @@
     site = make_site("hall-a")
     daemon = site.daemon("hall-a", "--stop_readiness_s=0.3")
     fill_table(daemon, ["hall-a"])
-    wait_until(lambda: serving(daemon), "a replica serves")
-    callers = [KeepingCaller(daemon) for _ in range(4)]
+    wait_until(lambda: serving_replicas(daemon), "a replica serves")
+    callers = [PersistentConnectionCaller(daemon) for _ in range(4)]
     for caller in callers:
         caller.start()
     wait_until(lambda: all(len(c.answers) > 2 for c in callers), "all callers are served")
@@ -180,7 +195,7 @@
     assert all(error["run"] == "not_run" for error in refused), refused
     with urllib.request.urlopen(site.standins.url + "/counts") as response:
         runs = json.loads(response.read())["runs"]
-    # a request whose connection ended without an answer was not taken
+    # A request whose connection was closed without an answer was not executed.
     assert len(runs) == sum(code == 200 for code, _ in answers)
     assert set(runs.values()) == {1}
 
@@ -215,7 +230,7 @@
 
 
 def test_a_bad_setting_ends_with_2_and_one_line():
-    for arguments, words in (
+    for arguments, expected_words in (
         (["--embedded", "--listen=nowhere"], ("--listen", "nowhere", "IP:PORT")),
         (["--embedded", "--store=etcd"], ("--embedded",)),
         (["--no_such_flag"], ("no_such_flag",)),
@@ -224,7 +239,7 @@
         assert done.returncode == 2
         lines = done.stderr.strip().splitlines()
         assert len(lines) == 1
-        assert all(word in lines[0] for word in words)
+        assert all(word in lines[0] for word in expected_words)
     assert run_daemon("--embedded", "--check_settings").returncode == 0
 
 
@@ -232,9 +247,12 @@
     site = make_site("hall-a")
     daemon = site.daemon("hall-a")
     fill_table(daemon, ["hall-a"])
-    bad = cli(daemon, "table", "set", "site", "site", "lease_ttl_s=soon", "settle_s=-1")
-    assert bad.returncode == 2
-    assert "site/site/lease_ttl_s" in bad.stderr and "site/site/settle_s" in bad.stderr
+    invalid_edit = cli(daemon, "table", "set", "site", "site", "lease_ttl_s=soon", "settle_s=-1")
+    assert invalid_edit.returncode == 2
+    assert (
+        "site/site/lease_ttl_s" in invalid_edit.stderr
+        and "site/site/settle_s" in invalid_edit.stderr
+    )
     old = cli(daemon, "table", "set", "models", "draft", "priority=3", "--expect_revision=1")
     assert old.returncode == 3
     assert "models/draft/priority" in old.stderr
@@ -243,15 +261,15 @@
     assert cli(daemon, "table", "set", "models", "draft", "priority=7").returncode == 0
     text = (folder / "models.csv").read_text()
     (folder / "models.csv").write_text(text.replace("100000000", "200000000"))
-    dry = cli(daemon, "table", "apply", str(folder), "--dry_run")
-    assert (dry.returncode, "nothing written" in dry.stdout) == (0, True)
+    dry_run = cli(daemon, "table", "apply", str(folder), "--dry_run")
+    assert (dry_run.returncode, "nothing written" in dry_run.stdout) == (0, True)
     assert cli(daemon, "table", "apply", str(folder)).returncode == 0
     assert cli(daemon, "table", "get", "models", "draft", "priority").stdout == "7\n"
     assert cli(daemon, "table", "get", "models", "draft", "weight_bytes").stdout == "200000000\n"
     fault(site, fault="store", down=True)
-    away = cli(daemon, "table", "set", "models", "draft", "priority=2")
-    assert away.returncode == 5
-    assert "unreachable" in away.stderr
+    unreachable = cli(daemon, "table", "set", "models", "draft", "priority=2")
+    assert unreachable.returncode == 5
+    assert "unreachable" in unreachable.stderr
     wrong_key = cli(daemon, "status", key="wrong")
     assert wrong_key.returncode != 0
     daemon.kill()
@@ -274,37 +292,39 @@
     site = make_site("hall-a")
     daemon = site.daemon("hall-a")
     fill_table(daemon, ["hall-a"])
-    wait_until(lambda: serving(daemon), "a replica serves")
+    wait_until(lambda: serving_replicas(daemon), "a replica serves")
     fault(site, fault="store", down=True)
     fault(site, fault="box_list", down=True)
     wait_until(lambda: "acting_isolated" in daemon.log(), "the hall acts without the store")
-    before = serving(daemon)[0]
-    code, _ = post(daemon, "/v1/chat/completions", chat("still here"))
+    before = serving_replicas(daemon)[0]
+    code, _ = post(daemon, "/v1/chat/completions", chat_body("still here"))
     assert code == 200
-    code, answer = post(daemon, "/v1/chat/completions", chat("filing"), **{"Idempotency-Key": "f1"})
+    code, answer = post(
+        daemon, "/v1/chat/completions", chat_body("filing"), **{"Idempotency-Key": "f1"}
+    )
     assert (code, answer["error"]["run"]) == (503, "not_run")
     fault(site, fault="kill", box=before["boxes"][2])
     wait_until(
-        lambda: [r for r in serving(daemon) if r["generation"] != before["generation"]],
+        lambda: [r for r in serving_replicas(daemon) if r["generation"] != before["generation"]],
         "the replica is repaired without the store",
     )
     fault(site, fault="store", down=False)
     wait_until(lambda: status(daemon)["controller_mode"] == "controller", "the hall has rejoined")
-    assert len(serving(daemon)) == 1
+    assert len(serving_replicas(daemon)) == 1
 
 
 def test_daemons_are_replaced_one_after_another_and_nothing_is_lost(make_site):
     site = make_site("hall-a")
     old = [site.daemon("hall-a") for _ in range(2)]
     fill_table(old[0], ["hall-a"])
-    wait_until(lambda: serving(old[1]), "a replica serves")
+    wait_until(lambda: serving_replicas(old[1]), "a replica serves")
     revision = status(old[0])["revision"]
     for daemon in old:
-        fresh = site.daemon("hall-a")
-        wait_until(lambda d=fresh: serving(d), "the newcomer knows the replica")
+        replacement = site.daemon("hall-a")
+        wait_until(lambda d=replacement: serving_replicas(d), "the new daemon knows the replica")
         daemon.signal(signal.SIGTERM)
         assert daemon.popen.wait() == 0
     last = site.daemons[-1]
     assert status(last)["revision"] == revision
-    code, _ = post(last, "/v1/chat/completions", chat("after the replacement"))
+    code, _ = post(last, "/v1/chat/completions", chat_body("after the replacement"))
     assert code == 200
--- a/tests/test_readable.py
+++ b/tests/test_readable.py
@@ -1,6 +1,6 @@
-"""House rules on code that no linter knows, for the packages that were brought up to them.
+"""Code rules that no linter checks, for the packages listed as conforming.
 
-Each package stays on the list for good; a package that is finished is added.
+A package that conforms is added to the list and is never removed.
 """
 
 import ast
@@ -29,8 +29,8 @@
     "targets",
     "teams",
 )
-# Folders and modules whose wording was brought up to the rules. In the others a comment must stand
-# over each constant; here the constant's name must say its unit.
+# Folders and modules that follow the wording rules. Here the name of a numeric constant states its
+# unit; in other folders a comment must stand above each constant.
 REWORDED: tuple[str, ...] = (
     "__init__.py",
     "backpressure",
@@ -74,17 +74,17 @@
 MAX_LINES_OF_A_FUNCTION = 40
 MAX_COLLABORATORS = 6
 CONSTANT = re.compile(r"^_?[A-Z][A-Z0-9_]* = .*\d")
-# Metaphors and vague words that were replaced; see the glossary for the usual terms.
+# Metaphors and vague words that must not be used; the glossary lists the usual terms.
 WORDS_REPLACED = re.compile(
     r"\b(seats?|desk|roster|ledger|tended|placing|most_[a-z_]+|MOST_[A-Z_]+|[A-Z]+_PART"
     r"|whoever|lately|needless|held for dead|let in)\b"
 )
-# What tells the reader how a value was found, or where: that belongs in the commit or in a page.
+# Phrases that tell how or where a value was found, which belongs in a commit or a page.
 TUNING = re.compile(
     r"(?i)not measured|chosen by|chosen so|measured in docs|docs/measurements|\bsitting\b"
     r"|\bcommit [0-9a-f]{7}|\bfleetbench\b|\bthe bench\b|\bissue \d|\b(tuned|lowered|raised) in\b"
 )
-# Words in the name of a number that say what it counts or measures; a plural noun does as well.
+# Words in a constant's name that state its unit or what it counts; a plural noun also does.
 UNITS = frozenset({"S", "MS", "US", "KB", "MB", "GB"})
 RATIOS = frozenset(
     {"RATIO", "FRACTION", "SHARE", "FACTOR", "WEIGHT", "PENALTY", "QUANTILE", "JITTER", "PER"}
@@ -112,7 +112,7 @@
 
 
 def numbers_of(value):
-    """Return the numbers that a constant consists of; none if it is more than numbers."""
+    """Return the numbers in a constant's value; empty if the value has anything but numbers."""
     match value:
         case ast.Constant(value=int() | float() as number) if not isinstance(number, bool):
             return [number]
@@ -135,7 +135,7 @@
 
 
 def constants(tree):
-    """Yield name, line and numbers of each constant of a module that consists of numbers."""
+    """Yield the name, line and numbers of each module-level constant made of numbers."""
     for node in tree.body:
         target = node.targets[0] if isinstance(node, ast.Assign) else getattr(node, "target", None)
         if isinstance(node, ast.Assign | ast.AnnAssign) and isinstance(target, ast.Name):
@@ -145,7 +145,7 @@
 
 
 def prose(text):
-    """Yield line and text of each comment and docstring."""
+    """Yield the line number and the text of each comment and docstring."""
     for token in tokenize.generate_tokens(io.StringIO(text).readline):
         if token.type == tokenize.COMMENT:
             yield token.start[0], token.string
@@ -175,7 +175,7 @@
 
 
 def lines_of_code(function, lines):
-    """Return how many lines a function's body has, without docstring, comments and blanks."""
+    """Count the lines of a function's body, excluding docstring, comments and blank lines."""
     body = function.body[1:] if ast.get_docstring(function) else function.body
     if not body:
         return 0
--- a/tests/test_requirements.py
+++ b/tests/test_requirements.py
@@ -1,4 +1,4 @@
-"""What the platform installs is what the project declares."""
+"""The files that the platform deploys from agree with the project: packages and programs."""
 
 import tomllib
 from pathlib import Path
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -1,4 +1,7 @@
-"""Targets that refuse requests and ask for rest, before daemons as processes."""
+"""Targets that refuse requests and ask for a back-off, behind daemon processes.
+
+Guards against a daemon that sends requests to a target during the back-off it asked for.
+"""
 
 import pytest
 
@@ -6,19 +9,21 @@
 
 from .soak_plays import play_seeds, seeds_in
 
-# Emulations at a time: each takes less than one core.
-AT_ONCE = 4
+# Emulations that run concurrently; each takes less than one core.
+CONCURRENT_EMULATIONS = 4
 SEEDS = seeds_in("soak_rest_seeds.txt")
 
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
-    """Return the results of all seeds."""
-    return play_seeds(rests_experiment, SEEDS, tmp_path_factory.mktemp("rests"), AT_ONCE)
+    """Run the emulations of all seeds; return the results by seed."""
+    return play_seeds(
+        rests_experiment, SEEDS, tmp_path_factory.mktemp("rests"), CONCURRENT_EMULATIONS
+    )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_target_that_asks_a_daemon_for_rest_gets_none_of_its_requests(results, seed):
     result = results[seed]
-    assert result.shed, "no request was refused: nothing was judged"
+    assert result.shed, "no request was refused: nothing was checked"
     assert result.broken == [], result.troubles
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that reach a daemon while it starts, before it waits for them, and while it exits."""
+"""Signals that reach a daemon while it starts or while it exits."""
 
 import signal
 import subprocess
@@ -9,12 +9,12 @@
 
 LIMIT_S = 60.0
 
-# Pause between two signals to a daemon that has stopped, and their maximum number. The process
-# needs about 50 ms to exit. Each signal may log a line: these are fewer than fill the output pipe.
-SIGNAL_AGAIN_S = 0.0005
+# Interval between repeated signals to a stopped daemon, and their maximum number. The process needs
+# about 50 ms to exit. Each signal may log a line; this many lines do not fill the output pipe.
+SIGNAL_INTERVAL_S = 0.0005
 MAX_SIGNALS = 5000
 
-# A daemon of a few lines, which gets signals at a chosen moment of its start.
+# A minimal daemon that signals itself while it starts or just after.
 PROGRAM = """
 import asyncio, os, signal, sys
 import aiomisc
@@ -57,15 +57,15 @@
     SIGTERM, SIGINT or SIGHUP before that ended the process at once, with the requests that it had
     accepted and exit status -15, -2 or -1 instead of 0.
     """
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", PROGRAM, phase, signals],
         capture_output=True,
         text=True,
         timeout=LIMIT_S,
     )
-    assert done.returncode == 0, done.stderr
-    assert "stopped as planned" in done.stdout
-    assert ("hangup" in done.stdout) == ("SIGHUP" in signals)
+    assert completed.returncode == 0, completed.stderr
+    assert "stopped as planned" in completed.stdout
+    assert ("hangup" in completed.stdout) == ("SIGHUP" in signals)
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
@@ -83,7 +83,7 @@
             if daemon.poll() is not None:
                 break
             daemon.send_signal(number)
-            time.sleep(SIGNAL_AGAIN_S)
+            time.sleep(SIGNAL_INTERVAL_S)
         else:
             daemon.kill()
     assert daemon.returncode == 0
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of daemons as processes, whose callers stay until the process is gone."""
+"""Planned stops of daemon processes whose callers keep sending until the process has exited."""
 
 import pytest
 
@@ -6,15 +6,17 @@
 
 from .soak_plays import play_seeds, seeds_in
 
-# Emulations at a time: each takes less than one core. Chosen, not measured.
-AT_ONCE = 3
+# Emulations that run concurrently; each takes less than one core.
+CONCURRENT_EMULATIONS = 3
 SEEDS = seeds_in("soak_stop_seeds.txt")
 
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
-    """Return the results of all seeds, played some at a time."""
-    return play_seeds(stops_experiment, SEEDS, tmp_path_factory.mktemp("stops"), AT_ONCE)
+    """Run the emulations of all seeds; return the results by seed."""
+    return play_seeds(
+        stops_experiment, SEEDS, tmp_path_factory.mktemp("stops"), CONCURRENT_EMULATIONS
+    )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/test_store_older.py
+++ b/tests/test_store_older.py
@@ -1,4 +1,4 @@
-"""A store that comes back older, before daemons as processes."""
+"""A store that is restored from an older copy, behind daemon processes."""
 
 import pytest
 
@@ -7,14 +7,14 @@
 
 from .soak_plays import play_seeds, seeds_in
 
-# Emulations at a time: each takes less than one core.
-AT_ONCE = 4
+# Emulations that run concurrently; each takes less than one core.
+CONCURRENT_EMULATIONS = 4
 SEEDS = seeds_in("soak_era_seeds.txt")
-CALM_SEED = 2
+SEED_WITHOUT_DAEMON_FAULTS = 2
 
 
-def calm_experiment(seed):
-    """Return a store that comes back older, beside nothing that hurts a daemon."""
+def experiment_without_daemon_faults(seed):
+    """Return an experiment whose store is restored from an older copy, without daemon faults."""
     troubles = (
         Trouble(1.0, "store_older", for_s=5.0),
         Trouble(3.0, "configuration"),
@@ -29,15 +29,21 @@
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
-    """Return the results of all seeds."""
-    return play_seeds(eras_experiment, SEEDS, tmp_path_factory.mktemp("eras"), AT_ONCE)
+    """Run the emulations of all seeds; return the results by seed."""
+    return play_seeds(
+        eras_experiment, SEEDS, tmp_path_factory.mktemp("eras"), CONCURRENT_EMULATIONS
+    )
 
 
 def test_callers_are_served_as_before_by_daemons_whose_configuration_is_young(tmp_path):
-    result = play_seeds(calm_experiment, [CALM_SEED], tmp_path, 1)[CALM_SEED]
+    result = play_seeds(
+        experiment_without_daemon_faults, [SEED_WITHOUT_DAEMON_FAULTS], tmp_path, 1
+    )[SEED_WITHOUT_DAEMON_FAULTS]
     assert result.broken == [], result.troubles
     refused = [call for call in result.calls if call.outcome != "served"]
-    assert refused == [], "an outage of 1 s and 2.5 s in which nothing is confirmed make 3.5 of 4.6"
+    assert refused == [], (
+        "1 s of outage and 2.5 s without confirmation are 3.5 s; 4.6 s are allowed"
+    )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
